--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use gs_mesh::Received;
-use gs_query::SignSource;
+use gs_query::NoticeSource;
 use gs_types::prelude::*;
 use tokio::sync::mpsc;
 
@@ -41,7 +41,7 @@
         Message::Sign(sign) => {
             f.feeds
                 .engine
-                .push(gs_query::Event::Sign(sign, SignSource::Peer));
+                .push(gs_query::Event::Sign(sign, NoticeSource::Peer));
         }
         Message::WantGroups => send_groups(f, &from),
         Message::Group(map) => f.take_group(&map),
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -16,7 +16,7 @@
     /// About claims.
     Claim(gs_once::Message),
     /// A drain or a quarantine.
-    Sign(gs_query::Sign),
+    Sign(gs_query::Notice),
     /// Asks for every shard map that the receiver holds.
     WantGroups,
     /// A shard map.
--- a/crates/node/src/spread.rs
+++ b/crates/node/src/spread.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use gs_mesh::Mesh;
-use gs_query::Sign;
+use gs_query::Notice;
 
 use crate::board::Board;
 use crate::message::Message;
@@ -46,7 +46,7 @@
     }
 
     /// Tells every peer of a sign, several times.
-    pub(crate) fn sign(&self, sign: Sign) {
+    pub(crate) fn sign(&self, sign: Notice) {
         let msg = Message::Sign(sign);
         self.broadcast(&msg);
         let this = self.clone();
--- a/crates/once/examples/claims.rs
+++ b/crates/once/examples/claims.rs
@@ -24,8 +24,8 @@
 use gs_once::Event;
 use gs_once::Once;
 use gs_once::OnceSettings;
-use gs_query::ClaimAsk;
-use gs_query::ClaimVerdict;
+use gs_query::ClaimDecision;
+use gs_query::LookupClaim;
 use gs_types::prelude::*;
 
 const VMS: usize = 9;
@@ -186,7 +186,7 @@
             Action::Verdict(seq, verdict) => {
                 let asked = self.asked.remove(&seq).expect("an ask");
                 self.took.push(self.now - asked);
-                self.granted += u64::from(verdict == ClaimVerdict::Granted);
+                self.granted += u64::from(verdict == ClaimDecision::Granted);
             }
             Action::Wake(after) => {
                 self.wakes[i] = self.now + after;
@@ -238,7 +238,7 @@
         let all = arrivals(rate);
         for (n, (at, i)) in all.iter().enumerate() {
             let minted = WALL + at.as_secs();
-            let ask = ClaimAsk {
+            let ask = LookupClaim {
                 seq: LookupSeq(n as u64),
                 key: format!("{minted}-{n:0>8}").parse().expect("a key"),
                 fingerprint: Fingerprint(n as u64),
--- a/crates/once/src/action.rs
+++ b/crates/once/src/action.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use gs_query::ClaimVerdict;
+use gs_query::ClaimDecision;
 use gs_types::prelude::*;
 use serde::Deserialize;
 use serde::Serialize;
@@ -39,7 +39,7 @@
     /// Send a message to another VM; it may be lost.
     Send(VmId, Message),
     /// The one answer to an ask.
-    Verdict(LookupSeq, ClaimVerdict),
+    Verdict(LookupSeq, ClaimDecision),
     /// Send [`crate::Event::Tick`] after this time at the latest; replaces the one asked before.
     Wake(Duration),
 }
--- a/crates/once/src/event.rs
+++ b/crates/once/src/event.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use gs_member::View;
-use gs_query::ClaimAsk;
+use gs_query::LookupClaim;
 use gs_types::prelude::*;
 use serde::Deserialize;
 use serde::Serialize;
@@ -15,7 +15,7 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
     /// An at-most-once lookup wants its claim.
-    Ask(ClaimAsk),
+    Ask(LookupClaim),
     /// A [`crate::Action::Read`] ended; `None` if there is no such object.
     Read {
         /// The object.
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -1,7 +1,7 @@
 //! Claims: what makes an at-most-once lookup run at most once.
 //!
 //! [`Once`] is a plain state machine. It is asked for a claim before a lookup is handed to any
-//! backend server, and answers each ask with one [`gs_query::ClaimVerdict`]. A claim is an entry in
+//! backend server, and answers each ask with one [`gs_query::ClaimDecision`]. A claim is an entry in
 //! a platform object, made by conditional write; whose entry for a key stands first, has it for
 //! ever. Nothing else decides: no lease, no clock and no word of another VM can grant one.
 
--- a/crates/once/src/once.rs
+++ b/crates/once/src/once.rs
@@ -6,8 +6,8 @@
 use std::time::Instant;
 
 use gs_member::View;
-use gs_query::ClaimAsk;
-use gs_query::ClaimVerdict;
+use gs_query::ClaimDecision;
+use gs_query::LookupClaim;
 use gs_types::prelude::*;
 use serde::Deserialize;
 use serde::Serialize;
@@ -134,7 +134,7 @@
         self.asks.len()
     }
 
-    fn ask(&mut self, cx: &mut Cx<'_>, wanted: &ClaimAsk) {
+    fn ask(&mut self, cx: &mut Cx<'_>, wanted: &LookupClaim) {
         let minted = wanted.key.minted();
         let ask = Ask {
             id: AskId {
@@ -165,21 +165,21 @@
     }
 
     /// The verdict that needs no call, if there is one.
-    fn early_verdict(&mut self, cx: &Cx<'_>, ask: &Ask, minted: u64) -> Option<ClaimVerdict> {
+    fn early_verdict(&mut self, cx: &Cx<'_>, ask: &Ask, minted: u64) -> Option<ClaimDecision> {
         if ask.window <= self.floor.floor.closed {
-            return Some(ClaimVerdict::Expired);
+            return Some(ClaimDecision::Expired);
         }
         // Only the floor says that a key is expired for ever. By the clock alone it is refused: the
         // clock may be wrong, and a key from the future may be claimed later.
         if self.is_too_old(cx.wall, minted) || minted > cx.wall + self.cfg.skew.as_secs() {
             self.floor.want();
-            return Some(ClaimVerdict::Refused);
+            return Some(ClaimDecision::Refused);
         }
         let claim_log = self.claim_logs.get(&(ask.window, self.bucket(ask.key)));
         if claim_log.is_some_and(|s| s.holder(ask.key).is_some()) {
-            return Some(ClaimVerdict::Taken);
+            return Some(ClaimDecision::Taken);
         }
-        (self.asks.len() >= self.cfg.asks_max).then_some(ClaimVerdict::Refused)
+        (self.asks.len() >= self.cfg.asks_max).then_some(ClaimDecision::Refused)
     }
 
     pub(crate) fn is_too_old(&self, wall: u64, minted: u64) -> bool {
@@ -246,13 +246,13 @@
         }
     }
 
-    fn tell(&mut self, cx: &mut Cx<'_>, seq: LookupSeq, verdict: ClaimVerdict) {
+    fn tell(&mut self, cx: &mut Cx<'_>, seq: LookupSeq, verdict: ClaimDecision) {
         let count = match verdict {
-            ClaimVerdict::Granted => &mut self.counts.granted,
-            ClaimVerdict::Taken => &mut self.counts.taken,
-            ClaimVerdict::Expired => &mut self.counts.expired,
-            ClaimVerdict::Refused => &mut self.counts.refused,
-            ClaimVerdict::Unknown => &mut self.counts.unknown,
+            ClaimDecision::Granted => &mut self.counts.granted,
+            ClaimDecision::Taken => &mut self.counts.taken,
+            ClaimDecision::Expired => &mut self.counts.expired,
+            ClaimDecision::Refused => &mut self.counts.refused,
+            ClaimDecision::Unknown => &mut self.counts.unknown,
         };
         *count += 1;
         cx.out.push(Action::Verdict(seq, verdict));
@@ -288,13 +288,13 @@
     format!("claims/{bucket}")
 }
 
-fn verdict(state: ClaimState) -> ClaimVerdict {
+fn verdict(state: ClaimState) -> ClaimDecision {
     match state {
-        ClaimState::Granted => ClaimVerdict::Granted,
-        ClaimState::Taken => ClaimVerdict::Taken,
-        ClaimState::Expired => ClaimVerdict::Expired,
-        ClaimState::Refused => ClaimVerdict::Refused,
-        _ => ClaimVerdict::Unknown,
+        ClaimState::Granted => ClaimDecision::Granted,
+        ClaimState::Taken => ClaimDecision::Taken,
+        ClaimState::Expired => ClaimDecision::Expired,
+        ClaimState::Refused => ClaimDecision::Refused,
+        _ => ClaimDecision::Unknown,
     }
 }
 
--- a/crates/once/tests/once/asks.rs
+++ b/crates/once/tests/once/asks.rs
@@ -5,12 +5,12 @@
 use gs_once::Event;
 use gs_once::Message;
 use gs_once::Settled;
-use gs_query::ClaimVerdict;
-use gs_query::ClaimVerdict::Expired;
-use gs_query::ClaimVerdict::Granted;
-use gs_query::ClaimVerdict::Refused;
-use gs_query::ClaimVerdict::Taken;
-use gs_query::ClaimVerdict::Unknown;
+use gs_query::ClaimDecision;
+use gs_query::ClaimDecision::Expired;
+use gs_query::ClaimDecision::Granted;
+use gs_query::ClaimDecision::Refused;
+use gs_query::ClaimDecision::Taken;
+use gs_query::ClaimDecision::Unknown;
 use gs_types::prelude::StoreError;
 
 use crate::world::Mood;
@@ -20,7 +20,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn verdicts(w: &World) -> Vec<ClaimVerdict> {
+fn verdicts(w: &World) -> Vec<ClaimDecision> {
     w.verdicts.iter().map(|(_, v)| *v).collect()
 }
 
--- a/crates/once/tests/once/fuzz.rs
+++ b/crates/once/tests/once/fuzz.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use gs_query::ClaimVerdict;
+use gs_query::ClaimDecision;
 use proptest::prelude::*;
 use proptest::test_runner::Config;
 use proptest::test_runner::RngSeed;
@@ -159,7 +159,7 @@
         w.ask(0, &fresh);
         w.run(Duration::from_secs(2));
         assert_eq!(w.unanswered(), 0);
-        assert_eq!(w.verdicts.last(), Some(&(fresh, ClaimVerdict::Granted)));
+        assert_eq!(w.verdicts.last(), Some(&(fresh, ClaimDecision::Granted)));
     }
 }
 
--- a/crates/once/tests/once/world.rs
+++ b/crates/once/tests/once/world.rs
@@ -22,8 +22,8 @@
 use gs_once::Part;
 use gs_once::PartPath;
 use gs_once::Window;
-use gs_query::ClaimAsk;
-use gs_query::ClaimVerdict;
+use gs_query::ClaimDecision;
+use gs_query::LookupClaim;
 use gs_types::prelude::*;
 
 const STEP: Duration = Duration::from_millis(5);
@@ -69,7 +69,7 @@
     pub net: Net,
     pub processes: BTreeMap<u8, Process>,
     pub objects: BTreeMap<String, Stored>,
-    pub verdicts: Vec<(String, ClaimVerdict)>,
+    pub verdicts: Vec<(String, ClaimDecision)>,
     /// Writes of claims, the floor left out.
     pub writes: u64,
     /// Claims after which a part is full.
@@ -185,7 +185,7 @@
             return;
         };
         p.asked.insert(seq, key.to_owned());
-        p.inbox.push_back(Event::Ask(ClaimAsk {
+        p.inbox.push_back(Event::Ask(LookupClaim {
             seq,
             key: key.parse().expect("a key"),
             fingerprint: Fingerprint(7),
@@ -373,20 +373,20 @@
     }
 
     /// The oracle: a key is granted once at most, and never once it was called expired.
-    fn judge(&mut self, i: u8, seq: LookupSeq, verdict: ClaimVerdict) {
+    fn judge(&mut self, i: u8, seq: LookupSeq, verdict: ClaimDecision) {
         let p = self.processes.get_mut(&i).expect("a process");
         let key = p.asked.remove(&seq).expect("one verdict for an ask");
         let incarnation = p.incarnation;
         match verdict {
-            ClaimVerdict::Granted => {
+            ClaimDecision::Granted => {
                 assert!(self.granted.insert(key.clone()), "{key} is granted twice");
                 assert!(
                     !self.expired.contains(&key),
                     "{key} is granted once expired"
                 );
             }
-            ClaimVerdict::Expired => drop(self.expired.insert(key.clone())),
-            ClaimVerdict::Refused => {
+            ClaimDecision::Expired => drop(self.expired.insert(key.clone())),
+            ClaimDecision::Refused => {
                 let vm = vm(i);
                 let id = AskId {
                     vm,
@@ -396,7 +396,7 @@
                 assert!(!self.is_claimed(&id), "{id} is refused and claimed");
                 self.refused.insert(id);
             }
-            ClaimVerdict::Taken | ClaimVerdict::Unknown => {}
+            ClaimDecision::Taken | ClaimDecision::Unknown => {}
         }
         self.verdicts.push((key, verdict));
     }
--- a/crates/query/src/action.rs
+++ b/crates/query/src/action.rs
@@ -20,7 +20,7 @@
     /// against this VM's share of the server's connections.
     Cancel(AttemptId),
     /// Ask for the claim of an at-most-once lookup; answered by [`crate::Event::Claim`].
-    Claim(ClaimAsk),
+    Claim(LookupClaim),
     /// The final word to the caller of this lookup; sent once, and at once.
     Answer(LookupSeq, Outcome),
     /// Send [`crate::Event::Tick`] after this time at the latest; replaces the one asked before.
@@ -28,7 +28,7 @@
     /// Hold so many connections to a server open and idle-ready.
     Warm(ServerName, Connections),
     /// Tell every peer.
-    Spread(Sign),
+    Spread(Notice),
 }
 
 /// An attempt to hand to a backend server.
@@ -56,7 +56,7 @@
 
 /// A claim wanted before an at-most-once lookup is sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClaimAsk {
+pub struct LookupClaim {
     /// The lookup.
     pub seq: LookupSeq,
     /// The caller's key.
@@ -70,7 +70,7 @@
 /// A thing that every VM should know about a server or a lookup.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Sign {
+pub enum Notice {
     /// This run of a server takes no new work.
     Drain {
         /// The server.
--- a/crates/query/src/claim.rs
+++ b/crates/query/src/claim.rs
@@ -5,9 +5,9 @@
 use gs_types::prelude::*;
 
 use crate::action::Action;
-use crate::action::ClaimAsk;
+use crate::action::LookupClaim;
 use crate::core::Core;
-use crate::event::ClaimVerdict;
+use crate::event::ClaimDecision;
 use crate::finish::RETRY_AFTER;
 use crate::lookup::LookupRun;
 use crate::lookup::Phase;
@@ -18,7 +18,7 @@
         let Some(key) = lk.idempotency_key.clone() else {
             return;
         };
-        out.push(Action::Claim(ClaimAsk {
+        out.push(Action::Claim(LookupClaim {
             seq: lk.seq,
             key,
             fingerprint: lk.fingerprint,
@@ -35,7 +35,7 @@
         &mut self,
         now: Instant,
         lk: &mut LookupRun,
-        verdict: ClaimVerdict,
+        verdict: ClaimDecision,
         out: &mut Vec<Action>,
     ) {
         if lk.phase != Phase::Claiming {
@@ -43,14 +43,14 @@
         }
         let refusal = |reason, retry| Refusal::new(reason, retry);
         let outcome = match verdict {
-            ClaimVerdict::Granted => {
+            ClaimDecision::Granted => {
                 self.granted(now, lk, out);
                 return;
             }
-            ClaimVerdict::Taken => Outcome::Unknown(refusal(RefusalReason::AlreadyClaimed, None)),
-            ClaimVerdict::Expired => Outcome::Unknown(refusal(RefusalReason::KeyExpired, None)),
+            ClaimDecision::Taken => Outcome::Unknown(refusal(RefusalReason::AlreadyClaimed, None)),
+            ClaimDecision::Expired => Outcome::Unknown(refusal(RefusalReason::KeyExpired, None)),
             // Not made here; but whether an earlier submission made it cannot be read either.
-            ClaimVerdict::Refused | ClaimVerdict::Unknown => {
+            ClaimDecision::Refused | ClaimDecision::Unknown => {
                 Outcome::Unknown(refusal(RefusalReason::ClaimsAway, Some(RETRY_AFTER)))
             }
         };
--- a/crates/query/src/core.rs
+++ b/crates/query/src/core.rs
@@ -21,7 +21,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::action::Action;
-use crate::action::Sign;
+use crate::action::Notice;
 use crate::attempt::AttemptEvent;
 use crate::attempt::AttemptState;
 use crate::attempt::attempt_chart;
@@ -200,7 +200,7 @@
             "event=suspect fingerprint={fingerprint} crashes={crashes} rest_ms={}",
             rest.as_millis()
         );
-        out.push(Action::Spread(Sign::Quarantine {
+        out.push(Action::Spread(Notice::Quarantine {
             fingerprint,
             crashes,
             rest,
--- a/crates/query/src/event.rs
+++ b/crates/query/src/event.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use smallvec::SmallVec;
 
-use crate::action::Sign;
+use crate::action::Notice;
 
 /// One input of the engine; a trace is a list of these with their times.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -21,13 +21,13 @@
     /// What a server's health and load endpoint says, a hint only.
     Report(ServerReport),
     /// A drain or quarantine, from a peer or from the platform's list.
-    Sign(Sign, SignSource),
+    Sign(Notice, NoticeSource),
     /// How many connections this VM may hold open to each server from now on.
     Shares(Vec<(ServerName, Connections)>),
     /// A caller's lookup arrived.
     Arrive(Arrival),
     /// The claim asked for by [`crate::Action::Claim`] is decided.
-    Claim(LookupSeq, ClaimVerdict),
+    Claim(LookupSeq, ClaimDecision),
     /// An attempt is about to put its first byte on a connection: the point of no return.
     Sent(AttemptId),
     /// An attempt ended. Each [`crate::Action::Dispatch`] gets exactly one, also after a cancel;
@@ -57,7 +57,7 @@
 /// The decision about an at-most-once lookup's claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum ClaimVerdict {
+pub enum ClaimDecision {
     /// This lookup, and no other with its key ever, may be sent.
     Granted,
     /// The key was claimed before; whether that run was sent is not known here.
@@ -130,7 +130,7 @@
 /// Where a sign came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum SignSource {
+pub enum NoticeSource {
     /// Another VM's gossip.
     Peer,
     /// The platform's list.
--- a/crates/query/src/signs.rs
+++ b/crates/query/src/signs.rs
@@ -7,26 +7,26 @@
 use gs_types::prelude::*;
 
 use crate::action::Action;
-use crate::action::Sign;
+use crate::action::Notice;
 use crate::core::Core;
 use crate::engine::Engine;
-use crate::event::SignSource;
+use crate::event::NoticeSource;
 
 impl Engine {
     /// Takes in a sign of which another VM or the platform told.
     pub(crate) fn sign(
         &mut self,
         now: Instant,
-        sign: Sign,
-        source: SignSource,
+        sign: Notice,
+        source: NoticeSource,
         out: &mut Vec<Action>,
     ) {
         match sign {
-            Sign::Drain {
+            Notice::Drain {
                 server,
                 incarnation,
             } => self.drain(&server, incarnation, source, out),
-            Sign::Quarantine {
+            Notice::Quarantine {
                 fingerprint,
                 crashes,
                 rest,
@@ -38,7 +38,7 @@
         &mut self,
         server: &ServerName,
         incarnation: Option<Incarnation>,
-        source: SignSource,
+        source: NoticeSource,
         out: &mut Vec<Action>,
     ) {
         let core = &mut self.core;
@@ -51,8 +51,8 @@
         }
         match source {
             // The peer that saw it first told everyone.
-            SignSource::Peer => core.drained(idx, "peer", false, out),
-            SignSource::Platform => core.drained(idx, "platform", true, out),
+            NoticeSource::Peer => core.drained(idx, "peer", false, out),
+            NoticeSource::Platform => core.drained(idx, "platform", true, out),
         }
     }
 
@@ -96,7 +96,7 @@
         let incarnation = view.incarnation();
         log::info!("event=drain server={server} source={source}");
         if spread {
-            out.push(Action::Spread(Sign::Drain {
+            out.push(Action::Spread(Notice::Drain {
                 server: server.clone(),
                 incarnation,
             }));
--- a/crates/query/tests/engine/coverage.rs
+++ b/crates/query/tests/engine/coverage.rs
@@ -96,11 +96,11 @@
 fn a_complete_lookup_is_not_begun_while_a_shard_has_no_replica() {
     let mut w = World::new(3, 1);
     w.on(Event::Sign(
-        gs_query::Sign::Drain {
+        gs_query::Notice::Drain {
             server: server(1, 0),
             incarnation: None,
         },
-        gs_query::SignSource::Peer,
+        gs_query::NoticeSource::Peer,
     ));
     let seq = w.arrive("complete");
     let Outcome::NotRun(r) = w.outcome(seq) else {
@@ -119,11 +119,11 @@
 fn an_urgent_lookup_goes_on_without_a_shard_that_has_no_replica() {
     let mut w = World::new(3, 1);
     w.on(Event::Sign(
-        gs_query::Sign::Drain {
+        gs_query::Notice::Drain {
             server: server(1, 0),
             incarnation: None,
         },
-        gs_query::SignSource::Peer,
+        gs_query::NoticeSource::Peer,
     ));
     let seq = w.arrive("urgent");
     w.serve_all();
--- a/crates/query/tests/engine/drain.rs
+++ b/crates/query/tests/engine/drain.rs
@@ -2,9 +2,9 @@
 
 use gs_query::EngineOptions;
 use gs_query::Event;
+use gs_query::Notice;
+use gs_query::NoticeSource;
 use gs_query::PartReply;
-use gs_query::Sign;
-use gs_query::SignSource;
 use gs_types::prelude::*;
 use rstest::rstest;
 
@@ -25,11 +25,11 @@
 }
 
 fn sign(w: &mut World, incarnation: Option<u64>) {
-    let sign = Sign::Drain {
+    let sign = Notice::Drain {
         server: server(0, 0),
         incarnation: incarnation.map(Incarnation),
     };
-    w.on(Event::Sign(sign, SignSource::Peer));
+    w.on(Event::Sign(sign, NoticeSource::Peer));
 }
 
 /// The server that the next lookup goes to; it is answered.
@@ -87,7 +87,7 @@
     for _ in 0..20 {
         assert_eq!(next_server(&mut w), server(0, 1));
     }
-    let told = Sign::Drain {
+    let told = Notice::Drain {
         server: server(0, 0),
         incarnation: Some(Incarnation(1)),
     };
@@ -141,11 +141,11 @@
     let mut w = World::new(1, 1);
     let seqs: Vec<_> = (0..3).map(|_| w.arrive("complete")).collect();
     w.on(Event::Sign(
-        Sign::Drain {
+        Notice::Drain {
             server: server(0, 0),
             incarnation: None,
         },
-        SignSource::Platform,
+        NoticeSource::Platform,
     ));
     let Outcome::NotRun(r) = w.outcome(seqs[2]) else {
         panic!("{:?}", w.answers);
@@ -159,11 +159,11 @@
 #[test]
 fn a_drain_told_before_the_server_is_declared_counts() {
     let mut w = World::with(EngineOptions::default(), &group(1, 2, &[(1, 1)]));
-    let sign = Sign::Drain {
+    let sign = Notice::Drain {
         server: server(1, 0),
         incarnation: Some(Incarnation(3)),
     };
-    w.on(Event::Sign(sign, SignSource::Peer));
+    w.on(Event::Sign(sign, NoticeSource::Peer));
     let map = group(2, 2, &[(1, 2)]);
     w.on(Event::Group(std::sync::Arc::new(map)));
     for _ in 0..4 {
@@ -187,18 +187,18 @@
     let drained = d.server.name.clone();
     w.on(Event::Report(report(drained.clone(), 1, &[1])));
     w.on(Event::Report(report(drained.clone(), 2, &[1])));
-    let sign = Sign::Drain {
+    let sign = Notice::Drain {
         server: drained.clone(),
         incarnation: None,
     };
-    w.on(Event::Sign(sign, SignSource::Peer));
+    w.on(Event::Sign(sign, NoticeSource::Peer));
     // The other replica goes too, so that nothing else can keep work away from this one.
     let other = (0..2).map(|r| server(0, r)).find(|s| *s != drained);
-    let sign = Sign::Drain {
+    let sign = Notice::Drain {
         server: other.expect("another replica"),
         incarnation: Some(Incarnation(1)),
     };
-    w.on(Event::Sign(sign, SignSource::Peer));
+    w.on(Event::Sign(sign, NoticeSource::Peer));
     w.arrive("urgent");
     assert!(w.open.is_empty());
 }
--- a/crates/query/tests/engine/fuzz/drains.rs
+++ b/crates/query/tests/engine/fuzz/drains.rs
@@ -4,8 +4,8 @@
 
 use gs_query::Action;
 use gs_query::Event;
+use gs_query::Notice;
 use gs_query::PartReply;
-use gs_query::Sign;
 use gs_types::prelude::*;
 
 use super::Oracle;
@@ -87,7 +87,7 @@
     fn before(&mut self, _: u64, event: &Event) {
         match event {
             Event::Sign(
-                Sign::Drain {
+                Notice::Drain {
                     server,
                     incarnation,
                 },
--- a/crates/query/tests/engine/fuzz/driver.rs
+++ b/crates/query/tests/engine/fuzz/driver.rs
@@ -11,9 +11,9 @@
 use gs_query::Engine;
 use gs_query::EngineOptions;
 use gs_query::Event;
+use gs_query::Notice;
+use gs_query::NoticeSource;
 use gs_query::PartReply;
-use gs_query::Sign;
-use gs_query::SignSource;
 use gs_types::prelude::*;
 
 use super::Oracle;
@@ -391,21 +391,21 @@
         let Some(run) = told.copied() else {
             return;
         };
-        let sign = Sign::Drain {
+        let sign = Notice::Drain {
             server: name,
             incarnation: named.then_some(Incarnation(run)),
         };
-        self.on(Event::Sign(sign, SignSource::Peer), oracle);
+        self.on(Event::Sign(sign, NoticeSource::Peer), oracle);
     }
 
     fn quarantine<O: Oracle>(&mut self, query: usize, crashes: u32, rest: u64, oracle: &mut O) {
         let req = World::request("urgent", QUERIES[query % QUERIES.len()]);
-        let sign = Sign::Quarantine {
+        let sign = Notice::Quarantine {
             fingerprint: req.fingerprint(),
             crashes,
             rest: Duration::from_millis(rest),
         };
-        self.on(Event::Sign(sign, SignSource::Peer), oracle);
+        self.on(Event::Sign(sign, NoticeSource::Peer), oracle);
     }
 
     /// A new snapshot with another count of shards; the oldest of three is taken off the map.
--- a/crates/query/tests/engine/fuzz/outcomes.rs
+++ b/crates/query/tests/engine/fuzz/outcomes.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use gs_query::Action;
-use gs_query::ClaimVerdict;
+use gs_query::ClaimDecision;
 use gs_query::Event;
 use gs_query::PartReply;
 use gs_types::prelude::*;
@@ -139,7 +139,7 @@
     fn before(&mut self, at: u64, event: &Event) {
         match event {
             Event::Arrive(a) => self.arrive(at, a.seq, &a.req),
-            Event::Claim(seq, ClaimVerdict::Granted) => {
+            Event::Claim(seq, ClaimDecision::Granted) => {
                 self.lookups.get_mut(seq).expect("a lookup").is_granted = true;
             }
             Event::Sent(id) => self.sent(id),
--- a/crates/query/tests/engine/fuzz/step.rs
+++ b/crates/query/tests/engine/fuzz/step.rs
@@ -1,6 +1,6 @@
 //! The steps that a fuzzer takes.
 
-use gs_query::ClaimVerdict;
+use gs_query::ClaimDecision;
 use proptest::prelude::*;
 use proptest::strategy::BoxedStrategy;
 
@@ -30,7 +30,7 @@
     },
     Claim {
         pick: usize,
-        verdict: ClaimVerdict,
+        verdict: ClaimDecision,
     },
     /// An open attempt passes the point of no return.
     Sent(usize),
@@ -100,13 +100,13 @@
     ]
 }
 
-fn verdict() -> impl Strategy<Value = ClaimVerdict> {
+fn verdict() -> impl Strategy<Value = ClaimDecision> {
     prop_oneof![
-        6 => Just(ClaimVerdict::Granted),
-        1 => Just(ClaimVerdict::Taken),
-        1 => Just(ClaimVerdict::Expired),
-        1 => Just(ClaimVerdict::Refused),
-        1 => Just(ClaimVerdict::Unknown),
+        6 => Just(ClaimDecision::Granted),
+        1 => Just(ClaimDecision::Taken),
+        1 => Just(ClaimDecision::Expired),
+        1 => Just(ClaimDecision::Refused),
+        1 => Just(ClaimDecision::Unknown),
     ]
 }
 
--- a/crates/query/tests/engine/once.rs
+++ b/crates/query/tests/engine/once.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use gs_query::ClaimVerdict;
+use gs_query::ClaimDecision;
 use gs_query::Event;
 use gs_query::PartReply;
 use gs_types::prelude::*;
@@ -17,7 +17,7 @@
     let seq = w.arrive("levy");
     assert!(w.open.is_empty(), "sent before the claim");
     assert_eq!(w.claims, [seq]);
-    w.on(Event::Claim(seq, ClaimVerdict::Granted));
+    w.on(Event::Claim(seq, ClaimDecision::Granted));
     (w, seq)
 }
 
@@ -33,12 +33,12 @@
 /// Without the claim nobody knows whether an earlier submission under the key has run, so none of
 /// these refusals may say `not-run`: the caller would mint a new key and pay twice.
 #[rstest]
-#[case(ClaimVerdict::Taken, RefusalReason::AlreadyClaimed, false)]
-#[case(ClaimVerdict::Expired, RefusalReason::KeyExpired, false)]
-#[case(ClaimVerdict::Unknown, RefusalReason::ClaimsAway, true)]
-#[case(ClaimVerdict::Refused, RefusalReason::ClaimsAway, true)]
+#[case(ClaimDecision::Taken, RefusalReason::AlreadyClaimed, false)]
+#[case(ClaimDecision::Expired, RefusalReason::KeyExpired, false)]
+#[case(ClaimDecision::Unknown, RefusalReason::ClaimsAway, true)]
+#[case(ClaimDecision::Refused, RefusalReason::ClaimsAway, true)]
 fn without_a_granted_claim_nothing_is_sent(
-    #[case] verdict: ClaimVerdict,
+    #[case] verdict: ClaimDecision,
     #[case] reason: RefusalReason,
     #[case] retry: bool,
 ) {
@@ -129,7 +129,7 @@
         panic!("{:?}", w.answers);
     };
     assert_eq!(r.reason, RefusalReason::ClaimsAway);
-    w.on(Event::Claim(seq, ClaimVerdict::Granted));
+    w.on(Event::Claim(seq, ClaimDecision::Granted));
     assert!(w.open.is_empty());
 }
 
--- a/crates/query/tests/engine/poison/canary.rs
+++ b/crates/query/tests/engine/poison/canary.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use gs_query::Event;
+use gs_query::Notice;
+use gs_query::NoticeSource;
 use gs_query::PartReply;
-use gs_query::Sign;
-use gs_query::SignSource;
 use gs_types::prelude::*;
 
 use super::crash;
@@ -36,7 +36,7 @@
         panic!("{:?}", w.answers);
     };
     assert_eq!(r.reason, RefusalReason::Quarantined);
-    let told = |crashes, rest| Sign::Quarantine {
+    let told = |crashes, rest| Notice::Quarantine {
         fingerprint: fingerprint("urgent"),
         crashes,
         rest,
@@ -91,7 +91,7 @@
     assert!(w.answer(seq).coverage.is_full());
     assert!(matches!(
         w.spread.last(),
-        Some(Sign::Quarantine { crashes: 0, .. })
+        Some(Notice::Quarantine { crashes: 0, .. })
     ));
     assert!(w.engine.dump(w.now).suspects.is_empty());
 }
@@ -145,11 +145,11 @@
     quarantine(&mut w, 2, Duration::from_secs(30));
     for s in (0..6).filter(|s| *s != 4) {
         w.on(Event::Sign(
-            Sign::Drain {
+            Notice::Drain {
                 server: server(s, 0),
                 incarnation: None,
             },
-            SignSource::Peer,
+            NoticeSource::Peer,
         ));
     }
     w.arrive_with(World::request("urgent", "variant"));
--- a/crates/query/tests/engine/poison/fleet.rs
+++ b/crates/query/tests/engine/poison/fleet.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use gs_query::Event;
+use gs_query::NoticeSource;
 use gs_query::PartReply;
-use gs_query::SignSource;
 use gs_types::prelude::*;
 
 use super::crash;
@@ -30,7 +30,7 @@
             for sign in std::mem::take(&mut self.vms[n].spread) {
                 for (other, w) in self.vms.iter_mut().enumerate() {
                     if other != n {
-                        w.on(Event::Sign(sign.clone(), SignSource::Peer));
+                        w.on(Event::Sign(sign.clone(), NoticeSource::Peer));
                     }
                 }
             }
--- a/crates/query/tests/engine/poison/mod.rs
+++ b/crates/query/tests/engine/poison/mod.rs
@@ -9,9 +9,9 @@
 
 use gs_query::Dispatch;
 use gs_query::Event;
+use gs_query::Notice;
+use gs_query::NoticeSource;
 use gs_query::PartReply;
-use gs_query::Sign;
-use gs_query::SignSource;
 use gs_types::prelude::*;
 
 use crate::world::World;
@@ -21,12 +21,12 @@
 }
 
 fn quarantine(w: &mut World, crashes: u32, rest: Duration) {
-    let sign = Sign::Quarantine {
+    let sign = Notice::Quarantine {
         fingerprint: fingerprint("urgent"),
         crashes,
         rest,
     };
-    w.on(Event::Sign(sign, SignSource::Peer));
+    w.on(Event::Sign(sign, NoticeSource::Peer));
 }
 
 /// Breaks an attempt as a crash does.
--- a/crates/query/tests/engine/poison/together.rs
+++ b/crates/query/tests/engine/poison/together.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use gs_query::Event;
+use gs_query::Notice;
+use gs_query::NoticeSource;
 use gs_query::PartReply;
-use gs_query::Sign;
-use gs_query::SignSource;
 use gs_types::prelude::*;
 
 use super::crash;
@@ -40,11 +40,11 @@
     let mut w = World::new(4, 2);
     // Without its near replica, shard 1 is asked in the other data centre.
     w.on(Event::Sign(
-        Sign::Drain {
+        Notice::Drain {
             server: server(1, 0),
             incarnation: None,
         },
-        SignSource::Peer,
+        NoticeSource::Peer,
     ));
     let seq = w.arrive("complete");
     let (near, far) = (w.take(0), w.take(1));
@@ -71,11 +71,11 @@
 fn breaks_found_after_the_deadline_convict_nobody() {
     let mut w = World::new(4, 2);
     w.on(Event::Sign(
-        Sign::Drain {
+        Notice::Drain {
             server: server(1, 0),
             incarnation: None,
         },
-        SignSource::Peer,
+        NoticeSource::Peer,
     ));
     let seq = w.arrive("complete");
     let open = std::mem::take(&mut w.open);
--- a/crates/query/tests/engine/snapshot.rs
+++ b/crates/query/tests/engine/snapshot.rs
@@ -179,12 +179,12 @@
 #[test]
 fn a_restart_on_fewer_shards_ends_the_fan_out_of_the_old_snapshot() {
     let mut w = World::with(EngineOptions::default(), &group(1, 2, &[(1, 2), (2, 5)]));
-    let sign = gs_query::Sign::Quarantine {
+    let sign = gs_query::Notice::Quarantine {
         fingerprint: Fingerprint(9),
         crashes: 2,
         rest: Duration::from_secs(5),
     };
-    w.on(Event::Sign(sign, gs_query::SignSource::Peer));
+    w.on(Event::Sign(sign, gs_query::NoticeSource::Peer));
     let seq = w.arrive("urgent");
     let canary = w.open.remove(0);
     assert_eq!((canary.snapshot, w.open.len()), (SnapshotId(2), 0));
--- a/crates/query/tests/engine/world.rs
+++ b/crates/query/tests/engine/world.rs
@@ -151,7 +151,7 @@
     pub cancelled: Vec<AttemptId>,
     pub answers: Vec<(LookupSeq, Outcome)>,
     pub claims: Vec<LookupSeq>,
-    pub spread: Vec<gs_query::Sign>,
+    pub spread: Vec<gs_query::Notice>,
     next: u64,
 }
 
--- a/crates/trace/src/promises/drains.rs
+++ b/crates/trace/src/promises/drains.rs
@@ -5,9 +5,9 @@
 
 use gs_query::Action;
 use gs_query::Event;
+use gs_query::Notice;
 use gs_query::PartReply;
 use gs_query::ServerReport;
-use gs_query::Sign;
 use gs_types::prelude::*;
 
 use super::DRAIN_GRACE;
@@ -35,7 +35,7 @@
         match &step.event {
             Event::Report(r) => self.report(step.at, r),
             Event::Sign(
-                Sign::Drain {
+                Notice::Drain {
                     server,
                     incarnation,
                 },
--- a/crates/trace/src/promises/lookups.rs
+++ b/crates/trace/src/promises/lookups.rs
@@ -6,7 +6,7 @@
 
 use gs_query::Action;
 use gs_query::Arrival;
-use gs_query::ClaimVerdict;
+use gs_query::ClaimDecision;
 use gs_query::Dispatch;
 use gs_query::Event;
 use gs_query::PartReply;
@@ -65,7 +65,7 @@
             Event::Arrive(a) => self.arrive(step.at, a),
             Event::Claim(seq, verdict) => {
                 if let Some(l) = self.seen.get_mut(seq) {
-                    l.granted |= *verdict == ClaimVerdict::Granted;
+                    l.granted |= *verdict == ClaimDecision::Granted;
                 }
             }
             Event::Sent(id) => self.sent(id)?,
--- a/crates/trace/src/script/specs.rs
+++ b/crates/trace/src/script/specs.rs
@@ -4,9 +4,9 @@
 
 use gs_query::Arrival;
 use gs_query::Event;
+use gs_query::Notice;
+use gs_query::NoticeSource;
 use gs_query::ServerReport;
-use gs_query::Sign;
-use gs_query::SignSource;
 use gs_types::prelude::*;
 use serde::Deserialize;
 
@@ -78,12 +78,12 @@
 pub(super) struct DrainSpec {
     server: ServerName,
     incarnation: Option<Incarnation>,
-    from: SignSource,
+    from: NoticeSource,
 }
 
 impl DrainSpec {
     pub(super) fn build(&self) -> Event {
-        let sign = Sign::Drain {
+        let sign = Notice::Drain {
             server: self.server.clone(),
             incarnation: self.incarnation,
         };
@@ -105,12 +105,12 @@
 
 impl QuarantineSpec {
     pub(super) fn build(&self, s: &Script) -> Event {
-        let sign = Sign::Quarantine {
+        let sign = Notice::Quarantine {
             fingerprint: request(s, &self.lookup, &self.query).fingerprint(),
             crashes: self.crashes,
             rest: self.rest,
         };
-        Event::Sign(sign, SignSource::Peer)
+        Event::Sign(sign, NoticeSource::Peer)
     }
 }
 
--- a/crates/trace/src/script/step.rs
+++ b/crates/trace/src/script/step.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gs_query::ClaimVerdict;
+use gs_query::ClaimDecision;
 use gs_query::Event;
 use gs_types::prelude::*;
 use serde::Deserialize;
@@ -35,7 +35,7 @@
     drain: Option<DrainSpec>,
     quarantine: Option<QuarantineSpec>,
     arrive: Option<ArriveSpec>,
-    claim: Option<(LookupSeq, ClaimVerdict)>,
+    claim: Option<(LookupSeq, ClaimDecision)>,
     sent: Option<Vec<String>>,
     reply: Option<ReplySpec>,
     gone: Option<LookupSeq>,
