--- a/crates/query/src/action.rs
+++ b/crates/query/src/action.rs
@@ -1,4 +1,4 @@
-//! What the engine asks its shell to do.
+//! The engine's outputs, carried out by its I/O driver (shell).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,78 +11,80 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
-    /// Hand an attempt to a backend server.
+    /// Dispatch an attempt to a backend server.
     Dispatch(Dispatch),
-    /// Stop an attempt; if it was sent, tell the server and close or drain its connection.
+    /// Stop an attempt; if it was sent, cancel it at the server and close or drain its connection.
     ///
-    /// The shell still ends it with one [`crate::Event::Reply`]: `NotSent` if it never left, else
-    /// `Cancelled` once its connection is closed or free again. Until then the attempt counts
+    /// The driver still ends it with one [`crate::Event::Reply`]: `NotSent` if no byte was sent,
+    /// else `Cancelled` once its connection is closed or free again. Until then the attempt counts
     /// against this VM's share of the server's connections.
     Cancel(AttemptId),
-    /// Ask for the claim of an at-most-once lookup; answered by [`crate::Event::Claim`].
+    /// Request the claim of an at-most-once lookup; answered by [`crate::Event::Claim`].
     Claim(LookupClaim),
-    /// The final word to the caller of this lookup; sent once, and at once.
+    /// Send the final response of this lookup to its caller, immediately; emitted at most once per
+    /// lookup.
     Answer(LookupSeq, Outcome),
-    /// Send [`crate::Event::Tick`] after this time at the latest; replaces the one asked before.
+    /// Send [`crate::Event::Tick`] after this time at the latest; replaces the previous request.
     Wake(Duration),
-    /// Hold so many connections to a server open and idle-ready.
+    /// Keep the given number of connections to a server open and ready.
     Warm(ServerName, Connections),
-    /// Tell every peer.
+    /// Send a notice to every peer VM.
     Spread(Notice),
 }
 
-/// An attempt to hand to a backend server.
+/// An attempt to dispatch to a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Dispatch {
-    /// Its id, to be echoed.
+    /// The attempt's id, which the server echoes in its reply.
     pub attempt: AttemptId,
     /// The server.
     pub server: Arc<ServerDecl>,
-    /// The pinned snapshot.
+    /// The snapshot that the lookup is pinned to.
     pub snapshot: SnapshotId,
     /// The text to search for.
     pub query: Arc<str>,
-    /// For a keyed lookup, the key.
+    /// The key of a keyed lookup.
     pub key: Option<Arc<str>>,
-    /// The most hits wanted.
+    /// The maximum number of hits to return.
     pub page: u32,
-    /// The time left for this attempt; handed to the server too.
+    /// The time left for this attempt; also sent to the server.
     pub budget: Duration,
-    /// Whether the server must run it at most once: no resend by the shell for any reason.
+    /// Whether the server must execute it at most once: the driver must never resend it.
     pub once: bool,
-    /// For an at-most-once lookup, the caller's key, so that a server can tell runs apart.
+    /// The caller's idempotency key of an at-most-once lookup, by which a server recognises
+    /// repeated executions.
     pub idempotency_key: Option<IdempotencyKey>,
 }
 
-/// A claim wanted before an at-most-once lookup is sent.
+/// A request for the claim that an at-most-once lookup needs before it is sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LookupClaim {
     /// The lookup.
     pub seq: LookupSeq,
-    /// The caller's key.
+    /// The caller's idempotency key.
     pub key: IdempotencyKey,
-    /// What the lookup asks; the same key with another fingerprint is refused all the same.
+    /// The fingerprint of the request; a key that is claimed is refused for other fingerprints too.
     pub fingerprint: Fingerprint,
-    /// The time in which an answer is of use.
+    /// The time within which the decision is of use.
     pub budget: Duration,
 }
 
-/// A thing that every VM should know about a server or a lookup.
+/// A drain or quarantine that VMs announce to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Notice {
-    /// This run of a server takes no new work.
+    /// This incarnation of a server accepts no new work.
     Drain {
         /// The server.
         server: ServerName,
-        /// The run that is draining; `None` if not known.
+        /// The incarnation that is draining; `None` if not known.
         incarnation: Option<Incarnation>,
     },
-    /// This lookup is suspected of crashing servers, or known to; with 0 crashes it is cleared.
+    /// This lookup is suspected of crashing servers, or quarantined for it; 0 crashes clears it.
     Quarantine {
         /// The lookup's fingerprint.
         fingerprint: Fingerprint,
-        /// Servers that broke while they ran it, as far as is known.
+        /// The number of servers known to have crashed while they executed it.
         crashes: u32,
         /// How long to refuse it from now; zero while it is only suspected.
         rest: Duration,
--- a/crates/query/src/arrive.rs
+++ b/crates/query/src/arrival.rs
@@ -1,4 +1,4 @@
-//! A lookup's arrival, and the claim of an at-most-once one.
+//! Admits or rejects arriving lookups and starts those admitted.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,42 +14,42 @@
 
 use crate::action::Action;
 use crate::core::Core;
+use crate::crash_suspects::SuspectStatus;
 use crate::event::Arrival;
 use crate::finish::RETRY_AFTER;
-use crate::finish::by_key;
-use crate::lookup::LookupRun;
+use crate::finish::not_run_outcome;
+use crate::lookup::ActiveLookup;
 use crate::lookup::Phase;
-use crate::suspects::Standing;
 
-/// The part of a deadline kept back for merging and sending the answer.
-const MARGIN_PART: u32 = 20;
+/// The divisor of a lookup's time budget that gives the margin for merging and sending the answer.
+const ANSWER_MARGIN_DIVISOR: u32 = 20;
 
-/// The least and the most of it.
-const MARGIN_MIN: Duration = Duration::from_millis(1);
-const MARGIN_MAX: Duration = Duration::from_millis(5);
+/// The bounds of that margin.
+const ANSWER_MARGIN_MIN: Duration = Duration::from_millis(1);
+const ANSWER_MARGIN_MAX: Duration = Duration::from_millis(5);
 
-/// When a caller may ask again that met a VM which is leaving or not ready: at once, another VM.
-const ELSEWHERE: Duration = Duration::from_millis(50);
+/// When a caller may retry if this VM is leaving or not ready; another VM can accept it at once.
+const OTHER_VM_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// Why a lookup is not begun.
+/// The refusal of a lookup that is not started.
 type Refused = Refusal;
 
 impl Core {
-    /// Takes a lookup on, or refuses it at once; `None` if it has ended already.
-    pub(crate) fn arrive(
+    /// Admits a lookup or refuses it at once; returns `None` if it has already ended.
+    pub(crate) fn on_arrival(
         &mut self,
         now: Instant,
         arrival: Arrival,
         out: &mut Vec<Action>,
-    ) -> Option<Box<LookupRun>> {
+    ) -> Option<Box<ActiveLookup>> {
         self.counters.arrived += 1;
         let seq = arrival.seq;
         let has_key = arrival.req.idempotency_key.is_some();
-        let mut lk = match self.take_on(now, arrival) {
+        let mut lk = match self.admit(now, arrival) {
             Ok(lk) => Box::new(lk),
             Err(refusal) => {
-                let outcome = by_key(has_key, false, refusal);
-                self.counters.ended(&outcome);
+                let outcome = not_run_outcome(has_key, false, refusal);
+                self.counters.count_outcome(&outcome);
                 out.push(Action::Answer(seq, outcome));
                 return None;
             }
@@ -57,33 +57,33 @@
         let answer_by = lk.answer_by;
         self.arm(&mut lk, answer_by);
         if lk.is_once() {
-            self.suspects.test(now, lk.fingerprint, seq);
-            self.ask_claim(now, &lk, out);
+            self.crash_suspects.assign_canary(now, lk.fingerprint, seq);
+            self.request_claim(now, &lk, out);
         } else {
             self.begin(now, &mut lk, out);
         }
         (!lk.is_done).then_some(lk)
     }
 
-    fn take_on(&mut self, now: Instant, arrival: Arrival) -> Result<LookupRun, Refused> {
+    fn admit(&mut self, now: Instant, arrival: Arrival) -> Result<ActiveLookup, Refused> {
         let Arrival { seq, req } = arrival;
         let decl = self.find_decl(&req)?;
-        check_form(&decl, &req)?;
+        check_request(&decl, &req)?;
         let fingerprint = req.fingerprint();
-        let canary_first = self.check_suspicion(now, fingerprint)?;
+        let needs_canary = self.check_suspicion(now, fingerprint)?;
         let group = self.find_group(&decl)?;
         let view = &mut self.groups[group].view;
         let pin = view
             .pin(&self.servers, req.floor, None)
             .ok_or_else(|| Refusal::new(RefusalReason::NoSnapshot, Some(RETRY_AFTER)))?;
         let budget = req.deadline.map_or(decl.deadline, |d| d.min(decl.deadline));
-        let margin = (budget / MARGIN_PART).clamp(MARGIN_MIN, MARGIN_MAX);
+        let margin = (budget / ANSWER_MARGIN_DIVISOR).clamp(ANSWER_MARGIN_MIN, ANSWER_MARGIN_MAX);
         let answer_by = now + budget.saturating_sub(margin);
         let phase = match decl.promise {
             Promise::AtMostOnce => Phase::Claiming,
             Promise::Urgent | Promise::Complete => Phase::Running,
         };
-        let mut lk = LookupRun {
+        let mut lk = ActiveLookup {
             seq,
             decl,
             group,
@@ -91,15 +91,15 @@
             key: req.key,
             idempotency_key: req.idempotency_key,
             fingerprint,
-            floor: req.floor,
+            snapshot_min: req.floor,
             arrived: now,
             answer_by,
             phase,
             snapshot: Arc::clone(&pin.snapshot),
             shards: Vec::new(),
             held_until: None,
-            canary_first,
-            first_number: 0,
+            needs_canary,
+            first_attempt_number: 0,
             whole: 0,
             missing: 0,
             hits: 0,
@@ -108,25 +108,31 @@
             was_granted: false,
             is_proven: false,
             is_congested: false,
-            extra: 0,
+            extra_attempts: 0,
             restarts: 0,
             timer: None,
             wants_restart: false,
-            is_gone: false,
+            is_caller_disconnected: false,
             is_done: false,
         };
         lk.pin(Arc::clone(&pin.snapshot));
-        self.check_reach(now, &lk, &pin)?;
+        self.check_shards_reachable(now, &lk, &pin)?;
         self.check_admission(now, &lk)?;
         Ok(lk)
     }
 
     fn find_decl(&self, req: &LookupRequest) -> Result<Arc<Lookup>, Refused> {
         if self.is_leaving {
-            return Err(Refusal::new(RefusalReason::Leaving, Some(ELSEWHERE)));
+            return Err(Refusal::new(
+                RefusalReason::Leaving,
+                Some(OTHER_VM_RETRY_AFTER),
+            ));
         }
         if self.config.is_none() {
-            return Err(Refusal::new(RefusalReason::NotReady, Some(ELSEWHERE)));
+            return Err(Refusal::new(
+                RefusalReason::NotReady,
+                Some(OTHER_VM_RETRY_AFTER),
+            ));
         }
         self.decls
             .get(&(req.front.clone(), req.lookup.clone()))
@@ -134,12 +140,14 @@
             .ok_or_else(|| Refusal::new(RefusalReason::NoSuchLookup, None))
     }
 
-    /// Refuses a quarantined lookup; tells whether a suspect must show one server alone first.
+    /// Refuses a quarantined lookup; returns whether a suspect must send a canary first.
     fn check_suspicion(&self, now: Instant, fp: Fingerprint) -> Result<bool, Refused> {
-        match self.suspects.standing(now, fp) {
-            Standing::Clear => Ok(false),
-            Standing::Canary => Ok(true),
-            Standing::Refused(rest) => Err(Refusal::new(RefusalReason::Quarantined, Some(rest))),
+        match self.crash_suspects.status(now, fp) {
+            SuspectStatus::Clear => Ok(false),
+            SuspectStatus::Canary => Ok(true),
+            SuspectStatus::Refused(retry) => {
+                Err(Refusal::new(RefusalReason::Quarantined, Some(retry)))
+            }
         }
     }
 
@@ -150,16 +158,21 @@
             .ok_or_else(|| Refusal::new(RefusalReason::NoSnapshot, Some(RETRY_AFTER)))
     }
 
-    /// Refuses a lookup that needs every shard while one has no replica, or none that answers.
-    fn check_reach(&self, now: Instant, lk: &LookupRun, pin: &Pin) -> Result<(), Refused> {
+    /// Refuses a lookup that needs every shard while one has no replica or none that responds.
+    fn check_shards_reachable(
+        &self,
+        now: Instant,
+        lk: &ActiveLookup,
+        pin: &Pin,
+    ) -> Result<(), Refused> {
         let needs_all = lk.decl.promise != Promise::Urgent || lk.decl.scope == Scope::Keyed;
         if !needs_all {
             return Ok(());
         }
         let is_thin = pin.readiness == Readiness::Thin;
         let shards = lk.shards.iter().enumerate();
-        let missing = shards.filter_map(|(at, shard)| {
-            let reason = self.out_of_reach(now, lk, at)?;
+        let missing = shards.filter_map(|(pos, shard)| {
+            let reason = self.unavailable_reason(now, lk, pos)?;
             let counts = is_thin || reason != MissReason::NoReplica;
             counts.then_some(MissingShard {
                 shard: shard.id,
@@ -176,42 +189,48 @@
         })
     }
 
-    /// Why a shard cannot be answered now; `None` if it may be.
-    fn out_of_reach(&self, now: Instant, lk: &LookupRun, at: usize) -> Option<MissReason> {
+    /// Returns why a shard cannot answer now, or `None` if it may.
+    fn unavailable_reason(
+        &self,
+        now: Instant,
+        lk: &ActiveLookup,
+        pos: usize,
+    ) -> Option<MissReason> {
         let is_eligible = |s: &&ServerIdx| self.servers.view(**s).is_eligible(lk.snapshot.id);
-        let mut eligible = lk.replicas(at).iter().filter(is_eligible).peekable();
+        let mut eligible = lk.replicas(pos).iter().filter(is_eligible).peekable();
         if eligible.peek().is_none() {
             return Some(MissReason::NoReplica);
         }
-        let are_lost = eligible.all(|s| self.servers.is_lost(now, *s));
-        are_lost.then_some(MissReason::Late)
+        let are_unresponsive = eligible.all(|s| self.servers.is_lost(now, *s));
+        are_unresponsive.then_some(MissReason::Late)
     }
 
-    fn check_admission(&mut self, now: Instant, lk: &LookupRun) -> Result<(), Refused> {
+    fn check_admission(&mut self, now: Instant, lk: &ActiveLookup) -> Result<(), Refused> {
         if lk.answer_by <= now {
             return Err(Refusal::new(RefusalReason::TooLate, Some(RETRY_AFTER)));
         }
-        let ask = self.ask(now, lk);
-        let full = ask.in_flight >= self.options.lookups_max as usize;
-        let retry = match self.admission.admit(now, &ask) {
+        let request = self.admission_request(now, lk);
+        let full = request.in_flight >= self.options.lookups_max as usize;
+        let retry = match self.admission.admit(now, &request) {
             Verdict::Admit if !full => return Ok(()),
             Verdict::Admit => RETRY_AFTER,
             Verdict::Refuse(retry) => retry,
         };
-        // Callers that were refused together should not come back together.
-        let spread = self.rng.random_range(1.0..1.5);
+        // Jitter, so that callers refused at the same time do not retry at the same time.
+        let jitter = self.rng.random_range(1.0..1.5);
         Err(Refusal::new(
             RefusalReason::Overload,
-            Some(retry.mul_f64(spread)),
+            Some(retry.mul_f64(jitter)),
         ))
     }
 
-    /// What the lookup would have to wait, from the queues before it.
-    fn ask(&self, now: Instant, lk: &LookupRun) -> Ask {
+    /// Estimates the lookup's latency, including the parts queued before it, for the admission
+    /// policy.
+    fn admission_request(&self, now: Instant, lk: &ActiveLookup) -> Ask {
         let mut sum = 0.0_f64;
         let mut worst = 0.0_f64;
-        for at in 0..lk.shards.len() {
-            let (wait, latency) = self.shard_wait(now, lk, at);
+        for pos in 0..lk.shards.len() {
+            let (wait, latency) = self.shard_wait(now, lk, pos);
             sum += wait + latency;
             worst = worst.max(wait + latency);
         }
@@ -225,17 +244,17 @@
         }
     }
 
-    /// The time that a part would wait at the shard, and would take then, in microseconds.
-    fn shard_wait(&self, now: Instant, lk: &LookupRun, at: usize) -> (f64, f64) {
+    /// Returns a part's expected queueing time and latency at the shard, in microseconds.
+    fn shard_wait(&self, now: Instant, lk: &ActiveLookup, pos: usize) -> (f64, f64) {
         let mut queued = 0;
         let mut connections = 0;
         let mut latency = f64::INFINITY;
-        for server in lk.replicas(at) {
+        for server in lk.replicas(pos) {
             let view = self.servers.view(*server);
             if !view.is_eligible(lk.snapshot.id) {
                 continue;
             }
-            queued = queued.max(self.waiting.len(*server));
+            queued = queued.max(self.wait_queues.len(*server));
             connections += view.share().0;
             latency = latency.min(view.latency().aged_micros(now).unwrap_or(0.0));
         }
@@ -247,8 +266,8 @@
     }
 }
 
-/// Checks a request against its declaration.
-fn check_form(decl: &Lookup, req: &LookupRequest) -> Result<(), Refused> {
+/// Checks that a request has the keys that its declaration requires.
+fn check_request(decl: &Lookup, req: &LookupRequest) -> Result<(), Refused> {
     let bad = Err(Refusal::new(RefusalReason::BadRequest, None));
     let once = decl.promise == Promise::AtMostOnce;
     match decl.scope {
--- a/crates/query/src/attempt.rs
+++ b/crates/query/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one shard, by the chart `charts/attempt.toml`.
+//! An attempt to query one shard, as defined by the state machine in `charts/attempt.toml`.
 
 use std::time::Instant;
 
@@ -8,7 +8,7 @@
 
 use crate::event::PartReply;
 
-/// Where an attempt stands.
+/// The state of an attempt.
 #[derive(
     Clone,
     Copy,
@@ -22,21 +22,21 @@
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum AttemptState {
-    /// With the shell; nothing has left yet.
+    /// Dispatched to the I/O driver (shell); no byte has been sent.
     Handed,
-    /// Past the point of no return.
+    /// The first byte may have been sent, so the server may execute it.
     Sent,
-    /// Cancelled; it holds its connection until the shell tells its end.
+    /// Cancelled; it occupies its connection until the driver reports its end.
     Stopping,
-    /// Its part arrived whole.
+    /// A complete part arrived.
     Whole,
-    /// It says for itself that it did not run.
+    /// The server or the driver reported that it was not executed.
     NotRun,
-    /// It ended otherwise, and may have run.
+    /// It ended in any other way and may have been executed.
     Failed,
 }
 
-/// What can happen to an attempt.
+/// An event of an attempt.
 #[derive(
     Clone,
     Copy,
@@ -50,74 +50,70 @@
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum AttemptEvent {
-    /// Its first byte is about to leave.
+    /// The first byte is about to be sent.
     Send,
-    /// Its part came.
+    /// A complete part arrived.
     Whole,
-    /// The server refused it, and says that it did not run.
+    /// The server refused it and reported that it did not execute it.
     Refuse,
-    /// It never left.
+    /// It ended before its first byte was sent.
     NotSent,
-    /// It broke, or came back as something else.
+    /// Its connection broke, it timed out, or its reply was an error or malformed.
     Fail,
-    /// It is no longer wanted.
+    /// Its part is no longer needed.
     Cancel,
     /// It was cancelled after it was sent, and its connection is free or closed.
     Settle,
 }
 
-/// Reads the chart.
-///
-/// # Errors
-///
-/// [`ErrorKind::BadInput`] if the chart is broken.
+/// Parses the state machine definition of an attempt.
 pub fn attempt_chart() -> Result<Chart<AttemptState, AttemptEvent>> {
     Chart::parse(include_str!("../../../charts/attempt.toml"))
 }
 
-/// Why an attempt was made.
+/// The reason why an attempt is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
-pub(crate) enum Kind {
-    /// The first at its shard.
+pub(crate) enum Cause {
+    /// The initial attempt at its shard.
     First,
-    /// To overtake a slow one.
+    /// A second attempt in parallel with a slow one.
     Hedge,
-    /// After one that may have run and failed.
+    /// Follows an attempt that failed and may have been executed.
     Retry,
-    /// After one that came back as not run.
+    /// Follows an attempt that was not executed.
     Resend,
 }
 
-/// One attempt.
+/// An attempt at one shard of a lookup.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) number: u16,
     pub(crate) server: ServerIdx,
     pub(crate) state: AttemptState,
-    pub(crate) kind: Kind,
-    pub(crate) at: Instant,
-    /// Whether it passed the point of no return; still known once it is stopping.
-    pub(crate) sent: Option<Instant>,
-    /// Whether its connection broke; that server is not asked again by the same lookup.
+    pub(crate) cause: Cause,
+    pub(crate) dispatched_at: Instant,
+    /// When its first byte was sent; kept while the attempt is stopping.
+    pub(crate) sent_at: Option<Instant>,
+    /// Whether its connection broke; the lookup does not query that server again.
     pub(crate) broken: bool,
 }
 
 impl Attempt {
-    /// Whether it may still bring its part and is wanted.
+    /// Whether it is in flight and its part is still wanted.
     pub(crate) fn is_live(&self) -> bool {
         matches!(self.state, AttemptState::Handed | AttemptState::Sent)
     }
 
-    /// What a reply means to the chart.
+    /// Returns the state machine event for a reply.
     pub(crate) fn event_of(&self, reply: &PartReply) -> AttemptEvent {
         match reply {
             PartReply::Whole { .. } => AttemptEvent::Whole,
             PartReply::Shed { .. } | PartReply::Draining | PartReply::NoSnapshot { .. } => {
                 AttemptEvent::Refuse
             }
-            // A shell that said `Sent` cannot take it back.
-            PartReply::NotSent if self.sent.is_some() => AttemptEvent::Fail,
+            // After `Sent` the server may have executed it, so `NotSent` is a failure.
+            PartReply::NotSent if self.sent_at.is_some() => AttemptEvent::Fail,
             PartReply::NotSent => AttemptEvent::NotSent,
             PartReply::Cancelled if self.state == AttemptState::Stopping => AttemptEvent::Settle,
             PartReply::Broken
--- a/crates/query/src/canary.rs
+++ b/crates/query/src/canary.rs
@@ -1,4 +1,4 @@
-//! How a lookup under suspicion is tried.
+//! Canaries: a lookup suspected of crashing servers is sent to a single server first.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,144 +8,161 @@
 
 use crate::action::Action;
 use crate::attempt::AttemptState;
-use crate::attempt::Kind;
+use crate::attempt::Cause;
 use crate::core::Core;
-use crate::life::Lost;
-use crate::lookup::LookupRun;
+use crate::lifecycle::ShardFailure;
+use crate::lookup::ActiveLookup;
 use crate::lookup::Phase;
 use crate::lookup::ShardState;
 
-/// How long attempts under way may take to end before a suspect's canary goes out.
-const SETTLE_MAX: Duration = Duration::from_millis(50);
+/// The maximum time to wait for attempts in flight to end before a suspect's canary is sent.
+const QUIESCE_MAX: Duration = Duration::from_millis(50);
 
-/// How long a lost part of a proven lookup waits for what the other parts say.
-const HOLD_MAX: Duration = Duration::from_millis(10);
+/// The maximum time for which a failed part of a proven lookup waits for the results of other
+/// parts.
+const RETRY_HOLD_MAX: Duration = Duration::from_millis(10);
 
-/// What a canary at a shard could cost, the least first.
+/// The possible damage of a canary at a shard, the least first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Risk {
-    /// Another replica would be left.
-    Spare,
-    /// It could take the shard's last replica down.
-    Last,
-    /// A server of the shard broke under this lookup already.
-    Struck,
+    /// Another replica would remain.
+    ReplicasLeft,
+    /// It could crash the shard's last replica.
+    LastReplica,
+    /// A server of the shard already crashed under this lookup.
+    AlreadyCrashed,
 }
 
 impl Core {
-    /// Shows the lookup to one server alone.
-    pub(crate) fn begin_canary(&mut self, now: Instant, lk: &mut LookupRun, out: &mut Vec<Action>) {
-        self.suspects.test(now, lk.fingerprint, lk.seq);
-        for at in self.canary_order(now, lk) {
-            let kind = if lk.shards[at].attempts.is_empty() {
-                Kind::First
+    /// Sends the lookup to a single server.
+    pub(crate) fn begin_canary(
+        &mut self,
+        now: Instant,
+        lk: &mut ActiveLookup,
+        out: &mut Vec<Action>,
+    ) {
+        self.crash_suspects
+            .assign_canary(now, lk.fingerprint, lk.seq);
+        for pos in self.canary_order(now, lk) {
+            let cause = if lk.shards[pos].attempts.is_empty() {
+                Cause::First
             } else {
-                Kind::Retry
+                Cause::Retry
             };
-            lk.phase = Phase::Canary(at);
-            self.try_shard(now, lk, at, kind, out);
-            if lk.shards[at].is_open() {
+            lk.phase = Phase::Canary(pos);
+            self.try_shard(now, lk, pos, cause, out);
+            if lk.shards[pos].is_open() {
                 self.counters.canaries += 1;
                 return;
             }
-            if lk.is_hopeless() {
+            if lk.is_unanswerable() {
                 break;
             }
         }
         self.check_end(now, lk, out);
     }
 
-    /// Stops everything under way for a suspect, until it has ended or a short time has passed.
-    pub(crate) fn settle(&mut self, now: Instant, lk: &mut LookupRun, out: &mut Vec<Action>) {
-        self.suspects.test(now, lk.fingerprint, lk.seq);
-        lk.phase = Phase::Settling(now + SETTLE_MAX);
-        for at in 0..lk.shards.len() {
-            self.unqueue(lk, at);
-            self.stop_attempts(now, lk, at, out);
-            if lk.shards[at].is_open() {
-                lk.shards[at].state = ShardState::Held;
+    /// Cancels everything a suspect has in flight and waits up to [`QUIESCE_MAX`] for it to end.
+    pub(crate) fn quiesce(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
+        self.crash_suspects
+            .assign_canary(now, lk.fingerprint, lk.seq);
+        lk.phase = Phase::Quiescing(now + QUIESCE_MAX);
+        for pos in 0..lk.shards.len() {
+            self.dequeue(lk, pos);
+            self.stop_attempts(now, lk, pos, out);
+            if lk.shards[pos].is_open() {
+                lk.shards[pos].state = ShardState::Held;
             }
         }
-        self.arm(lk, now + SETTLE_MAX);
+        self.arm(lk, now + QUIESCE_MAX);
     }
 
-    /// Sends the canary once nothing of a suspect is under way any more.
-    pub(crate) fn check_settled(
+    /// Sends the canary once a suspect has no attempt in flight or the wait is over.
+    pub(crate) fn check_quiesced(
         &mut self,
         now: Instant,
-        lk: &mut LookupRun,
+        lk: &mut ActiveLookup,
         out: &mut Vec<Action>,
     ) {
-        let Phase::Settling(until) = lk.phase else {
+        let Phase::Quiescing(until) = lk.phase else {
             return;
         };
-        let quiet = !lk
+        let is_quiescent = !lk
             .shards
             .iter()
             .flat_map(|s| &s.attempts)
             .any(|a| a.state == AttemptState::Stopping);
-        if quiet || now >= until {
+        if is_quiescent || now >= until {
             self.begin_canary(now, lk, out);
         }
     }
 
-    /// Holds a part that a proven lookup lost, until another part is in or a moment has passed.
+    /// Postpones the retry of a failed part of a proven lookup until another part arrives or
+    /// [`RETRY_HOLD_MAX`] has passed.
     ///
-    /// What ran well a minute ago may crash servers now, if their index or program changed. Then the
-    /// other parts break in the same moment, and a retry would take the shard's next replica down.
-    pub(crate) fn hold_lost(
+    /// A lookup that succeeded a minute ago may crash servers now, if their index or program
+    /// changed. Its other parts then break at the same moment, and an immediate retry would crash
+    /// the shard's next replica.
+    pub(crate) fn hold_failed_part(
         &mut self,
         now: Instant,
-        lk: &mut LookupRun,
-        at: usize,
+        lk: &mut ActiveLookup,
+        pos: usize,
         out: &mut Vec<Action>,
     ) {
         let others = lk.shards.iter().filter(|s| s.has_live()).count();
-        let is_plain = lk.is_once() || others == 0 || lk.shards[at].state != ShardState::Running;
-        if is_plain || lk.shards[at].has_live() {
-            self.lost(now, lk, at, Lost::Failed, out);
+        let must_not_wait =
+            lk.is_once() || others == 0 || lk.shards[pos].state != ShardState::Running;
+        if must_not_wait || lk.shards[pos].has_live() {
+            self.retry_or_abandon(now, lk, pos, ShardFailure::Failed, out);
             return;
         }
-        lk.shards[at].state = ShardState::Held;
-        lk.shards[at].miss = MissReason::Failed;
-        let until = *lk.held_until.get_or_insert(now + HOLD_MAX);
+        lk.shards[pos].state = ShardState::Held;
+        lk.shards[pos].miss = MissReason::Failed;
+        let until = *lk.held_until.get_or_insert(now + RETRY_HOLD_MAX);
         self.arm(lk, until);
     }
 
-    /// Asks again for the parts that were held.
-    pub(crate) fn retry_held(&mut self, now: Instant, lk: &mut LookupRun, out: &mut Vec<Action>) {
+    /// Retries the parts that were held.
+    pub(crate) fn retry_held(
+        &mut self,
+        now: Instant,
+        lk: &mut ActiveLookup,
+        out: &mut Vec<Action>,
+    ) {
         if lk.held_until.take().is_none() || lk.phase != Phase::Running {
             return;
         }
-        for at in 0..lk.shards.len() {
-            if lk.shards[at].state == ShardState::Held {
-                self.try_shard(now, lk, at, Kind::Retry, out);
+        for pos in 0..lk.shards.len() {
+            if lk.shards[pos].state == ShardState::Held {
+                self.try_shard(now, lk, pos, Cause::Retry, out);
             }
         }
     }
 
-    /// The shards that are held, in the order in which they are tried.
+    /// Returns the held shards in the order in which they are tried.
     ///
-    /// A canary that crashes its server must not leave a shard without a replica while others have
-    /// some to spare: every lookup would miss that shard until a server is back. Among equals the
-    /// lookup's number decides, or the first shards would bear the canaries of the whole fleet.
-    fn canary_order(&self, now: Instant, lk: &LookupRun) -> Vec<usize> {
+    /// A canary that crashes its server must not leave a shard without a replica while other shards
+    /// have replicas to spare: every lookup would miss that shard until a server is back. Among
+    /// shards of equal risk the lookup's number decides, so that the canaries of all VMs do not all
+    /// go to the first shards.
+    fn canary_order(&self, now: Instant, lk: &ActiveLookup) -> Vec<usize> {
         let count = lk.shards.len();
         let first = lk.seq.0 as usize % count.max(1);
         let mut order: Vec<usize> = (0..count)
             .map(|n| (first + n) % count)
-            .filter(|at| lk.shards[*at].state == ShardState::Held)
+            .filter(|pos| lk.shards[*pos].state == ShardState::Held)
             .collect();
-        order.sort_by_key(|at| self.risk(now, lk, *at));
+        order.sort_by_key(|pos| self.canary_risk(now, lk, *pos));
         order
     }
 
-    fn risk(&self, now: Instant, lk: &LookupRun, at: usize) -> Risk {
-        if lk.shards[at].attempts.iter().any(|a| a.broken) {
-            return Risk::Struck;
+    fn canary_risk(&self, now: Instant, lk: &ActiveLookup, pos: usize) -> Risk {
+        if lk.shards[pos].attempts.iter().any(|a| a.broken) {
+            return Risk::AlreadyCrashed;
         }
-        let up = lk
-            .replicas(at)
+        let usable = lk
+            .replicas(pos)
             .iter()
             .filter(|s| {
                 let standing = self.servers.standing(now, **s);
@@ -153,6 +170,10 @@
                     && matches!(standing, Standing::Free | Standing::Busy)
             })
             .count();
-        if up > 1 { Risk::Spare } else { Risk::Last }
+        if usable > 1 {
+            Risk::ReplicasLeft
+        } else {
+            Risk::LastReplica
+        }
     }
 }
--- a/crates/query/src/claim.rs
+++ b/crates/query/src/claim.rs
@@ -1,4 +1,4 @@
-//! The claim of an at-most-once lookup.
+//! Claims of at-most-once lookups.
 
 use std::time::Instant;
 
@@ -9,12 +9,12 @@
 use crate::core::Core;
 use crate::event::ClaimDecision;
 use crate::finish::RETRY_AFTER;
-use crate::lookup::LookupRun;
+use crate::lookup::ActiveLookup;
 use crate::lookup::Phase;
 
 impl Core {
-    /// Asks for the claim, without which nothing is sent.
-    pub(crate) fn ask_claim(&mut self, now: Instant, lk: &LookupRun, out: &mut Vec<Action>) {
+    /// Requests the claim, without which nothing is sent.
+    pub(crate) fn request_claim(&mut self, now: Instant, lk: &ActiveLookup, out: &mut Vec<Action>) {
         let Some(key) = lk.idempotency_key.clone() else {
             return;
         };
@@ -26,30 +26,31 @@
         }));
     }
 
-    /// The claim of an at-most-once lookup is decided.
+    /// Processes the decision about an at-most-once lookup's claim.
     ///
-    /// Only `Granted` lets it be sent. `Taken` and `Expired` are `unknown`, since an earlier
-    /// submission under the key may have run. `Unknown` may be asked again with the same key: if the
-    /// claim was made, the answer is `AlreadyClaimed`. `Refused` leaves nothing behind.
-    pub(crate) fn claimed(
+    /// The lookup is sent only after `Granted`. `Taken` and `Expired` end it as `unknown`, since an
+    /// earlier submission under the key may have been executed. After `Refused` and `Unknown` the
+    /// caller may retry with the same key: if a claim was made after all, the retry gets
+    /// `AlreadyClaimed`. `Refused` leaves no claim behind.
+    pub(crate) fn on_claim_decided(
         &mut self,
         now: Instant,
-        lk: &mut LookupRun,
-        verdict: ClaimDecision,
+        lk: &mut ActiveLookup,
+        decision: ClaimDecision,
         out: &mut Vec<Action>,
     ) {
         if lk.phase != Phase::Claiming {
             return;
         }
         let refusal = |reason, retry| Refusal::new(reason, retry);
-        let outcome = match verdict {
+        let outcome = match decision {
             ClaimDecision::Granted => {
-                self.granted(now, lk, out);
+                self.on_claim_granted(now, lk, out);
                 return;
             }
             ClaimDecision::Taken => Outcome::Unknown(refusal(RefusalReason::AlreadyClaimed, None)),
             ClaimDecision::Expired => Outcome::Unknown(refusal(RefusalReason::KeyExpired, None)),
-            // Not made here; but whether an earlier submission made it cannot be read either.
+            // An earlier submission may have made the claim, which cannot be read either.
             ClaimDecision::Refused | ClaimDecision::Unknown => {
                 Outcome::Unknown(refusal(RefusalReason::ClaimsAway, Some(RETRY_AFTER)))
             }
@@ -57,11 +58,11 @@
         self.finish(now, lk, outcome, out);
     }
 
-    fn granted(&mut self, now: Instant, lk: &mut LookupRun, out: &mut Vec<Action>) {
+    fn on_claim_granted(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
         lk.was_granted = true;
-        // Nothing was sent yet, so the newest snapshot is as good as the one found at arrival.
+        // Nothing was sent yet, so the lookup can use the newest snapshot.
         let view = &mut self.groups[lk.group].view;
-        if let Some(pin) = view.pin(&self.servers, lk.floor, None) {
+        if let Some(pin) = view.pin(&self.servers, lk.snapshot_min, None) {
             lk.pin(pin.snapshot);
         }
         lk.phase = Phase::Running;
--- a/crates/query/src/core.rs
+++ b/crates/query/src/core.rs
@@ -1,4 +1,4 @@
-//! What all lookups of a process share.
+//! The state shared by all lookups of a process.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -25,53 +25,54 @@
 use crate::attempt::AttemptEvent;
 use crate::attempt::AttemptState;
 use crate::attempt::attempt_chart;
+use crate::connection_losses::ConnectionLosses;
 use crate::counters::Counters;
-use crate::lookup::LookupRun;
-use crate::losses::Losses;
+use crate::crash_suspects::CrashSuspects;
+use crate::incomplete_log::LOGGED_LOOKUPS_PER_SECOND;
+use crate::lookup::ActiveLookup;
 use crate::options::EngineOptions;
 use crate::policies;
-use crate::shortfall::LOOKUPS_PER_SECOND;
-use crate::suspects::Suspects;
-use crate::waiting::Waiting;
+use crate::wait_queues::WaitQueues;
 
-/// Where an attempt belongs: its lookup, shard and number.
+/// The key of an attempt within this process: its lookup, shard and number.
 pub(crate) type AttemptKey = (LookupSeq, ShardId, u16);
 
-/// A group and what is learned of it.
+/// A group's map and its learned hedging delay.
 #[derive(Debug)]
-pub(crate) struct GroupRun {
+pub(crate) struct GroupState {
     pub(crate) name: GroupName,
     pub(crate) view: GroupView,
     pub(crate) hedge: Box<dyn HedgePolicy>,
 }
 
-/// An attempt whose lookup has ended; it holds its connection until the shell tells its end.
+/// An attempt whose lookup has ended or restarted; it occupies its connection until the I/O driver
+/// (shell) reports its end.
 #[derive(Debug)]
 pub(crate) struct Orphan {
     pub(crate) server: ServerIdx,
-    /// When it was handed over.
-    pub(crate) at: Instant,
+    /// When it was dispatched.
+    pub(crate) dispatched_at: Instant,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) is_sent: bool,
-    /// Whether a server ran its lookup and lived.
+    /// Whether a server executed its lookup without crashing.
     pub(crate) is_proven: bool,
-    /// When its lookup was to be answered at the latest.
+    /// The latest time at which its lookup was to be answered.
     pub(crate) answer_by: Instant,
     pub(crate) expires: Instant,
 }
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
     /// A lookup's deadline, hedge or canary.
     Lookup(LookupSeq),
-    /// A server's pause or rest is over, and parts wait for it.
+    /// The end of a server's pause or ejection, for which parts wait.
     Server(ServerIdx),
-    /// Orphans that the shell forgot.
+    /// The expiry of orphans whose end was never reported.
     Orphans,
 }
 
-/// What all lookups of a process share.
+/// The state shared by all lookups of a process.
 #[derive(Debug)]
 pub(crate) struct Core {
     pub(crate) vm: VmId,
@@ -82,26 +83,27 @@
     pub(crate) config: Option<ConfVersion>,
     pub(crate) decls: BTreeMap<(FrontName, LookupName), Arc<Lookup>>,
     pub(crate) group_names: BTreeMap<GroupName, usize>,
-    pub(crate) groups: Vec<GroupRun>,
+    pub(crate) groups: Vec<GroupState>,
     pub(crate) servers: Servers,
     pub(crate) replica: Box<dyn ReplicaPolicy>,
     pub(crate) admission: Box<dyn AdmissionPolicy>,
     pub(crate) budget: ExtraBudget,
-    pub(crate) waiting: Waiting,
+    pub(crate) wait_queues: WaitQueues,
     pub(crate) orphans: BTreeMap<AttemptKey, Orphan>,
     pub(crate) timers: BTreeSet<(Instant, Timer)>,
-    pub(crate) suspects: Suspects,
-    pub(crate) losses: Losses,
+    pub(crate) crash_suspects: CrashSuspects,
+    pub(crate) connection_losses: ConnectionLosses,
     pub(crate) is_leaving: bool,
     /// Lookups in flight.
     pub(crate) in_flight: usize,
     pub(crate) counters: Counters,
-    /// Paces the log lines of lookups that end short.
-    pub(crate) shortfalls: Pace,
-    /// Servers with a connection freed since the last look at their queues.
-    pub(crate) freed: Vec<ServerIdx>,
-    /// Servers whose queues must be placed anew, as they take nothing or hold other snapshots now.
-    pub(crate) changed: Vec<ServerIdx>,
+    /// Limits the rate of log lines about lookups that end incomplete.
+    pub(crate) incomplete_log_limit: Pace,
+    /// Servers with a connection freed since their queues were last checked.
+    pub(crate) freed_servers: Vec<ServerIdx>,
+    /// Servers that no longer accept work or hold other snapshots, so that their queued parts must
+    /// be placed again.
+    pub(crate) changed_servers: Vec<ServerIdx>,
 }
 
 impl Core {
@@ -127,30 +129,30 @@
             group_names: BTreeMap::new(),
             groups: Vec::new(),
             servers: Servers::new(data_centre, route)?,
-            replica: policies::replica(&options),
-            admission: policies::admission(&options),
+            replica: policies::build_replica_policy(&options),
+            admission: policies::build_admission_policy(&options),
             budget: ExtraBudget::new(
                 options.extra_ratio,
                 options.extra_burst,
                 options.extra_floor,
             ),
-            waiting: Waiting::default(),
+            wait_queues: WaitQueues::default(),
             orphans: BTreeMap::new(),
             timers: BTreeSet::new(),
-            suspects: Suspects::new(options.quarantine, options.suspicion),
-            losses: Losses::default(),
+            crash_suspects: CrashSuspects::new(options.quarantine, options.suspicion),
+            connection_losses: ConnectionLosses::default(),
             is_leaving: false,
             in_flight: 0,
             counters: Counters::default(),
-            shortfalls: Pace::new(LOOKUPS_PER_SECOND),
-            freed: Vec::new(),
-            changed: Vec::new(),
+            incomplete_log_limit: Pace::new(LOGGED_LOOKUPS_PER_SECOND),
+            freed_servers: Vec::new(),
+            changed_servers: Vec::new(),
             options,
         })
     }
 
-    /// The id of an attempt.
-    pub(crate) fn id(&self, (lookup, shard, attempt): AttemptKey) -> AttemptId {
+    /// Returns the global id of an attempt.
+    pub(crate) fn attempt_id(&self, (lookup, shard, attempt): AttemptKey) -> AttemptId {
         AttemptId {
             vm: self.vm.clone(),
             incarnation: self.incarnation,
@@ -160,8 +162,8 @@
         }
     }
 
-    /// Sets the time at which a lookup is looked at, if that is sooner than planned.
-    pub(crate) fn arm(&mut self, lk: &mut LookupRun, at: Instant) {
+    /// Sets a lookup's timer, if that is sooner than the time already set.
+    pub(crate) fn arm(&mut self, lk: &mut ActiveLookup, at: Instant) {
         let at = at.min(lk.answer_by);
         match lk.timer {
             Some(planned) if planned <= at => return,
@@ -174,22 +176,22 @@
         self.timers.insert((at, Timer::Lookup(lk.seq)));
     }
 
-    /// Takes a lookup's timer away.
-    pub(crate) fn disarm(&mut self, lk: &mut LookupRun) {
+    /// Removes a lookup's timer.
+    pub(crate) fn disarm(&mut self, lk: &mut ActiveLookup) {
         if let Some(at) = lk.timer.take() {
             self.timers.remove(&(at, Timer::Lookup(lk.seq)));
         }
     }
 
-    /// A server said itself that it drains: its queue moves, and every peer is told.
-    pub(crate) fn drain_seen(&mut self, server: ServerIdx, out: &mut Vec<Action>) {
+    /// Handles a server's own report that it drains: moves its queue and notifies every peer.
+    pub(crate) fn on_own_drain(&mut self, server: ServerIdx, out: &mut Vec<Action>) {
         if self.servers.drain_own(server) {
-            self.drained(server, "own", true, out);
+            self.on_drained(server, "own", true, out);
         }
     }
 
-    /// Tells every peer what is held against a fingerprint.
-    pub(crate) fn spread_suspect(
+    /// Notifies every peer of the evidence that a fingerprint crashes servers.
+    pub(crate) fn broadcast_suspect(
         &self,
         fingerprint: Fingerprint,
         crashes: u32,
--- a/crates/query/src/counters.rs
+++ b/crates/query/src/counters.rs
@@ -1,60 +1,60 @@
-//! What the engine counts, for the metrics endpoint.
+//! The engine's counters, for the metrics endpoint.
 
 use gs_types::prelude::*;
 use serde::Serialize;
 use strum::IntoEnumIterator;
 
-/// Running totals since the process started; they only grow.
+/// Running totals since the process started; they only increase.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Counters {
     /// Lookups that arrived.
     pub arrived: u64,
-    /// Lookups answered with every shard whole.
+    /// Lookups answered with a part of every shard.
     pub answered_full: u64,
-    /// Lookups answered with shards missing, those that ended early apart.
+    /// Lookups answered with shards missing, except those that ended early.
     pub answered_thin: u64,
-    /// Lookups answered early because there were hits enough.
+    /// Lookups answered early because they had enough hits.
     pub answered_early: u64,
-    /// Lookups whose caller hung up.
+    /// Lookups whose caller disconnected.
     pub gone: u64,
-    /// Shards that answered lookups asked for.
+    /// Shards queried by answered lookups.
     pub shards_asked: u64,
-    /// Shards of answered lookups that were whole.
+    /// Shards of answered lookups whose part was complete.
     pub shards_whole: u64,
-    /// Attempts handed to the shell, all kinds together.
+    /// Attempts dispatched, of every cause.
     pub attempts: u64,
-    /// Attempts made to overtake a slow one.
+    /// Attempts made in parallel with a slow one.
     pub hedges: u64,
     /// Hedges whose part arrived first.
     pub hedges_won: u64,
-    /// Attempts made after one that may have run and failed.
+    /// Attempts made after one that failed and may have been executed.
     pub retries: u64,
-    /// Attempts made after one that came back as not run.
+    /// Attempts made after one that was not executed.
     pub resends: u64,
-    /// Hedges or retries forgone because the budget was empty.
+    /// Hedges, retries or restarts not made because the budget was empty.
     pub extra_refused: u64,
-    /// Lookups begun again on another snapshot.
+    /// Restarts of lookups on another snapshot.
     pub restarts: u64,
-    /// Lookups sent to one server alone first.
+    /// Canaries sent.
     pub canaries: u64,
-    /// Fingerprints set aside here for crashing servers.
+    /// Quarantines decided on this VM.
     pub quarantines: u64,
-    /// Replies that matched no attempt in flight: late, doubled or crossed.
+    /// Replies that matched no attempt in flight: late, duplicated or misdirected.
     pub stray_replies: u64,
-    /// Replies whose part was from another snapshot than the pinned one.
+    /// Parts from another snapshot than the pinned one.
     pub wrong_snapshot: u64,
-    /// Refusals, one entry a reason in the order of the enum.
+    /// Refusals, one entry per reason in the order of the enum.
     pub refusals: Vec<RefusalCount>,
 }
 
-/// Refusals for one reason.
+/// The number of refusals for one reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct RefusalCount {
     /// The reason.
     pub reason: RefusalReason,
-    /// Those that said `not-run`.
+    /// Refusals with the outcome `not-run`.
     pub not_run: u64,
-    /// Those that said `unknown`.
+    /// Refusals with the outcome `unknown`.
     pub unknown: u64,
 }
 
@@ -89,16 +89,16 @@
     }
 }
 impl Counters {
-    /// Counts the end of a lookup.
-    pub(crate) fn ended(&mut self, outcome: &Outcome) {
+    /// Counts the outcome of a lookup.
+    pub(crate) fn count_outcome(&mut self, outcome: &Outcome) {
         match outcome {
-            Outcome::Answered(a) => self.answered(a),
-            Outcome::NotRun(r) => self.refusal(r.reason).not_run += 1,
-            Outcome::Unknown(r) => self.refusal(r.reason).unknown += 1,
+            Outcome::Answered(a) => self.count_answer(a),
+            Outcome::NotRun(r) => self.refusal_count(r.reason).not_run += 1,
+            Outcome::Unknown(r) => self.refusal_count(r.reason).unknown += 1,
         }
     }
 
-    fn answered(&mut self, answer: &Answer) {
+    fn count_answer(&mut self, answer: &Answer) {
         self.shards_asked += u64::from(answer.coverage.shards);
         self.shards_whole += u64::from(answer.coverage.whole);
         if answer.ended_early {
@@ -110,7 +110,7 @@
         }
     }
 
-    fn refusal(&mut self, reason: RefusalReason) -> &mut RefusalCount {
+    fn refusal_count(&mut self, reason: RefusalReason) -> &mut RefusalCount {
         &mut self.refusals[reason as usize]
     }
 }
--- /dev/null
+++ b/crates/query/src/crash_suspects.rs
@@ -0,0 +1,321 @@
+//! Tracks which lookups crash backend servers.
+//!
+//! A poisoned lookup crashes each server that executes it, so a lookup is proven harmless once a
+//! server executes it without crashing. Until then, a connection that breaks under it makes it a
+//! suspect: a single server may try it, and a second crash quarantines it.
+
+use std::collections::BTreeMap;
+use std::collections::VecDeque;
+use std::time::Duration;
+use std::time::Instant;
+
+use gs_types::prelude::*;
+use smallvec::SmallVec;
+
+use crate::dump::SuspectDump;
+
+/// The number of servers that a fingerprint crashes before it is refused.
+const CRASHES_MAX: u32 = 2;
+
+/// The number of servers in both this and other data centres that break under a proven lookup
+/// before it is quarantined in spite of its proof.
+const PROVEN_CRASHES_MAX: u32 = 4;
+
+/// The quarantine of a lookup that broke servers in several data centres but had no canary. The
+/// servers are back after this time, so that its canary does not crash a shard's last replica.
+const UNTRIED_QUARANTINE: Duration = Duration::from_secs(5);
+
+/// The maximum number of suspects stored; the one that expires first is evicted.
+const SUSPECTS_MAX: usize = 1024;
+
+/// The maximum number of fingerprints stored as proven.
+const PROVEN_MAX: usize = 4096;
+
+/// How long a proof is valid; the index and the servers' program may change.
+const PROOF_LIFETIME: Duration = Duration::from_secs(60);
+
+/// How long a fingerprint under suspicion is refused while another lookup or VM sends its canary.
+const PEER_CANARY_WAIT: Duration = Duration::from_secs(1);
+
+/// How to treat an arriving lookup.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum SuspectStatus {
+    /// There is no evidence against it.
+    Clear,
+    /// It must be sent to a single server first.
+    Canary,
+    /// It is refused for this duration.
+    Refused(Duration),
+}
+
+/// The conclusion drawn from a broken connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum CrashFinding {
+    /// The lookup was executed before without crashing a server; the server is the more likely
+    /// cause.
+    Harmless,
+    /// The lookup is suspected.
+    Suspected,
+    /// The lookup is quarantined for this duration.
+    Quarantined(Duration),
+}
+
+/// A server whose connection broke under a lookup.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Crash<'a> {
+    pub(crate) server: &'a ServerName,
+    /// Whether it is in this VM's data centre.
+    pub(crate) is_local: bool,
+    /// Whether no other server had the lookup at that time.
+    pub(crate) is_alone: bool,
+}
+
+#[derive(Debug)]
+struct Suspect {
+    crashed: SmallVec<[ServerName; 2]>,
+    /// Whether a server crashed in this VM's data centre, and in another one.
+    crashed_locally: bool,
+    crashed_remotely: bool,
+    reported_crashes: u32,
+    /// The time until which it is refused.
+    refused_until: Option<Instant>,
+    /// This VM's lookup that is its canary.
+    canary: Option<LookupSeq>,
+    expires_at: Instant,
+}
+
+impl Suspect {
+    fn crashes(&self) -> u32 {
+        // There is at most one entry per server.
+        self.reported_crashes.max(self.crashed.len() as u32)
+    }
+
+    fn quarantined_for(&self, now: Instant) -> Duration {
+        self.refused_until
+            .map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
+    }
+}
+
+/// Suspects, quarantines and proofs.
+#[derive(Debug)]
+pub(crate) struct CrashSuspects {
+    quarantine: Duration,
+    window: Duration,
+    suspects: BTreeMap<Fingerprint, Suspect>,
+    proven: BTreeMap<Fingerprint, Instant>,
+    proven_order: VecDeque<Fingerprint>,
+    suspicion_until: Option<Instant>,
+}
+
+impl CrashSuspects {
+    pub(crate) fn new(quarantine: Duration, window: Duration) -> Self {
+        Self {
+            quarantine,
+            window,
+            suspects: BTreeMap::new(),
+            proven: BTreeMap::new(),
+            proven_order: VecDeque::new(),
+            suspicion_until: None,
+        }
+    }
+
+    /// Makes every lookup that is not proven start with a canary for the given duration.
+    pub(crate) fn raise_suspicion(&mut self, now: Instant, duration: Duration) {
+        self.suspicion_until = self.suspicion_until.max(Some(now + duration));
+    }
+
+    /// Returns how to treat an arriving lookup.
+    pub(crate) fn status(&self, now: Instant, fp: Fingerprint) -> SuspectStatus {
+        let Some(s) = self.suspects.get(&fp).filter(|s| s.expires_at > now) else {
+            let is_suspicion_raised = self.suspicion_until.is_some_and(|until| until > now);
+            return if is_suspicion_raised && !self.is_proven(now, fp) {
+                SuspectStatus::Canary
+            } else {
+                SuspectStatus::Clear
+            };
+        };
+        match s.quarantined_for(now) {
+            Duration::ZERO if s.canary.is_some() => SuspectStatus::Refused(PEER_CANARY_WAIT),
+            Duration::ZERO => SuspectStatus::Canary,
+            left => SuspectStatus::Refused(left),
+        }
+    }
+
+    /// Records that a server executed it without crashing; returns `true` if that clears a
+    /// suspicion.
+    pub(crate) fn note_survived(&mut self, now: Instant, fp: Fingerprint) -> bool {
+        if self.proven.insert(fp, now).is_none() {
+            self.proven_order.push_back(fp);
+        }
+        while self.proven_order.len() > PROVEN_MAX {
+            if let Some(old) = self.proven_order.pop_front() {
+                self.proven.remove(&old);
+            }
+        }
+        self.suspects.remove(&fp).is_some()
+    }
+
+    /// Whether a server executed it without crashing within [`PROOF_LIFETIME`].
+    pub(crate) fn is_proven(&self, now: Instant, fp: Fingerprint) -> bool {
+        self.proven
+            .get(&fp)
+            .is_some_and(|at| now.saturating_duration_since(*at) < PROOF_LIFETIME)
+    }
+
+    /// Records that a server's connection broke under a lookup of which no part has arrived.
+    ///
+    /// When a data centre fails or is partitioned, the connections to all its servers break under
+    /// lookups that did not cause it. Breaks in one place therefore quarantine a lookup only with a
+    /// server that executed it alone. Breaks both here and in another data centre are no partition,
+    /// and a canary could then crash the last replica of a shard; the lookup is refused for a short
+    /// time, and its next submission is the canary. A proven lookup is suspected only when it broke
+    /// two servers.
+    pub(crate) fn note_crash(
+        &mut self,
+        now: Instant,
+        fp: Fingerprint,
+        crash: Crash<'_>,
+    ) -> CrashFinding {
+        let proven = self.is_proven(now, fp);
+        let expires_at = now + self.window;
+        let s = self.entry(now, fp);
+        s.expires_at = s.expires_at.max(expires_at);
+        if !s.crashed.contains(crash.server) {
+            s.crashed.push(crash.server.clone());
+        }
+        s.crashed_locally |= crash.is_local;
+        s.crashed_remotely |= !crash.is_local;
+        let crashes = s.crashes();
+        let crashes_max = if proven {
+            PROVEN_CRASHES_MAX
+        } else {
+            CRASHES_MAX
+        };
+        let is_in_both = s.crashed_locally && s.crashed_remotely && crashes >= crashes_max;
+        let quarantine = match crash.is_alone && crashes >= CRASHES_MAX {
+            true => Some(self.quarantine),
+            false if is_in_both => Some(self.quarantine.min(UNTRIED_QUARANTINE)),
+            false => None,
+        };
+        if let Some(quarantine) = quarantine {
+            self.quarantine(now, fp, quarantine);
+            return CrashFinding::Quarantined(quarantine);
+        }
+        if proven && crashes < CRASHES_MAX {
+            return CrashFinding::Harmless;
+        }
+        CrashFinding::Suspected
+    }
+
+    /// Records the lookup of this VM that is the canary of a fingerprint; others are refused
+    /// meanwhile.
+    pub(crate) fn assign_canary(&mut self, now: Instant, fp: Fingerprint, seq: LookupSeq) {
+        if let Some(s) = self.suspects.get_mut(&fp) {
+            s.canary = Some(seq);
+            s.expires_at = s.expires_at.max(now + self.window);
+        }
+    }
+
+    /// Clears the canary of a fingerprint if it was this lookup, which has ended.
+    pub(crate) fn release_canary(&mut self, fp: Fingerprint, seq: LookupSeq) {
+        if let Some(s) = self.suspects.get_mut(&fp).filter(|s| s.canary == Some(seq)) {
+            s.canary = None;
+        }
+    }
+
+    /// Applies a peer's notice: 0 `crashes` clears the fingerprint; a `quarantine` of 0 means that
+    /// the peer sends a canary now.
+    ///
+    /// Suspicion without quarantine is ignored for a lookup that recently succeeded here: a server
+    /// that fails by itself under a popular lookup would otherwise make every VM refuse that
+    /// lookup.
+    pub(crate) fn on_peer_report(
+        &mut self,
+        now: Instant,
+        fp: Fingerprint,
+        crashes: u32,
+        quarantine: Duration,
+    ) {
+        if crashes == 0 {
+            let has_canary = self.suspects.get(&fp).is_some_and(|s| s.canary.is_some());
+            if !has_canary {
+                self.suspects.remove(&fp);
+            }
+            return;
+        }
+        if quarantine == Duration::ZERO && self.is_proven(now, fp) {
+            return;
+        }
+        let quarantine = quarantine.min(self.quarantine.saturating_mul(2));
+        let expires_at = now + self.window;
+        let s = self.entry(now, fp);
+        s.reported_crashes = s.reported_crashes.max(crashes);
+        s.expires_at = s.expires_at.max(expires_at);
+        if quarantine > Duration::ZERO {
+            self.quarantine(now, fp, quarantine);
+        } else {
+            let s = self.entry(now, fp);
+            s.refused_until = s.refused_until.max(Some(now + PEER_CANARY_WAIT));
+        }
+    }
+
+    /// Returns the number of servers it is known to have crashed.
+    pub(crate) fn crashes(&self, fp: Fingerprint) -> u32 {
+        self.suspects.get(&fp).map_or(0, Suspect::crashes)
+    }
+
+    /// Returns the suspects for the dump.
+    pub(crate) fn dump(&self, now: Instant) -> Vec<SuspectDump> {
+        self.suspects
+            .iter()
+            .filter(|(_, s)| s.expires_at > now)
+            .map(|(fp, s)| SuspectDump {
+                fingerprint: *fp,
+                crashes: s.crashes(),
+                rest: s.quarantined_for(now),
+            })
+            .collect()
+    }
+
+    fn quarantine(&mut self, now: Instant, fp: Fingerprint, quarantine: Duration) {
+        self.suspicion_until = self.suspicion_until.max(Some(now + self.window));
+        self.proven.remove(&fp);
+        self.proven_order.retain(|f| *f != fp);
+        let window = self.window;
+        let s = self.entry(now, fp);
+        s.refused_until = s.refused_until.max(Some(now + quarantine));
+        // It stays a suspect for another window after its quarantine, so that its next submission
+        // is a canary.
+        s.expires_at = s.expires_at.max(now + quarantine + window);
+    }
+
+    fn entry(&mut self, now: Instant, fp: Fingerprint) -> &mut Suspect {
+        if !self.suspects.contains_key(&fp) && self.suspects.len() >= SUSPECTS_MAX {
+            self.evict_suspect(now);
+        }
+        self.suspects.entry(fp).or_insert_with(|| Suspect {
+            crashed: SmallVec::new(),
+            crashed_locally: false,
+            crashed_remotely: false,
+            reported_crashes: 0,
+            refused_until: None,
+            canary: None,
+            expires_at: now,
+        })
+    }
+
+    fn evict_suspect(&mut self, now: Instant) {
+        self.suspects.retain(|_, s| s.expires_at > now);
+        if self.suspects.len() < SUSPECTS_MAX {
+            return;
+        }
+        let soonest = self
+            .suspects
+            .iter()
+            .min_by_key(|(fp, s)| (s.expires_at, **fp))
+            .map(|(fp, _)| *fp);
+        if let Some(fp) = soonest {
+            self.suspects.remove(&fp);
+        }
+    }
+}
--- a/crates/query/src/dump.rs
+++ b/crates/query/src/dump.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of the engine on request.
+//! A dump of the engine's state for operators.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,12 +9,12 @@
 
 use crate::counters::Counters;
 use crate::engine::Engine;
-use crate::lookup::LookupRun;
+use crate::lookup::ActiveLookup;
 
-/// The engine's state, for people and `--json`.
+/// The engine's state, for operators and `--json`.
 #[derive(Clone, Debug, Serialize)]
 pub struct EngineDump {
-    /// The configuration version in force here; `None` before the first.
+    /// The configuration version in force on this VM; `None` before the first.
     pub config: Option<ConfVersion>,
     /// Whether this process is leaving.
     pub leaving: bool,
@@ -22,47 +22,47 @@
     pub groups: Vec<GroupDump>,
     /// The backend servers known, by name.
     pub servers: Vec<gs_route::ServerDump>,
-    /// Lookups that suspicion or quarantine is held against.
+    /// Lookups under suspicion or quarantine.
     pub suspects: Vec<SuspectDump>,
     /// Lookups in flight.
     pub lookups: usize,
-    /// The oldest lookups in flight, at most [`LOOKUPS_SHOWN`].
+    /// The oldest lookups in flight, at most [`DUMPED_LOOKUPS_MAX`].
     pub oldest: Vec<LookupDump>,
-    /// Parts that wait in the engine for a free connection.
+    /// Parts queued in the engine for a free connection.
     pub waiting: usize,
-    /// Attempts given up whose end the shell has not told yet.
+    /// Attempts of ended or restarted lookups whose end the I/O driver (shell) has not reported.
     pub orphans: usize,
-    /// Extra attempts that may be made at this moment.
+    /// Extra attempts that the budget allows now.
     pub extra_left: f64,
     /// The admission policy's state.
     pub admission: gs_limit::AdmissionDump,
-    /// The name of the policy that picks replicas.
+    /// The name of the replica selection policy.
     pub replica_policy: &'static str,
     /// Running totals.
     pub counters: Counters,
 }
 
-/// The most lookups that a dump spells out.
-pub const LOOKUPS_SHOWN: usize = 20;
+/// The maximum number of lookups listed in a dump.
+pub const DUMPED_LOOKUPS_MAX: usize = 20;
 
-/// A group as the engine sees it.
+/// The state of a group.
 #[derive(Clone, Debug, Serialize)]
 pub struct GroupDump {
     /// The group.
     pub group: GroupName,
-    /// The revision of its map.
+    /// The revision of its shard map.
     pub revision: u64,
     /// The snapshot that a new lookup would pin.
     pub pinned: Option<SnapshotId>,
-    /// Shards of that snapshot, and how many have a ready replica.
+    /// The number of shards of that snapshot.
     pub shards: u32,
-    /// Shards with a ready replica.
+    /// The number of those shards with a ready replica.
     pub ready: u32,
-    /// The delay after which a part from this data centre is hedged now; `None` before enough parts
-    /// were seen.
+    /// The delay after which a part from this data centre is hedged; `None` before enough samples
+    /// were recorded.
     #[serde(with = "humantime_serde")]
     pub hedge_near_after: Option<Duration>,
-    /// The same for a part from another data centre.
+    /// The hedging delay for a part from another data centre.
     #[serde(with = "humantime_serde")]
     pub hedge_far_after: Option<Duration>,
 }
@@ -72,7 +72,7 @@
 pub struct SuspectDump {
     /// The fingerprint.
     pub fingerprint: Fingerprint,
-    /// Servers that broke while they ran it, as far as is known.
+    /// The number of servers known to have crashed while they executed it.
     pub crashes: u32,
     /// How long it is refused from now; zero if only suspected.
     #[serde(with = "humantime_serde")]
@@ -82,23 +82,23 @@
 /// A lookup in flight.
 #[derive(Clone, Debug, Serialize)]
 pub struct LookupDump {
-    /// Its number.
+    /// The lookup's number.
     pub seq: LookupSeq,
     /// Its fingerprint.
     pub fingerprint: Fingerprint,
-    /// Its age.
+    /// The time since its arrival.
     #[serde(with = "humantime_serde")]
     pub age: Duration,
     /// The snapshot it is pinned to.
     pub snapshot: SnapshotId,
-    /// Shards that it asks.
+    /// The number of shards that it queries.
     pub shards: u32,
-    /// Shards whole so far.
+    /// The number of shards whose part has arrived.
     pub whole: u32,
 }
 
 impl Engine {
-    /// The state of everything, for an operator.
+    /// Returns the engine's state for operators.
     #[must_use]
     pub fn dump(&self, now: Instant) -> EngineDump {
         let groups = self.dump_groups();
@@ -108,15 +108,15 @@
             leaving: core.is_leaving,
             groups,
             servers: core.servers.by_name().map(|(_, v)| v.dump()).collect(),
-            suspects: core.suspects.dump(now),
+            suspects: core.crash_suspects.dump(now),
             lookups: self.lookups.len(),
             oldest: self
                 .lookups
                 .values()
-                .take(LOOKUPS_SHOWN)
+                .take(DUMPED_LOOKUPS_MAX)
                 .map(|lk| dump_lookup(now, lk))
                 .collect(),
-            waiting: core.waiting.parts(),
+            waiting: core.wait_queues.parts(),
             orphans: core.orphans.len(),
             extra_left: core.budget.left(),
             admission: core.admission.dump(now),
@@ -145,7 +145,7 @@
     }
 }
 
-fn dump_lookup(now: Instant, lk: &LookupRun) -> LookupDump {
+fn dump_lookup(now: Instant, lk: &ActiveLookup) -> LookupDump {
     LookupDump {
         seq: lk.seq,
         fingerprint: lk.fingerprint,
--- a/crates/query/src/engine.rs
+++ b/crates/query/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine: every lookup of a process, and what they share.
+//! The engine: dispatches events to the lookups of a process and their shared state.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,36 +15,32 @@
 
 use crate::action::Action;
 use crate::core::Core;
-use crate::core::GroupRun;
+use crate::core::GroupState;
 use crate::core::Timer;
 use crate::counters::Counters;
 use crate::event::Arrival;
 use crate::event::Event;
 use crate::event::PartReply;
 use crate::event::ServerReport;
-use crate::lookup::LookupRun;
+use crate::lookup::ActiveLookup;
 use crate::options::EngineOptions;
 use crate::policies;
 
-/// All lookups of one process as a state machine without I/O.
+/// A state machine without I/O for all lookups of one process.
 ///
-/// Feed it every [`Event`] with the time at which it happened and carry out the [`Action`]s in
-/// their order. The same events at the same times with the same seed give the same actions.
+/// Pass it every [`Event`] with the time at which it happened and carry out the [`Action`]s in
+/// order. The same events at the same times with the same seed produce the same actions.
 #[derive(Debug)]
 pub struct Engine {
     pub(crate) core: Core,
-    pub(crate) lookups: BTreeMap<LookupSeq, Box<LookupRun>>,
-    /// The time of the earliest wake-up asked for.
-    woken_at: Option<Instant>,
+    pub(crate) lookups: BTreeMap<LookupSeq, Box<ActiveLookup>>,
+    /// The time of the earliest wake-up requested.
+    wake_at: Option<Instant>,
 }
 
 #[bon]
 impl Engine {
-    /// Starts building an engine: name the VM, its incarnation and data centre, and a seed.
-    ///
-    /// # Errors
-    ///
-    /// [`ErrorKind::BadInput`] if an option is out of range or an embedded chart is broken.
+    /// Starts building an engine from the VM, its incarnation and data centre, and a seed.
     #[builder(start_fn = builder, finish_fn = build)]
     pub fn new(
         vm: VmId,
@@ -56,53 +52,62 @@
         Ok(Self {
             core: Core::new(vm, incarnation, data_centre, seed, options)?,
             lookups: BTreeMap::new(),
-            woken_at: None,
+            wake_at: None,
         })
     }
 }
 
-/// How long suspicion stays up after servers were lost together: time enough for a peer's word.
+/// How long suspicion lasts after connections to several servers were lost together, which covers
+/// the time until a peer's notice arrives.
 const SUSPICION_AFTER_LOSSES: Duration = Duration::from_secs(1);
 
 impl Engine {
-    /// Takes one event in and appends what has to be done to `out`.
+    /// Processes one event and appends the resulting actions to `out`.
     pub fn on(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Config(config) => self.config(&config),
-            Event::Group(map) => self.group(&map, out),
-            Event::Report(report) => self.report(now, &report, out),
-            Event::Sign(sign, source) => self.sign(now, sign, source, out),
-            Event::Shares(shares) => self.shares(&shares, out),
-            Event::Arrive(arrival) => self.arrive(now, arrival, out),
-            Event::Claim(seq, verdict) => {
-                self.with(seq, |core, lk| core.claimed(now, lk, verdict, out));
+            Event::Config(config) => self.on_config(&config),
+            Event::Group(map) => self.on_group(&map, out),
+            Event::Report(report) => self.on_report(now, &report, out),
+            Event::Sign(notice, source) => self.on_notice(now, notice, source, out),
+            Event::Shares(shares) => self.on_shares(&shares, out),
+            Event::Arrive(arrival) => self.on_arrival(now, arrival, out),
+            Event::Claim(seq, decision) => {
+                self.with_lookup(seq, |core, lk| {
+                    core.on_claim_decided(now, lk, decision, out)
+                });
+            }
+            Event::Sent(id) => self.on_sent(now, &id),
+            Event::Reply(id, reply) => self.on_reply(now, &id, reply, out),
+            Event::Gone(seq) => {
+                self.with_lookup(seq, |core, lk| core.on_caller_disconnect(now, lk, out))
             }
-            Event::Sent(id) => self.sent(now, &id),
-            Event::Reply(id, reply) => self.reply(now, &id, reply, out),
-            Event::Gone(seq) => self.with(seq, |core, lk| core.gone(now, lk, out)),
-            Event::Connection(server, opened) => self.connection(&server, opened),
-            Event::Lost(server) => self.lost(now, server),
-            Event::Tick => self.tick(now, out),
+            Event::Connection(server, opened) => self.on_connection(&server, opened),
+            Event::Lost(server) => self.on_connection_lost(now, server),
+            Event::Tick => self.on_tick(now, out),
             Event::Leave => self.core.is_leaving = true,
         }
-        self.follow_up(now, out);
-        self.wake(now, out);
+        self.update_queues(now, out);
+        self.request_wake(now, out);
     }
 
-    /// Running totals, for metrics.
+    /// Returns the running totals for metrics.
     #[must_use]
     pub fn counters(&self) -> &Counters {
         &self.core.counters
     }
 
-    /// Lookups in flight; zero means that a leaving process has finished.
+    /// Returns the number of lookups in flight; a leaving process has finished when it is zero.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.lookups.len()
     }
 
-    /// Runs `f` on a lookup in flight, and forgets the lookup if that ended it.
-    pub(crate) fn with(&mut self, seq: LookupSeq, f: impl FnOnce(&mut Core, &mut LookupRun)) {
+    /// Runs `f` on a lookup in flight, and removes the lookup if that ended it.
+    pub(crate) fn with_lookup(
+        &mut self,
+        seq: LookupSeq,
+        f: impl FnOnce(&mut Core, &mut ActiveLookup),
+    ) {
         let Some(lk) = self.lookups.get_mut(&seq) else {
             return;
         };
@@ -113,7 +118,7 @@
         }
     }
 
-    fn config(&mut self, config: &Config) {
+    fn on_config(&mut self, config: &Config) {
         let core = &mut self.core;
         if core.config.is_some_and(|old| old > config.version) {
             return;
@@ -127,7 +132,7 @@
             .collect();
     }
 
-    fn group(&mut self, map: &GroupMap, out: &mut Vec<Action>) {
+    fn on_group(&mut self, map: &GroupMap, out: &mut Vec<Action>) {
         let core = &mut self.core;
         let known = core.group_names.get(&map.group).copied();
         if known.is_some_and(|n| core.groups[n].view.revision() > map.revision) {
@@ -139,21 +144,21 @@
             None => {
                 core.group_names
                     .insert(map.group.clone(), core.groups.len());
-                core.groups.push(GroupRun {
+                core.groups.push(GroupState {
                     name: map.group.clone(),
                     view,
-                    hedge: policies::hedge(&core.options),
+                    hedge: policies::build_hedge_policy(&core.options),
                 });
             }
         }
         for decl in &map.servers {
             if let Some(idx) = core.servers.find(&decl.name) {
-                warm(core, idx, out);
+                request_connections(core, idx, out);
             }
         }
     }
 
-    fn report(&mut self, now: Instant, r: &ServerReport, out: &mut Vec<Action>) {
+    fn on_report(&mut self, now: Instant, r: &ServerReport, out: &mut Vec<Action>) {
         let core = &mut self.core;
         let Some(idx) = core.servers.find(&r.server) else {
             if r.draining {
@@ -169,113 +174,116 @@
         };
         match core.servers.report(now, idx, report) {
             Heard::Nothing => {}
-            Heard::Drained => core.drained(idx, "health", true, out),
+            Heard::Drained => core.on_drained(idx, "health", true, out),
             Heard::NewRun => {
-                core.freed.push(idx);
-                warm(core, idx, out);
+                core.freed_servers.push(idx);
+                request_connections(core, idx, out);
             }
         }
     }
 
-    fn shares(&mut self, shares: &[(ServerName, Connections)], out: &mut Vec<Action>) {
+    fn on_shares(&mut self, shares: &[(ServerName, Connections)], out: &mut Vec<Action>) {
         for (name, share) in shares {
             let Some(idx) = self.core.servers.find(name) else {
                 self.core.servers.share_early(name, *share);
                 continue;
             };
             self.core.servers.set_share(idx, *share);
-            self.core.freed.push(idx);
-            warm(&self.core, idx, out);
+            self.core.freed_servers.push(idx);
+            request_connections(&self.core, idx, out);
         }
     }
 
-    fn arrive(&mut self, now: Instant, arrival: Arrival, out: &mut Vec<Action>) {
+    fn on_arrival(&mut self, now: Instant, arrival: Arrival, out: &mut Vec<Action>) {
         let seq = arrival.seq;
         if self.lookups.contains_key(&seq) {
             log::error!("event=lookup-number-used-twice lookup={seq}");
             return;
         }
-        if let Some(lk) = self.core.arrive(now, arrival, out) {
+        if let Some(lk) = self.core.on_arrival(now, arrival, out) {
             self.lookups.insert(seq, lk);
         }
         self.core.in_flight = self.lookups.len();
     }
 
-    fn sent(&mut self, now: Instant, id: &AttemptId) {
+    fn on_sent(&mut self, now: Instant, id: &AttemptId) {
         if !self.is_ours(id) {
             return;
         }
         match self.lookups.get_mut(&id.lookup) {
-            Some(lk) => self.core.sent(now, lk, id),
-            None => self.core.orphan_sent(id),
+            Some(lk) => self.core.on_sent(now, lk, id),
+            None => self.core.on_orphan_sent(id),
         }
     }
 
-    fn reply(&mut self, now: Instant, id: &AttemptId, reply: PartReply, out: &mut Vec<Action>) {
+    fn on_reply(&mut self, now: Instant, id: &AttemptId, reply: PartReply, out: &mut Vec<Action>) {
         if !self.is_ours(id) {
             self.core.counters.stray_replies += 1;
             return;
         }
         if !self.lookups.contains_key(&id.lookup) {
-            self.core.orphan_replied(now, id, &reply, out);
+            self.core.on_orphan_reply(now, id, &reply, out);
             return;
         }
-        self.with(id.lookup, |core, lk| core.replied(now, lk, id, reply, out));
+        self.with_lookup(id.lookup, |core, lk| core.on_reply(now, lk, id, reply, out));
     }
 
-    /// Whether an attempt id was made by this run of this VM.
+    /// Whether an attempt id was issued by this incarnation of this VM.
     fn is_ours(&self, id: &AttemptId) -> bool {
         id.incarnation == self.core.incarnation && id.vm == self.core.vm
     }
 
-    fn connection(&mut self, server: &ServerName, opened: bool) {
+    fn on_connection(&mut self, server: &ServerName, opened: bool) {
         if let Some(idx) = self.core.servers.find(server) {
             self.core.servers.connection(idx, opened);
         }
     }
 
-    fn lost(&mut self, now: Instant, server: ServerName) {
-        if self.core.losses.note(now, server) {
-            self.core.suspects.raise(now, SUSPICION_AFTER_LOSSES);
+    fn on_connection_lost(&mut self, now: Instant, server: ServerName) {
+        if self.core.connection_losses.note_loss(now, server) {
+            self.core
+                .crash_suspects
+                .raise_suspicion(now, SUSPICION_AFTER_LOSSES);
         }
     }
 
-    fn tick(&mut self, now: Instant, out: &mut Vec<Action>) {
-        self.woken_at = None;
+    fn on_tick(&mut self, now: Instant, out: &mut Vec<Action>) {
+        self.wake_at = None;
         while let Some((at, timer)) = self.core.timers.first().copied() {
             if at > now {
                 break;
             }
             self.core.timers.remove(&(at, timer));
             match timer {
-                Timer::Lookup(seq) => self.with(seq, |core, lk| core.due(now, lk, out)),
-                Timer::Server(server) => self.core.freed.push(server),
-                Timer::Orphans => self.core.drop_orphans(now),
+                Timer::Lookup(seq) => self.with_lookup(seq, |core, lk| core.on_timer(now, lk, out)),
+                Timer::Server(server) => self.core.freed_servers.push(server),
+                Timer::Orphans => self.core.release_expired_orphans(now),
             }
         }
     }
 
-    /// Serves the queues of servers that changed or have a connection free, until none is left.
-    fn follow_up(&mut self, now: Instant, out: &mut Vec<Action>) {
+    /// Dispatches or requeues waiting parts until no server is left that changed or has a
+    /// connection freed.
+    fn update_queues(&mut self, now: Instant, out: &mut Vec<Action>) {
         loop {
-            if let Some(server) = self.core.changed.pop() {
-                self.place_anew(now, server, out);
-            } else if let Some(server) = self.core.freed.pop() {
-                self.serve_queue(now, server, out);
+            if let Some(server) = self.core.changed_servers.pop() {
+                self.requeue_waiting(now, server, out);
+            } else if let Some(server) = self.core.freed_servers.pop() {
+                self.dispatch_waiting(now, server, out);
             } else {
                 return;
             }
         }
     }
 
-    fn place_anew(&mut self, now: Instant, server: ServerIdx, out: &mut Vec<Action>) {
-        for ticket in self.core.waiting.all(server) {
-            self.with(ticket.seq, |core, lk| core.requeue(now, lk, ticket.at, out));
+    fn requeue_waiting(&mut self, now: Instant, server: ServerIdx, out: &mut Vec<Action>) {
+        for part in self.core.wait_queues.all(server) {
+            self.with_lookup(part.seq, |core, lk| core.requeue(now, lk, part.pos, out));
         }
     }
 
-    fn serve_queue(&mut self, now: Instant, server: ServerIdx, out: &mut Vec<Action>) {
-        while let Some(ticket) = self.core.waiting.first(server) {
+    fn dispatch_waiting(&mut self, now: Instant, server: ServerIdx, out: &mut Vec<Action>) {
+        while let Some(part) = self.core.wait_queues.first(server) {
             match self.core.servers.standing(now, server) {
                 Standing::Free => {}
                 Standing::Paused(until) | Standing::Resting(until) => {
@@ -284,25 +292,25 @@
                 }
                 Standing::Busy | Standing::Out => return,
             }
-            self.with(ticket.seq, |core, lk| {
-                core.serve(now, lk, ticket.at, server, out);
+            self.with_lookup(part.seq, |core, lk| {
+                core.dispatch_waiting(now, lk, part.pos, server, out);
             });
         }
     }
 
-    fn wake(&mut self, now: Instant, out: &mut Vec<Action>) {
+    fn request_wake(&mut self, now: Instant, out: &mut Vec<Action>) {
         let Some((first, _)) = self.core.timers.first().copied() else {
             return;
         };
-        if self.woken_at.is_none_or(|at| first < at) {
-            self.woken_at = Some(first);
+        if self.wake_at.is_none_or(|at| first < at) {
+            self.wake_at = Some(first);
             out.push(Action::Wake(first.saturating_duration_since(now)));
         }
     }
 }
 
-/// Asks the shell to hold this VM's share of connections to a server ready.
-fn warm(core: &Core, idx: ServerIdx, out: &mut Vec<Action>) {
+/// Requests that this VM's share of connections to a server is kept open.
+fn request_connections(core: &Core, idx: ServerIdx, out: &mut Vec<Action>) {
     let view = core.servers.view(idx);
     if !view.is_draining() {
         out.push(Action::Warm(view.decl().name.clone(), view.share()));
--- a/crates/query/src/event.rs
+++ b/crates/query/src/event.rs
@@ -1,4 +1,4 @@
-//! What the engine is told.
+//! The engine's inputs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,47 +10,47 @@
 
 use crate::action::Notice;
 
-/// One input of the engine; a trace is a list of these with their times.
+/// One input of the engine; a trace is a list of events with their times.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
-    /// A configuration version is in force here from now on; an older one is ignored.
+    /// A configuration version is now in force on this VM; an older one is ignored.
     Config(Arc<Config>),
     /// The newest shard map of a group; an older revision is ignored.
     Group(Arc<GroupMap>),
-    /// What a server's health and load endpoint says, a hint only.
+    /// A report from a server's health and load endpoint, which may be out of date.
     Report(ServerReport),
-    /// A drain or quarantine, from a peer or from the platform's list.
+    /// A drain or quarantine notice, from a peer or from the platform's list.
     Sign(Notice, NoticeSource),
-    /// How many connections this VM may hold open to each server from now on.
+    /// The number of connections this VM may hold open to each server from now on.
     Shares(Vec<(ServerName, Connections)>),
     /// A caller's lookup arrived.
     Arrive(Arrival),
-    /// The claim asked for by [`crate::Action::Claim`] is decided.
+    /// The claim requested by [`crate::Action::Claim`] is decided.
     Claim(LookupSeq, ClaimDecision),
-    /// An attempt is about to put its first byte on a connection: the point of no return.
+    /// The first byte of an attempt is about to be sent, so the server may execute it.
     Sent(AttemptId),
-    /// An attempt ended. Each [`crate::Action::Dispatch`] gets exactly one, also after a cancel;
-    /// until it came, an attempt handed over may pass the point of no return at any moment.
+    /// An attempt ended. Each [`crate::Action::Dispatch`] gets exactly one of these, also after a
+    /// cancel; until then, the first byte of a dispatched attempt may be sent at any moment.
     Reply(AttemptId, PartReply),
-    /// The caller of this lookup hung up.
+    /// The caller of this lookup disconnected.
     Gone(LookupSeq),
     /// A connection to a server opened (`true`) or closed (`false`).
     Connection(ServerName, bool),
-    /// A server closed a connection that this process would have kept, or stopped answering on it.
+    /// A server closed a connection that this process would have kept, or stopped responding on it.
     Lost(ServerName),
-    /// A timer asked for by [`crate::Action::Wake`] is due.
+    /// A timer requested by [`crate::Action::Wake`] expired.
     Tick,
-    /// This process is leaving: refuse new lookups, finish the ones in flight.
+    /// This process is leaving: it refuses new lookups and finishes those in flight.
     Leave,
 }
 
-/// A caller's lookup, with the number the shell gave it.
+/// A caller's lookup with the number that the I/O driver (shell) assigned.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Arrival {
     /// The number, unique in this incarnation.
     pub seq: LookupSeq,
-    /// What is asked.
+    /// The caller's request.
     pub req: LookupRequest,
 }
 
@@ -58,15 +58,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClaimDecision {
-    /// This lookup, and no other with its key ever, may be sent.
+    /// This lookup may be sent, and never another one with the same key.
     Granted,
-    /// The key was claimed before; whether that run was sent is not known here.
+    /// The key was claimed before; whether that submission was sent is not known here.
     Taken,
-    /// The key is outside the claim window: never granted, now or later.
+    /// The key is outside the claim window, so it can never be granted.
     Expired,
-    /// The claim was not made, and nothing of it can take effect later.
+    /// The claim was not made and cannot take effect later.
     Refused,
-    /// The claim may have been made or may yet be, so the key may be used up.
+    /// The claim may have been made or may still be, so the key may be used up.
     Unknown,
 }
 
@@ -74,64 +74,64 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PartReply {
-    /// A part whose length, digest and attempt id were checked.
+    /// A complete part; its length, digest and attempt id were checked.
     Whole {
-        /// The snapshot that the server says it is from.
+        /// The snapshot of the part, as reported by the server.
         snapshot: SnapshotId,
         /// The part.
         part: Arc<Part>,
-        /// Lookups running or queued on the server when it answered.
+        /// Lookups running or queued on the server when it replied.
         load: u32,
-        /// Whether the server says it is draining.
+        /// Whether the server reports that it is draining.
         draining: bool,
     },
-    /// The server refused for load and says that it did not run this attempt.
+    /// The server shed it and reports that it did not execute it.
     Shed {
-        /// When the server wants to be asked again.
+        /// How long to wait before the next attempt at this server.
         retry_after: Duration,
     },
-    /// The server is draining and says that it did not run this attempt.
+    /// The server is draining and reports that it did not execute it.
     Draining,
-    /// The server does not hold the pinned snapshot and did not run this attempt.
+    /// The server does not hold the pinned snapshot and did not execute it.
     NoSnapshot {
-        /// The snapshots that it does hold.
+        /// The snapshots that it holds.
         holds: SmallVec<[SnapshotId; 4]>,
     },
-    /// The attempt never left: no connection in time, or cancelled before the point of no return.
+    /// No byte was sent: no connection in time, or cancelled before.
     NotSent,
-    /// The connection broke after the point of no return; the server may have crashed on it.
+    /// The connection broke after the first byte was sent; the server may have crashed on it.
     Broken,
-    /// The reply was garbled, cut short or carried another attempt's id.
+    /// The reply was malformed, truncated or carried another attempt's id.
     Garbled,
-    /// The server answered with an error of its own.
+    /// The server replied with an error.
     Failed,
-    /// Nothing came back within the attempt's time.
+    /// No reply arrived within the attempt's time.
     Late,
-    /// Stopped by [`crate::Action::Cancel`] after the point of no return; it may have run, and its
-    /// connection is closed or free again.
+    /// Stopped by [`crate::Action::Cancel`] after the first byte was sent; it may have been
+    /// executed, and its connection is closed or free again.
     Cancelled,
 }
 
-/// What a server's health and load endpoint says.
+/// A report from a server's health and load endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerReport {
     /// The server.
     pub server: ServerName,
-    /// The run of the server, so that a restart clears a drain mark; `None` if it did not answer.
+    /// The server's incarnation, by which a restart clears a drain; `None` if it did not respond.
     pub incarnation: Option<Incarnation>,
-    /// The snapshots that it says are ready.
+    /// The snapshots that it reports as ready.
     pub snapshots: SmallVec<[SnapshotId; 4]>,
-    /// The load that it claims.
+    /// The load that it reports.
     pub load: u32,
-    /// Whether it says it is draining.
+    /// Whether it reports that it is draining.
     pub draining: bool,
 }
 
-/// Where a sign came from.
+/// The source of a notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NoticeSource {
-    /// Another VM's gossip.
+    /// Gossip from another VM.
     Peer,
     /// The platform's list.
     Platform,
--- a/crates/query/src/finish.rs
+++ b/crates/query/src/finish.rs
@@ -1,4 +1,4 @@
-//! The end of a lookup: its one outcome.
+//! Ends lookups: decides and sends the outcome and releases resources.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,23 +11,23 @@
 use crate::core::Core;
 use crate::core::Orphan;
 use crate::core::Timer;
-use crate::lookup::LookupRun;
+use crate::lookup::ActiveLookup;
 use crate::lookup::Phase;
 use crate::lookup::ShardState;
 use crate::merge;
 
-/// When a refusal without a better time is worth asking again.
+/// When a caller may retry if no better time is known.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// How long after a lookup's end the shell may take to tell the end of its attempts.
+/// How long after a lookup's end the I/O driver (shell) may take to report the end of its attempts.
 const ORPHAN_GRACE: Duration = Duration::from_secs(2);
 
 impl Core {
-    /// Ends the lookup if nothing more can come, or if there are hits enough; begins it again first
-    /// if a shard's snapshot is gone.
+    /// Ends the lookup if no further part can arrive or it has enough hits; first restarts it if a
+    /// shard's snapshot was dropped.
     ///
-    /// Nothing that walks over the shards may come after this, as a restart replaces them.
-    pub(crate) fn check_end(&mut self, now: Instant, lk: &mut LookupRun, out: &mut Vec<Action>) {
+    /// A restart replaces the shards, so no iteration over them may continue after this call.
+    pub(crate) fn check_end(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
         if lk.is_done || lk.phase == Phase::Claiming {
             return;
         }
@@ -36,61 +36,63 @@
         }
         let shards = lk.shards.len() as u32;
         if lk.whole + lk.missing >= shards {
-            self.conclude(now, lk, false, out);
+            self.finish_with_parts(now, lk, false, out);
             return;
         }
-        if lk.is_hopeless() {
-            self.conclude(now, lk, false, out);
+        if lk.is_unanswerable() {
+            self.finish_with_parts(now, lk, false, out);
             return;
         }
         let enough = lk.decl.enough_at.map_or(u64::MAX, u64::from);
         if lk.decl.promise == Promise::Urgent && lk.whole > 0 && lk.hits >= enough {
-            self.conclude(now, lk, true, out);
+            self.finish_with_parts(now, lk, true, out);
         }
     }
 
-    /// Ends the lookup with what is there.
-    pub(crate) fn conclude(
+    /// Ends the lookup with the parts that have arrived.
+    pub(crate) fn finish_with_parts(
         &mut self,
         now: Instant,
-        lk: &mut LookupRun,
+        lk: &mut ActiveLookup,
         ended_early: bool,
         out: &mut Vec<Action>,
     ) {
         let is_full = lk.whole as usize == lk.shards.len();
         if !is_full && !ended_early {
-            self.log_shortfall(now, lk);
+            self.log_incomplete(now, lk);
         }
         let outcome = match lk.decl.promise {
-            _ if is_full => Outcome::Answered(merge::answer(lk, ended_early)),
-            // A page without a single shard behind it would read as "nothing matches".
-            Promise::Urgent if lk.whole > 0 => Outcome::Answered(merge::answer(lk, ended_early)),
-            Promise::Urgent | Promise::Complete => self.incomplete(now, lk),
-            Promise::AtMostOnce => once_failed(lk),
+            _ if is_full => Outcome::Answered(merge::merge_parts(lk, ended_early)),
+            // A page without any part would be read as "nothing matches".
+            Promise::Urgent if lk.whole > 0 => {
+                Outcome::Answered(merge::merge_parts(lk, ended_early))
+            }
+            Promise::Urgent | Promise::Complete => self.incomplete_outcome(now, lk),
+            Promise::AtMostOnce => once_failed_outcome(lk),
         };
         self.finish(now, lk, outcome, out);
     }
 
-    /// Ends the lookup with a refusal, which says `not-run` only if that is true.
+    /// Ends the lookup with a refusal, which is `not-run` only if nothing was executed.
     pub(crate) fn refuse(
         &mut self,
         now: Instant,
-        lk: &mut LookupRun,
+        lk: &mut ActiveLookup,
         refusal: Refusal,
         out: &mut Vec<Action>,
     ) {
-        let outcome = by_truth(lk, refusal);
+        let outcome = refusal_outcome(lk, refusal);
         self.finish(now, lk, outcome, out);
     }
 
-    fn incomplete(&self, now: Instant, lk: &LookupRun) -> Outcome {
+    fn incomplete_outcome(&self, now: Instant, lk: &ActiveLookup) -> Outcome {
         let unsent = lk.may_have_run == 0 && now >= lk.answer_by;
         let reason = if unsent {
             RefusalReason::TooLate
         } else {
             RefusalReason::Incomplete
         };
-        by_truth(
+        refusal_outcome(
             lk,
             Refusal {
                 reason,
@@ -100,46 +102,52 @@
         )
     }
 
-    /// Gives the last word, and lets go of everything that the lookup held.
+    /// Sends the outcome and releases everything that the lookup held.
     pub(crate) fn finish(
         &mut self,
         now: Instant,
-        lk: &mut LookupRun,
+        lk: &mut ActiveLookup,
         outcome: Outcome,
         out: &mut Vec<Action>,
     ) {
-        if !lk.is_gone {
-            self.counters.ended(&outcome);
+        if !lk.is_caller_disconnected {
+            self.counters.count_outcome(&outcome);
             out.push(Action::Answer(lk.seq, outcome));
         }
-        self.let_go(now, lk, out);
+        self.release(now, lk, out);
     }
 
-    /// The caller hung up.
+    /// Handles a caller's disconnection.
     ///
-    /// An at-most-once lookup that is with a server goes on: stopped, it would be open whether it
-    /// ran, and its key is used up either way.
-    pub(crate) fn gone(&mut self, now: Instant, lk: &mut LookupRun, out: &mut Vec<Action>) {
-        if !lk.is_gone {
+    /// An at-most-once lookup that was dispatched to a server continues: cancelling it would leave
+    /// unknown whether it was executed, and its key is used up either way.
+    pub(crate) fn on_caller_disconnect(
+        &mut self,
+        now: Instant,
+        lk: &mut ActiveLookup,
+        out: &mut Vec<Action>,
+    ) {
+        if !lk.is_caller_disconnected {
             self.counters.gone += 1;
         }
-        lk.is_gone = true;
+        lk.is_caller_disconnected = true;
         if !(lk.is_once() && lk.may_have_run > 0) {
-            self.let_go(now, lk, out);
+            self.release(now, lk, out);
         }
     }
 
-    /// Lets go of everything that the lookup held; its last word was given or has no reader.
-    pub(crate) fn let_go(&mut self, now: Instant, lk: &mut LookupRun, out: &mut Vec<Action>) {
+    /// Releases everything that the lookup held, after its outcome was sent or its caller
+    /// disconnected.
+    pub(crate) fn release(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
         lk.is_done = true;
         let waited = lk.shards.iter().any(|s| s.state == ShardState::Waiting);
-        for at in 0..lk.shards.len() {
-            self.unqueue(lk, at);
-            self.stop_attempts(now, lk, at, out);
+        for pos in 0..lk.shards.len() {
+            self.dequeue(lk, pos);
+            self.stop_attempts(now, lk, pos, out);
         }
-        self.orphan_all(now, lk);
+        self.orphan_attempts(now, lk);
         self.disarm(lk);
-        self.suspects.ended(lk.fingerprint, lk.seq);
+        self.crash_suspects.release_canary(lk.fingerprint, lk.seq);
         self.admission.ended(
             now,
             &Ended {
@@ -149,8 +157,8 @@
         );
     }
 
-    /// Keeps count of attempts that the shell has yet to end.
-    pub(crate) fn orphan_all(&mut self, now: Instant, lk: &LookupRun) {
+    /// Records the lookup's attempts whose end was not reported yet as orphans.
+    pub(crate) fn orphan_attempts(&mut self, now: Instant, lk: &ActiveLookup) {
         let expires = now.max(lk.answer_by) + ORPHAN_GRACE;
         let was_empty = self.orphans.is_empty();
         for s in &lk.shards {
@@ -164,9 +172,9 @@
                 }
                 let orphan = Orphan {
                     server: a.server,
-                    at: a.at,
+                    dispatched_at: a.dispatched_at,
                     fingerprint: lk.fingerprint,
-                    is_sent: a.sent.is_some(),
+                    is_sent: a.sent_at.is_some(),
                     is_proven: lk.is_proven,
                     answer_by: lk.answer_by,
                     expires,
@@ -180,21 +188,22 @@
     }
 }
 
-/// `not-run` if nothing was handed over that did not come back as not run, else `unknown`.
-fn by_truth(lk: &LookupRun, refusal: Refusal) -> Outcome {
+/// Returns `not-run` if every dispatched attempt was reported as not executed, else `unknown`.
+fn refusal_outcome(lk: &ActiveLookup, refusal: Refusal) -> Outcome {
     if lk.may_have_run == 0 {
-        by_key(lk.idempotency_key.is_some(), lk.was_granted, refusal)
+        not_run_outcome(lk.idempotency_key.is_some(), lk.was_granted, refusal)
     } else {
         Outcome::Unknown(refusal)
     }
 }
 
-/// `not-run`, unless the lookup has an idempotency key whose claim was not granted to it.
+/// Returns `not-run`, or `unknown` if the lookup has an idempotency key whose claim was not granted
+/// to it.
 ///
-/// Guards against a doubled renewal: a caller whose resend is refused with `not-run` mints a new key,
-/// while an earlier submission under the old key runs at another VM. Only the claim, which no two
-/// submissions can hold, tells that there is none.
-pub(crate) fn by_key(has_key: bool, was_granted: bool, refusal: Refusal) -> Outcome {
+/// This prevents double execution: after `not-run` a caller retries with a new key, while an
+/// earlier submission under the old key may be executed through another VM. Only the claim, which
+/// no two submissions can hold, shows that there is none.
+pub(crate) fn not_run_outcome(has_key: bool, was_granted: bool, refusal: Refusal) -> Outcome {
     if has_key && !was_granted {
         Outcome::Unknown(refusal)
     } else {
@@ -202,11 +211,11 @@
     }
 }
 
-/// The refusal of an at-most-once lookup whose claim was granted.
+/// Returns the outcome of an at-most-once lookup whose claim was granted but which has no part.
 ///
-/// Its key is used up whatever happened. If nothing ran, nothing can run under that key any more,
-/// so `not-run` without a time to come back says: ask again with a new key, and only then.
-fn once_failed(lk: &LookupRun) -> Outcome {
+/// Its key is used up in any case. If nothing was executed, nothing can be under that key any more,
+/// so `not-run` without a retry time means that the caller may retry with a new key only.
+fn once_failed_outcome(lk: &ActiveLookup) -> Outcome {
     let miss = lk.shards.first().map_or(MissReason::Late, |s| s.miss);
     let reason = match miss {
         _ if lk.may_have_run > 0 => RefusalReason::Failed,
@@ -215,7 +224,7 @@
         MissReason::SnapshotGone => RefusalReason::NoSnapshot,
         _ => RefusalReason::Failed,
     };
-    by_truth(
+    refusal_outcome(
         lk,
         Refusal {
             reason,
--- a/crates/query/src/keyed.rs
+++ b/crates/query/src/keyed.rs
@@ -1,8 +1,9 @@
-//! Which shard holds a key.
+//! The mapping of keys to shards.
 
 use gs_types::prelude::*;
 
-/// The shard of a keyed lookup's key in a snapshot with so many shards; `None` if it has none.
+/// Returns the shard of a keyed lookup's key in a snapshot with the given number of shards; `None`
+/// if it has no shards.
 ///
 /// Publishers' pipelines place a keyed record by the same rule: [`Fingerprint::of`] the key alone,
 /// modulo the number of shards.
--- a/crates/query/src/lib.rs
+++ b/crates/query/src/lib.rs
@@ -1,36 +1,37 @@
-//! One lookup's life, and the engine that runs all of a process's lookups.
+//! The query engine: runs every lookup of a process over the shards of its group.
 //!
-//! The engine is a plain state machine: [`Event`]s in, [`Action`]s out, `now` passed in, no I/O and
-//! no random source of its own. A process, a replayed trace and a fuzzer all drive the same code.
+//! The engine is a pure state machine: it takes [`Event`]s and the current time, returns
+//! [`Action`]s, and has no I/O and no random source of its own. A process, a replayed trace and a
+//! fuzzer run the same code.
 
 mod action;
-mod arrive;
+mod arrival;
 mod attempt;
 mod canary;
 mod claim;
+mod connection_losses;
 mod core;
 mod counters;
+mod crash_suspects;
 mod dump;
 mod engine;
 mod event;
 mod finish;
-mod heard;
+mod incomplete_log;
 mod keyed;
-mod life;
+mod lifecycle;
 mod lookup;
-mod losses;
 mod merge;
+mod notices;
 mod options;
 mod orphan;
-mod place;
+mod placement;
 mod policies;
 mod queue;
 mod reply;
-mod shortfall;
-mod signs;
-mod suspects;
+mod server_reply;
 mod timers;
-mod waiting;
+mod wait_queues;
 
 pub use action::Action;
 pub use action::Dispatch;
@@ -41,9 +42,9 @@
 pub use attempt::attempt_chart;
 pub use counters::Counters;
 pub use counters::RefusalCount;
+pub use dump::DUMPED_LOOKUPS_MAX;
 pub use dump::EngineDump;
 pub use dump::GroupDump;
-pub use dump::LOOKUPS_SHOWN;
 pub use dump::LookupDump;
 pub use dump::SuspectDump;
 pub use engine::Engine;
--- a/crates/query/src/lookup.rs
+++ b/crates/query/src/lookup.rs
@@ -1,4 +1,4 @@
-//! The state of one lookup in flight.
+//! The state of a lookup in flight.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -9,57 +9,57 @@
 use smallvec::SmallVec;
 
 use crate::attempt::Attempt;
-use crate::attempt::Kind;
+use crate::attempt::Cause;
 
-/// The most attempts at one shard, those that never left included.
+/// The maximum number of attempts at one shard, those never sent included.
 const ATTEMPTS_MAX: usize = 32;
 
-/// What a lookup is doing.
+/// The phase of a lookup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// Waits for the claim of an at-most-once lookup.
     Claiming,
-    /// A server broke on it before any part was whole: everything is stopped until the attempts
-    /// under way have ended, or until then.
-    Settling(Instant),
-    /// One server alone sees it, at this position of [`LookupRun::shards`].
+    /// A server crashed under it before any part arrived: all attempts are cancelled, and the
+    /// canary follows when they have ended or at this time.
+    Quiescing(Instant),
+    /// A canary is in flight at the shard at this position of [`ActiveLookup::shards`].
     Canary(usize),
-    /// Every shard is asked.
+    /// Every shard is queried.
     Running,
 }
 
-/// What one shard of a lookup is doing.
+/// The state of one shard of a lookup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub(crate) enum ShardState {
-    /// Not begun, or held back under suspicion.
+    /// Not started, or held back under suspicion.
     Held,
-    /// Waits for a free connection.
+    /// Queued for a free connection.
     Waiting,
-    /// An attempt is under way.
+    /// An attempt is in flight.
     Running,
-    /// Its part is in.
+    /// Its part has arrived.
     Whole,
-    /// Given up.
+    /// Abandoned.
     Missing,
 }
 
 /// One shard of a lookup.
 #[derive(Clone, Debug)]
-pub(crate) struct ShardRun {
+pub(crate) struct LookupShard {
     pub(crate) id: ShardId,
     pub(crate) state: ShardState,
     pub(crate) part: Option<Arc<Part>>,
     pub(crate) attempts: SmallVec<[Attempt; 2]>,
-    /// Why it would be missing if nothing better came.
+    /// The reason to report if no part arrives.
     pub(crate) miss: MissReason,
-    /// The servers in whose queue it stands while it waits.
+    /// The servers in whose queues it waits.
     pub(crate) queued_at: SmallVec<[ServerIdx; 2]>,
-    /// The kind of the attempt that it waits to make.
-    pub(crate) queued_as: Kind,
+    /// The cause of the queued attempt.
+    pub(crate) queued_cause: Cause,
 }
 
-impl ShardRun {
+impl LookupShard {
     pub(crate) fn new(id: ShardId) -> Self {
         Self {
             id,
@@ -68,102 +68,102 @@
             attempts: SmallVec::new(),
             miss: MissReason::Late,
             queued_at: SmallVec::new(),
-            queued_as: Kind::First,
+            queued_cause: Cause::First,
         }
     }
 
-    /// Whether an attempt is under way that is still wanted.
+    /// Whether an attempt is in flight whose part is still wanted.
     pub(crate) fn has_live(&self) -> bool {
         self.attempts.iter().any(Attempt::is_live)
     }
 
-    /// Whether it had all its tries; those that never left count only against the upper bound.
-    pub(crate) fn is_used_up(&self, tries_max: u16) -> bool {
-        let tries = self.attempts.iter().filter(|a| a.sent.is_some()).count();
+    /// Whether no further attempt is allowed; those never sent count only against [`ATTEMPTS_MAX`].
+    pub(crate) fn has_no_tries_left(&self, tries_max: u16) -> bool {
+        let tries = self.attempts.iter().filter(|a| a.sent_at.is_some()).count();
         tries >= usize::from(tries_max) || self.attempts.len() >= ATTEMPTS_MAX
     }
 
-    /// Whether neither a part nor a miss is final.
+    /// Whether neither its part has arrived nor it was abandoned.
     pub(crate) fn is_open(&self) -> bool {
         !matches!(self.state, ShardState::Whole | ShardState::Missing)
     }
 }
 
-/// One lookup in flight.
+/// A lookup in flight.
 #[derive(Debug)]
-pub(crate) struct LookupRun {
+pub(crate) struct ActiveLookup {
     pub(crate) seq: LookupSeq,
     pub(crate) decl: Arc<Lookup>,
-    /// The place of its group in the engine.
+    /// The index of its group in the engine.
     pub(crate) group: usize,
     pub(crate) query: Arc<str>,
     pub(crate) key: Option<Arc<str>>,
     pub(crate) idempotency_key: Option<IdempotencyKey>,
     pub(crate) fingerprint: Fingerprint,
-    pub(crate) floor: Option<SnapshotId>,
+    pub(crate) snapshot_min: Option<SnapshotId>,
     pub(crate) arrived: Instant,
-    /// When its answer goes out at the latest.
+    /// The latest time at which its answer is sent.
     pub(crate) answer_by: Instant,
     pub(crate) phase: Phase,
     pub(crate) snapshot: Arc<Snapshot>,
-    pub(crate) shards: Vec<ShardRun>,
-    /// When parts lost before any was whole are asked for again at the latest.
+    pub(crate) shards: Vec<LookupShard>,
+    /// The latest time at which failed parts that are held are retried.
     pub(crate) held_until: Option<Instant>,
-    /// Whether it must show one server alone before it is fanned out.
-    pub(crate) canary_first: bool,
-    /// The number of the first attempt at each shard; grows with every restart, so that an attempt
-    /// at another snapshot's shard of the same number never has the same id.
-    pub(crate) first_number: u16,
+    /// Whether it must send a canary before its fan-out.
+    pub(crate) needs_canary: bool,
+    /// The number of the first attempt at each shard; increases with every restart, so that
+    /// attempts at equally numbered shards of two snapshots never have the same id.
+    pub(crate) first_attempt_number: u16,
     pub(crate) whole: u32,
     pub(crate) missing: u32,
     pub(crate) hits: u64,
-    /// Attempts handed over that did not come back as not run.
+    /// Dispatched attempts that were not reported as not executed.
     pub(crate) may_have_run: u32,
-    /// Whether an attempt passed the point of no return.
+    /// Whether the first byte of an attempt was sent.
     pub(crate) was_sent: bool,
     /// Whether its claim was granted.
     pub(crate) was_granted: bool,
-    /// Whether a server ran it and lived.
+    /// Whether a server executed it without crashing.
     pub(crate) is_proven: bool,
     pub(crate) is_congested: bool,
-    pub(crate) extra: u32,
+    pub(crate) extra_attempts: u32,
     pub(crate) restarts: u8,
-    /// When the engine looks at it next.
+    /// The time of its timer.
     pub(crate) timer: Option<Instant>,
     /// Whether a shard's replicas dropped the pinned snapshot, so that another should be pinned.
     pub(crate) wants_restart: bool,
-    /// Whether its caller hung up, so that nobody hears its last word.
-    pub(crate) is_gone: bool,
-    /// Whether its last word was given.
+    /// Whether its caller disconnected, so that no response is sent.
+    pub(crate) is_caller_disconnected: bool,
+    /// Whether it has ended.
     pub(crate) is_done: bool,
 }
 
-impl LookupRun {
-    /// Whether it must run at most once.
+impl ActiveLookup {
+    /// Whether it must be executed at most once.
     pub(crate) fn is_once(&self) -> bool {
         self.decl.promise == Promise::AtMostOnce
     }
 
-    /// Whether what is missing already rules an answer out on this snapshot.
-    pub(crate) fn is_hopeless(&self) -> bool {
+    /// Whether the missing shards already rule out an answer on this snapshot.
+    pub(crate) fn is_unanswerable(&self) -> bool {
         self.missing > 0 && self.decl.promise == Promise::Complete
     }
 
-    /// The place of a shard in [`LookupRun::shards`].
+    /// Returns the position of a shard in [`ActiveLookup::shards`].
     pub(crate) fn position(&self, shard: ShardId) -> Option<usize> {
         match self.decl.scope {
-            Scope::Scatter => Some(shard.0 as usize).filter(|at| *at < self.shards.len()),
+            Scope::Scatter => Some(shard.0 as usize).filter(|pos| *pos < self.shards.len()),
             Scope::Keyed => self.shards.iter().position(|s| s.id == shard),
         }
     }
 
-    /// The replicas of the shard at this position.
-    pub(crate) fn replicas(&self, at: usize) -> &[ServerIdx] {
-        let shard = self.shards[at].id.0 as usize;
+    /// Returns the replicas of the shard at this position.
+    pub(crate) fn replicas(&self, pos: usize) -> &[ServerIdx] {
+        let shard = self.shards[pos].id.0 as usize;
         self.snapshot.shards.get(shard).map_or(&[], |r| r)
     }
 
-    /// Pins a snapshot and begins every shard anew.
+    /// Pins a snapshot and resets every shard.
     pub(crate) fn pin(&mut self, snapshot: Arc<Snapshot>) {
         let used = self
             .shards
@@ -172,8 +172,8 @@
             .max()
             .unwrap_or(0);
         let used = u16::try_from(used).unwrap_or(u16::MAX);
-        self.first_number = self.first_number.saturating_add(used);
-        self.shards = self.shards_of(&snapshot);
+        self.first_attempt_number = self.first_attempt_number.saturating_add(used);
+        self.shards = self.new_shards(&snapshot);
         self.snapshot = snapshot;
         self.whole = 0;
         self.missing = 0;
@@ -182,20 +182,20 @@
         self.held_until = None;
     }
 
-    fn shards_of(&self, snapshot: &Snapshot) -> Vec<ShardRun> {
-        // A group map is at most a megabyte, so the count of shards fits.
+    fn new_shards(&self, snapshot: &Snapshot) -> Vec<LookupShard> {
+        // A group map is at most a megabyte, so the number of shards fits.
         let count = snapshot.shards.len() as u32;
         match (self.decl.scope, &self.key) {
-            (Scope::Scatter, _) => (0..count).map(|n| ShardRun::new(ShardId(n))).collect(),
+            (Scope::Scatter, _) => (0..count).map(|n| LookupShard::new(ShardId(n))).collect(),
             (Scope::Keyed, key) => {
                 let key = key.as_deref().unwrap_or("");
                 let shard = crate::keyed::shard_of_key(key, count);
-                shard.map(ShardRun::new).into_iter().collect()
+                shard.map(LookupShard::new).into_iter().collect()
             }
         }
     }
 
-    /// The shards without a part, and why.
+    /// Returns the shards without a part, with the reasons.
     pub(crate) fn missing_shards(&self, ended_early: bool) -> Vec<MissingShard> {
         self.shards
             .iter()
--- a/crates/query/src/merge.rs
+++ b/crates/query/src/merge.rs
@@ -1,23 +1,23 @@
-//! Merges parts into one page by rank.
+//! Merges parts into one page ordered by rank.
 
 use std::cmp::Ordering;
 
 use gs_types::prelude::*;
 
-use crate::lookup::LookupRun;
+use crate::lookup::ActiveLookup;
 
-/// Larger scores first, then smaller document ids.
+/// Orders hits by descending score, then by document id.
 fn by_rank(a: &&Hit, b: &&Hit) -> Ordering {
     b.score.cmp(&a.score).then_with(|| a.doc.cmp(&b.doc))
 }
 
-/// The page of a lookup from the parts that are in.
-pub(crate) fn answer(lk: &LookupRun, ended_early: bool) -> Answer {
+/// Returns the answer of a lookup from the parts that have arrived.
+pub(crate) fn merge_parts(lk: &ActiveLookup, ended_early: bool) -> Answer {
     let parts = || lk.shards.iter().filter_map(|s| s.part.as_deref());
     let mut hits: Vec<&Hit> = parts().flat_map(|p| &p.hits).collect();
     let page = lk.decl.page as usize;
     if page < hits.len() {
-        // Only the page needs an order; the rest is split off in linear time first.
+        // Only the page needs to be sorted; the remaining hits are split off in linear time first.
         hits.select_nth_unstable_by(page, by_rank);
         hits.truncate(page);
     }
@@ -32,6 +32,6 @@
             missing: lk.missing_shards(ended_early),
         },
         ended_early,
-        extra_attempts: lk.extra,
+        extra_attempts: lk.extra_attempts,
     }
 }
--- a/crates/query/src/signs.rs
+++ b/crates/query/src/notices.rs
@@ -1,4 +1,4 @@
-//! Signs from peers and the platform: drains and quarantines.
+//! Processes notices from peers and the platform: drains and quarantines.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,28 +13,28 @@
 use crate::event::NoticeSource;
 
 impl Engine {
-    /// Takes in a sign of which another VM or the platform told.
-    pub(crate) fn sign(
+    /// Processes a notice from another VM or the platform.
+    pub(crate) fn on_notice(
         &mut self,
         now: Instant,
-        sign: Notice,
+        notice: Notice,
         source: NoticeSource,
         out: &mut Vec<Action>,
     ) {
-        match sign {
+        match notice {
             Notice::Drain {
                 server,
                 incarnation,
-            } => self.drain(&server, incarnation, source, out),
+            } => self.on_drain_notice(&server, incarnation, source, out),
             Notice::Quarantine {
                 fingerprint,
                 crashes,
                 rest,
-            } => self.quarantine(now, fingerprint, crashes, rest, out),
+            } => self.on_quarantine_notice(now, fingerprint, crashes, rest, out),
         }
     }
 
-    fn drain(
+    fn on_drain_notice(
         &mut self,
         server: &ServerName,
         incarnation: Option<Incarnation>,
@@ -50,13 +50,13 @@
             return;
         }
         match source {
-            // The peer that saw it first told everyone.
-            NoticeSource::Peer => core.drained(idx, "peer", false, out),
-            NoticeSource::Platform => core.drained(idx, "platform", true, out),
+            // The peer that detected it notified every VM.
+            NoticeSource::Peer => core.on_drained(idx, "peer", false, out),
+            NoticeSource::Platform => core.on_drained(idx, "platform", true, out),
         }
     }
 
-    fn quarantine(
+    fn on_quarantine_notice(
         &mut self,
         now: Instant,
         fingerprint: Fingerprint,
@@ -64,7 +64,9 @@
         rest: Duration,
         out: &mut Vec<Action>,
     ) {
-        self.core.suspects.told(now, fingerprint, crashes, rest);
+        self.core
+            .crash_suspects
+            .on_peer_report(now, fingerprint, crashes, rest);
         if rest == Duration::ZERO {
             return;
         }
@@ -76,26 +78,27 @@
             .collect();
         for seq in running {
             let refusal = Refusal::new(RefusalReason::Quarantined, Some(rest));
-            self.with(seq, |core, lk| core.refuse(now, lk, refusal, out));
+            self.with_lookup(seq, |core, lk| core.refuse(now, lk, refusal, out));
         }
     }
 }
 
 impl Core {
-    /// A server has just been marked as draining: its queue moves, its connections are let go.
-    pub(crate) fn drained(
+    /// Requeues the parts that wait for a server just marked as draining and releases its
+    /// connections.
+    pub(crate) fn on_drained(
         &mut self,
         idx: ServerIdx,
         source: &str,
-        spread: bool,
+        broadcast: bool,
         out: &mut Vec<Action>,
     ) {
-        self.changed.push(idx);
+        self.changed_servers.push(idx);
         let view = self.servers.view(idx);
         let server = view.decl().name.clone();
         let incarnation = view.incarnation();
         log::info!("event=drain server={server} source={source}");
-        if spread {
+        if broadcast {
             out.push(Action::Spread(Notice::Drain {
                 server: server.clone(),
                 incarnation,
--- a/crates/query/src/options.rs
+++ b/crates/query/src/options.rs
@@ -1,4 +1,4 @@
-//! The engine's settings and its choice of policies.
+//! The engine's settings and the choice of its policies.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Which set of policies the engine runs; both obey the same promises.
+/// The set of policies that the engine runs; both keep the same guarantees.
 #[derive(
     Clone,
     Copy,
@@ -23,41 +23,43 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum PolicyName {
-    /// Round robin, no hedges, fixed timeouts, a fixed bound on lookups in flight.
+    /// The baseline policy: round robin, no hedges, fixed timeouts, a fixed limit of lookups in
+    /// flight.
     Baseline,
-    /// Replicas by own observation, hedges after a learned delay, adaptive admission.
+    /// The default policy: replicas chosen by this VM's own observations, hedges after a
+    /// learned delay, adaptive admission.
     #[default]
     Chosen,
 }
 
-/// The engine's settings; the defaults fit both deployments of the brief.
+/// The engine's settings; the defaults suit every supported deployment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineOptions {
     /// The set of policies.
     pub policy: PolicyName,
-    /// The most lookups in flight; above it every arrival is refused.
+    /// The maximum number of lookups in flight; further arrivals are refused.
     pub lookups_max: u32,
-    /// The most attempts at one shard of one lookup, hedges included.
+    /// The maximum number of attempts at one shard of one lookup, hedges included.
     pub tries_max: u16,
-    /// Extra attempts (hedges and retries together) earned by each first attempt.
+    /// Extra attempts (hedges and retries together) earned by each initial attempt.
     pub extra_ratio: f64,
-    /// Extra attempts that can be saved up for a burst of failures.
+    /// The maximum number of extra attempts saved up for a burst of failures.
     pub extra_burst: u32,
-    /// Extra attempts earned a second without any load, so that a quiet VM can retry.
+    /// Extra attempts earned per second without any load, so that an idle VM can retry.
     pub extra_floor: f64,
-    /// The share of part latencies after which a part is hedged.
+    /// The quantile of part latencies after which a part is hedged.
     pub hedge_quantile: f64,
-    /// For the baseline: the time after which an attempt is given up and made once more.
+    /// The time after which the baseline policy times out an attempt and retries it.
     #[serde(with = "humantime_serde")]
     pub attempt_timeout: Duration,
     /// How long a lookup that crashed two servers is refused.
     #[serde(with = "humantime_serde")]
     pub quarantine: Duration,
-    /// How long suspicion stays up after a lookup broke a connection before any part was whole.
+    /// How long suspicion lasts after a lookup broke a connection before any of its parts arrived.
     #[serde(with = "humantime_serde")]
     pub suspicion: Duration,
-    /// How long a cold server takes to get its full share of attempts.
+    /// The duration of a server's slow start, after which it gets its full share of attempts.
     #[serde(with = "humantime_serde")]
     pub slow_start: Duration,
 }
@@ -81,11 +83,7 @@
 }
 
 impl EngineOptions {
-    /// Checks every option's range.
-    ///
-    /// # Errors
-    ///
-    /// [`ErrorKind::BadInput`] with the option's name and its range.
+    /// Checks the range of every option.
     pub fn check(&self) -> Result<()> {
         let bad = |name: &str, range: &str| {
             Err(
--- a/crates/query/src/orphan.rs
+++ b/crates/query/src/orphan.rs
@@ -1,4 +1,5 @@
-//! Attempts whose lookup has ended, or began again; the shell has yet to tell their end.
+//! Attempts whose lookup has ended or restarted while the I/O driver (shell) has not reported their
+//! end.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,18 +9,18 @@
 use crate::action::Action;
 use crate::core::Core;
 use crate::event::PartReply;
-use crate::heard::Heard;
+use crate::server_reply::ReplyContext;
 
 impl Core {
-    /// An attempt whose lookup has ended passes the point of no return.
-    pub(crate) fn orphan_sent(&mut self, id: &AttemptId) {
+    /// Records that the first byte of an orphaned attempt was sent.
+    pub(crate) fn on_orphan_sent(&mut self, id: &AttemptId) {
         if let Some(o) = self.orphans.get_mut(&(id.lookup, id.shard, id.attempt)) {
             o.is_sent = true;
         }
     }
 
-    /// An attempt whose lookup has ended, or began again, ended itself.
-    pub(crate) fn orphan_replied(
+    /// Processes the end of an orphaned attempt.
+    pub(crate) fn on_orphan_reply(
         &mut self,
         now: Instant,
         id: &AttemptId,
@@ -30,28 +31,31 @@
             self.counters.stray_replies += 1;
             return;
         };
-        let heard = Heard {
+        let context = ReplyContext {
             server: o.server,
-            is_current: self.servers.view(o.server).speaks_of_this_run(o.at),
+            is_current: self
+                .servers
+                .view(o.server)
+                .speaks_of_this_run(o.dispatched_at),
             was_live: false,
         };
-        self.hear(now, reply, o.server);
+        self.note_contact(now, reply, o.server);
         self.servers.released(o.server);
-        self.freed.push(o.server);
+        self.freed_servers.push(o.server);
         match reply {
             PartReply::Whole { load, draining, .. } => {
-                self.answered(now, heard, *load, *draining, out);
-                if self.suspects.prove(now, o.fingerprint) {
-                    self.spread_suspect(o.fingerprint, 0, Duration::ZERO, out);
+                self.note_server_success(now, context, *load, *draining, out);
+                if self.crash_suspects.note_survived(now, o.fingerprint) {
+                    self.broadcast_suspect(o.fingerprint, 0, Duration::ZERO, out);
                 }
             }
             PartReply::Broken => {
-                self.judge(now, reply, heard, out);
+                self.update_server_health(now, reply, context, out);
                 if o.is_sent && !o.is_proven && now < o.answer_by {
-                    self.crash_seen(now, o.fingerprint, o.server, false, out);
+                    self.record_crash(now, o.fingerprint, o.server, false, out);
                 }
             }
-            other => self.judge(now, other, heard, out),
+            other => self.update_server_health(now, other, context, out),
         }
     }
 }
--- /dev/null
+++ b/crates/query/src/placement.rs
@@ -0,0 +1,251 @@
+//! Chooses a server for an attempt and dispatches the attempt.
+
+use std::time::Instant;
+
+use gs_route::Candidate;
+use gs_route::Holds;
+use gs_route::ServerIdx;
+use gs_route::Standing;
+use gs_types::prelude::*;
+use smallvec::SmallVec;
+
+use crate::action::Action;
+use crate::action::Dispatch;
+use crate::attempt::Attempt;
+use crate::attempt::AttemptState;
+use crate::attempt::Cause;
+use crate::core::Core;
+use crate::core::Timer;
+use crate::lookup::ActiveLookup;
+use crate::lookup::ShardState;
+
+/// The servers chosen for an attempt.
+#[derive(Debug, PartialEq, Eq)]
+pub(crate) enum Placement {
+    /// Dispatch it to this server now.
+    Now(ServerIdx),
+    /// Queue it for the first of these servers with a free connection.
+    Wait(SmallVec<[ServerIdx; 2]>),
+    /// No server can take it.
+    Unavailable(MissReason),
+}
+
+/// The result of earlier attempts of the same lookup at a replica.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum PriorAttempt {
+    Untried,
+    /// Eligible only if no other replica is left.
+    Failed,
+    /// Not eligible for this lookup.
+    Excluded,
+}
+
+fn prior_attempt(attempts: &[Attempt], server: ServerIdx) -> PriorAttempt {
+    let mut found = PriorAttempt::Untried;
+    for a in attempts.iter().filter(|a| a.server == server) {
+        match a.state {
+            AttemptState::Handed | AttemptState::Sent | AttemptState::Stopping => {
+                return PriorAttempt::Excluded;
+            }
+            _ if a.broken => return PriorAttempt::Excluded,
+            AttemptState::Whole | AttemptState::NotRun | AttemptState::Failed => {
+                found = PriorAttempt::Failed;
+            }
+        }
+    }
+    found
+}
+
+/// The replicas that may take an attempt, by their dispatch status.
+#[derive(Default)]
+struct UsableReplicas {
+    free: SmallVec<[Candidate; 4]>,
+    busy: SmallVec<[ServerIdx; 2]>,
+    paused: SmallVec<[(Instant, ServerIdx); 2]>,
+    ejected: SmallVec<[Candidate; 4]>,
+}
+
+impl Core {
+    /// Chooses a server for an attempt at the shard at `pos`.
+    pub(crate) fn choose_server(
+        &mut self,
+        now: Instant,
+        lk: &ActiveLookup,
+        pos: usize,
+    ) -> Placement {
+        let untried = self.usable_replicas(now, lk, pos, PriorAttempt::Untried);
+        if let Some(placement) = self.choose_among(lk, pos, untried) {
+            return placement;
+        }
+        if !lk.shards[pos].attempts.is_empty() {
+            let retried = self.usable_replicas(now, lk, pos, PriorAttempt::Failed);
+            if let Some(placement) = self.choose_among(lk, pos, retried) {
+                return placement;
+            }
+        }
+        Placement::Unavailable(self.miss_reason(lk, pos))
+    }
+
+    /// Returns a server for a hedge: one not tried yet, with a free connection and an empty queue.
+    pub(crate) fn choose_hedge_server(
+        &mut self,
+        now: Instant,
+        lk: &ActiveLookup,
+        pos: usize,
+    ) -> Option<ServerIdx> {
+        let mut found = self.usable_replicas(now, lk, pos, PriorAttempt::Untried);
+        found.free.retain(|c| self.wait_queues.len(c.server) == 0);
+        if found.free.is_empty() {
+            return None;
+        }
+        let shard_number = lk.shards[pos].id.0 as usize;
+        let n = self
+            .replica
+            .choose(shard_number, &found.free, &mut self.rng);
+        found.free.get(n).map(|c| c.server)
+    }
+
+    fn usable_replicas(
+        &self,
+        now: Instant,
+        lk: &ActiveLookup,
+        pos: usize,
+        wanted: PriorAttempt,
+    ) -> UsableReplicas {
+        let mut found = UsableReplicas::default();
+        let route = self.servers.options();
+        for server in lk.replicas(pos) {
+            let view = self.servers.view(*server);
+            let is_usable = view.is_eligible(lk.snapshot.id)
+                && prior_attempt(&lk.shards[pos].attempts, *server) == wanted;
+            if !is_usable {
+                continue;
+            }
+            match view.standing(now, route) {
+                Standing::Free => found.free.push(view.candidate(*server, now, route)),
+                Standing::Busy => found.busy.push(*server),
+                Standing::Paused(until) => found.paused.push((until, *server)),
+                Standing::Resting(_) if view.has_connection() => {
+                    found.ejected.push(view.candidate(*server, now, route));
+                }
+                Standing::Resting(_) => found.busy.push(*server),
+                Standing::Out => {}
+            }
+        }
+        found
+    }
+
+    fn choose_among(
+        &mut self,
+        lk: &ActiveLookup,
+        pos: usize,
+        found: UsableReplicas,
+    ) -> Option<Placement> {
+        let shard_number = lk.shards[pos].id.0 as usize;
+        let mut pick = |candidates: &[Candidate]| {
+            let n = self.replica.choose(shard_number, candidates, &mut self.rng);
+            candidates.get(n).map(|c| Placement::Now(c.server))
+        };
+        if !found.free.is_empty() {
+            return pick(&found.free);
+        }
+        if found.busy.is_empty() && found.paused.is_empty() {
+            // Only ejected replicas are left. One of them is queried all the same, so that a wrong
+            // signal about every replica does not lose the shard.
+            return (!found.ejected.is_empty())
+                .then(|| pick(&found.ejected))
+                .flatten();
+        }
+        for (until, server) in &found.paused {
+            self.timers.insert((*until, Timer::Server(*server)));
+        }
+        let mut wait = found.busy;
+        wait.extend(found.paused.iter().map(|(_, s)| *s));
+        Some(Placement::Wait(wait))
+    }
+
+    fn miss_reason(&self, lk: &ActiveLookup, pos: usize) -> MissReason {
+        let shard = &lk.shards[pos];
+        let id = lk.snapshot.id;
+        let views = || lk.replicas(pos).iter().map(|s| self.servers.view(*s));
+        let any_holds = views().any(|v| v.holds(id) != Holds::No);
+        if !any_holds && views().next().is_some() {
+            return MissReason::SnapshotGone;
+        }
+        match shard.miss {
+            MissReason::Failed | MissReason::Shed if !shard.attempts.is_empty() => shard.miss,
+            _ => MissReason::NoReplica,
+        }
+    }
+
+    /// Dispatches an attempt.
+    pub(crate) fn dispatch(
+        &mut self,
+        now: Instant,
+        lk: &mut ActiveLookup,
+        pos: usize,
+        server: ServerIdx,
+        cause: Cause,
+        out: &mut Vec<Action>,
+    ) {
+        let shard = &mut lk.shards[pos];
+        // The options limit the attempts at a shard far below the number's range.
+        let number = lk
+            .first_attempt_number
+            .saturating_add(shard.attempts.len() as u16);
+        shard.state = ShardState::Running;
+        shard.attempts.push(Attempt {
+            number,
+            server,
+            state: self.chart.initial(),
+            cause,
+            dispatched_at: now,
+            sent_at: None,
+            broken: false,
+        });
+        let shard = shard.id;
+        lk.may_have_run += 1;
+        self.count_attempt(lk, cause);
+        self.servers.dispatched(now, server);
+        out.push(Action::Dispatch(Dispatch {
+            attempt: self.attempt_id((lk.seq, shard, number)),
+            server: self.servers.view(server).decl().clone(),
+            snapshot: lk.snapshot.id,
+            query: lk.query.clone(),
+            key: lk.key.clone(),
+            page: lk.decl.page,
+            budget: lk.answer_by.saturating_duration_since(now),
+            once: lk.is_once(),
+            idempotency_key: lk.idempotency_key.clone().filter(|_| lk.is_once()),
+        }));
+        self.arm_attempt_check(now, lk, server, cause);
+    }
+
+    fn count_attempt(&mut self, lk: &mut ActiveLookup, cause: Cause) {
+        self.counters.attempts += 1;
+        if cause != Cause::First {
+            lk.extra_attempts += 1;
+        }
+        match cause {
+            Cause::First => self.budget.earn(),
+            Cause::Hedge => self.counters.hedges += 1,
+            Cause::Retry => self.counters.retries += 1,
+            Cause::Resend => self.counters.resends += 1,
+        }
+    }
+
+    fn arm_attempt_check(
+        &mut self,
+        now: Instant,
+        lk: &mut ActiveLookup,
+        server: ServerIdx,
+        cause: Cause,
+    ) {
+        if cause == Cause::Hedge {
+            return;
+        }
+        if let Some(delay) = self.check_delay(lk, server) {
+            self.arm(lk, now + delay);
+        }
+    }
+}
--- a/crates/query/src/policies.rs
+++ b/crates/query/src/policies.rs
@@ -1,4 +1,4 @@
-//! Builds the policies that the options name.
+//! Builds the policies that the options select.
 
 use gs_limit::Adaptive;
 use gs_limit::AdmissionPolicy;
@@ -13,16 +13,16 @@
 use crate::options::EngineOptions;
 use crate::options::PolicyName;
 
-/// How replicas are picked.
-pub(crate) fn replica(options: &EngineOptions) -> Box<dyn ReplicaPolicy> {
+/// Builds the replica selection policy.
+pub(crate) fn build_replica_policy(options: &EngineOptions) -> Box<dyn ReplicaPolicy> {
     match options.policy {
         PolicyName::Baseline => Box::new(RoundRobin::default()),
         PolicyName::Chosen => Box::new(Observed),
     }
 }
 
-/// What is taken on.
-pub(crate) fn admission(options: &EngineOptions) -> Box<dyn AdmissionPolicy> {
+/// Builds the admission policy.
+pub(crate) fn build_admission_policy(options: &EngineOptions) -> Box<dyn AdmissionPolicy> {
     let max = options.lookups_max as usize;
     match options.policy {
         PolicyName::Baseline => Box::new(Fixed::new(max)),
@@ -30,8 +30,8 @@
     }
 }
 
-/// When a slow part is asked for again.
-pub(crate) fn hedge(options: &EngineOptions) -> Box<dyn HedgePolicy> {
+/// Builds the hedging policy.
+pub(crate) fn build_hedge_policy(options: &EngineOptions) -> Box<dyn HedgePolicy> {
     match options.policy {
         PolicyName::Baseline => Box::new(NoHedge),
         PolicyName::Chosen => Box::new(LearnedDelay::new(options.hedge_quantile)),
--- a/crates/query/src/queue.rs
+++ b/crates/query/src/queue.rs
@@ -1,4 +1,4 @@
-//! Shards that wait for a connection, and how they leave the queues.
+//! Queues shards that wait for a connection and dispatches or requeues them.
 
 use std::time::Instant;
 
@@ -6,90 +6,90 @@
 use smallvec::SmallVec;
 
 use crate::action::Action;
-use crate::attempt::Kind;
+use crate::attempt::Cause;
 use crate::core::Core;
-use crate::lookup::LookupRun;
+use crate::lookup::ActiveLookup;
 use crate::lookup::ShardState;
-use crate::place::Place;
-use crate::waiting::Ticket;
+use crate::placement::Placement;
+use crate::wait_queues::QueuedPart;
 
 impl Core {
-    /// Puts a shard into the queues of these servers.
-    pub(crate) fn queue(
+    /// Queues a shard for these servers.
+    pub(crate) fn enqueue(
         &mut self,
-        lk: &mut LookupRun,
-        at: usize,
+        lk: &mut ActiveLookup,
+        pos: usize,
         servers: SmallVec<[ServerIdx; 2]>,
-        kind: Kind,
+        cause: Cause,
     ) {
-        let ticket = Ticket {
+        let part = QueuedPart {
             answer_by: lk.answer_by,
             seq: lk.seq,
-            at,
+            pos,
         };
-        self.waiting.add(ticket, &servers);
-        let shard = &mut lk.shards[at];
+        self.wait_queues.add(part, &servers);
+        let shard = &mut lk.shards[pos];
         shard.state = ShardState::Waiting;
         shard.queued_at = servers;
-        shard.queued_as = kind;
+        shard.queued_cause = cause;
     }
 
-    /// Finds a new place for a shard that waits.
+    /// Chooses servers again for a waiting shard.
     pub(crate) fn requeue(
         &mut self,
         now: Instant,
-        lk: &mut LookupRun,
-        at: usize,
+        lk: &mut ActiveLookup,
+        pos: usize,
         out: &mut Vec<Action>,
     ) {
         if lk
             .shards
-            .get(at)
+            .get(pos)
             .is_none_or(|s| s.state != ShardState::Waiting)
         {
             return;
         }
-        let kind = lk.shards[at].queued_as;
-        self.unqueue(lk, at);
-        match self.place(now, lk, at) {
-            Place::Now(server) => self.dispatch(now, lk, at, server, kind, out),
-            Place::Wait(servers) => self.queue(lk, at, servers, kind),
-            Place::Nowhere(reason) => self.give_up(lk, at, reason),
+        let cause = lk.shards[pos].queued_cause;
+        self.dequeue(lk, pos);
+        match self.choose_server(now, lk, pos) {
+            Placement::Now(server) => self.dispatch(now, lk, pos, server, cause, out),
+            Placement::Wait(servers) => self.enqueue(lk, pos, servers, cause),
+            Placement::Unavailable(reason) => self.abandon_shard(lk, pos, reason),
         }
-        self.after(now, lk, out);
+        self.after_event(now, lk, out);
     }
 
-    /// Hands a shard that waits to a server with a connection free.
-    pub(crate) fn serve(
+    /// Dispatches a waiting shard to a server with a free connection.
+    pub(crate) fn dispatch_waiting(
         &mut self,
         now: Instant,
-        lk: &mut LookupRun,
-        at: usize,
+        lk: &mut ActiveLookup,
+        pos: usize,
         server: ServerIdx,
         out: &mut Vec<Action>,
     ) {
         if !self.servers.view(server).is_eligible(lk.snapshot.id) {
-            self.requeue(now, lk, at, out);
+            self.requeue(now, lk, pos, out);
             return;
         }
-        let kind = lk.shards[at].queued_as;
-        self.unqueue(lk, at);
-        self.dispatch(now, lk, at, server, kind, out);
+        let cause = lk.shards[pos].queued_cause;
+        self.dequeue(lk, pos);
+        self.dispatch(now, lk, pos, server, cause, out);
     }
 
-    /// Takes a shard out of the queues that it stands in.
-    pub(crate) fn unqueue(&mut self, lk: &mut LookupRun, at: usize) {
-        if lk.shards[at].state != ShardState::Waiting {
+    /// Removes a shard from the queues in which it waits.
+    pub(crate) fn dequeue(&mut self, lk: &mut ActiveLookup, pos: usize) {
+        if lk.shards[pos].state != ShardState::Waiting {
             return;
         }
-        let ticket = Ticket {
+        let part = QueuedPart {
             answer_by: lk.answer_by,
             seq: lk.seq,
-            at,
+            pos,
         };
-        let shard = &mut lk.shards[at];
+        let shard = &mut lk.shards[pos];
         shard.state = ShardState::Held;
-        self.waiting.remove(&ticket, &shard.queued_at);
+        self.wait_queues.remove(&part, &shard.queued_at);
         shard.queued_at.clear();
     }
 }
--- a/crates/query/src/reply.rs
+++ b/crates/query/src/reply.rs
@@ -1,4 +1,4 @@
-//! What the shell tells of attempts.
+//! Processes the reports of the I/O driver (shell) about attempts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,66 +9,67 @@
 use crate::action::Action;
 use crate::attempt::AttemptEvent;
 use crate::attempt::AttemptState;
-use crate::attempt::Kind;
+use crate::attempt::Cause;
 use crate::core::Core;
+use crate::crash_suspects::CrashFinding;
 use crate::event::PartReply;
-use crate::heard::Heard;
-use crate::life::Lost;
-use crate::lookup::LookupRun;
+use crate::lifecycle::ShardFailure;
+use crate::lookup::ActiveLookup;
 use crate::lookup::Phase;
 use crate::lookup::ShardState;
-use crate::suspects::Finding;
+use crate::server_reply::ReplyContext;
 
 impl Core {
-    /// An attempt of a lookup in flight passes the point of no return.
-    pub(crate) fn sent(&mut self, now: Instant, lk: &mut LookupRun, id: &AttemptId) {
-        let Some((at, n)) = find(lk, id) else {
-            self.orphan_sent(id);
+    /// Records that the first byte of an attempt of a lookup in flight was sent.
+    pub(crate) fn on_sent(&mut self, now: Instant, lk: &mut ActiveLookup, id: &AttemptId) {
+        let Some((pos, n)) = find_attempt(lk, id) else {
+            self.on_orphan_sent(id);
             return;
         };
-        let a = &mut lk.shards[at].attempts[n];
+        let a = &mut lk.shards[pos].attempts[n];
         if let Some(next) = self.chart.next(a.state, AttemptEvent::Send) {
             a.state = next;
         }
-        a.sent.get_or_insert(now);
+        a.sent_at.get_or_insert(now);
         lk.was_sent = true;
     }
 
-    /// An attempt of a lookup in flight ended.
-    pub(crate) fn replied(
+    /// Processes the end of an attempt of a lookup in flight.
+    pub(crate) fn on_reply(
         &mut self,
         now: Instant,
-        lk: &mut LookupRun,
+        lk: &mut ActiveLookup,
         id: &AttemptId,
         reply: PartReply,
         out: &mut Vec<Action>,
     ) {
-        let Some((at, n)) = find(lk, id) else {
-            self.orphan_replied(now, id, &reply, out);
+        let Some((pos, n)) = find_attempt(lk, id) else {
+            self.on_orphan_reply(now, id, &reply, out);
             return;
         };
-        let a = &mut lk.shards[at].attempts[n];
+        let a = &mut lk.shards[pos].attempts[n];
         let event = a.event_of(&reply);
         let Some(next) = self.chart.next(a.state, event) else {
             self.counters.stray_replies += 1;
             return;
         };
-        // Whatever came back from a server was sent, even if the shell's word of that is lost.
+        // A reply from a server implies that the attempt was sent, even if the driver's report of
+        // that was lost.
         lk.was_sent |= event != AttemptEvent::NotSent;
         let was_live = a.is_live();
         a.state = next;
-        let (server, begun) = (a.server, a.at);
+        let (server, dispatched_at) = (a.server, a.dispatched_at);
         if reply == PartReply::Late {
-            self.note_unanswered(now, lk, server, begun);
+            self.note_unanswered(now, lk, server, dispatched_at);
         }
-        let heard = Heard {
+        let context = ReplyContext {
             server,
-            is_current: self.servers.view(server).speaks_of_this_run(begun),
+            is_current: self.servers.view(server).speaks_of_this_run(dispatched_at),
             was_live,
         };
-        self.hear(now, &reply, server);
+        self.note_contact(now, &reply, server);
         self.servers.released(server);
-        self.freed.push(server);
+        self.freed_servers.push(server);
         if next == AttemptState::NotRun {
             lk.may_have_run = lk.may_have_run.saturating_sub(1);
         }
@@ -79,146 +80,149 @@
                 load,
                 draining,
             } => {
-                self.learn(now, lk, at, n);
-                self.answered(now, heard, load, draining, out);
-                self.whole(now, lk, at, n, snapshot, part, out);
+                self.record_latency(now, lk, pos, n);
+                self.note_server_success(now, context, load, draining, out);
+                self.accept_part(now, lk, pos, n, snapshot, part, out);
             }
-            PartReply::Broken => self.broke(now, lk, at, n, heard, out),
-            other => self.unanswered(now, lk, at, other, heard, out),
+            PartReply::Broken => self.on_broken_connection(now, lk, pos, n, context, out),
+            other => self.on_failed_attempt(now, lk, pos, other, context, out),
         }
-        self.after(now, lk, out);
+        self.after_event(now, lk, out);
     }
 
-    /// Learns from the time that a part took.
-    fn learn(&mut self, now: Instant, lk: &LookupRun, at: usize, n: usize) {
-        let a = &lk.shards[at].attempts[n];
-        let on_server = now.saturating_duration_since(a.sent.unwrap_or(a.at));
+    /// Records the time that a part took.
+    fn record_latency(&mut self, now: Instant, lk: &ActiveLookup, pos: usize, n: usize) {
+        let a = &lk.shards[pos].attempts[n];
+        let on_server = now.saturating_duration_since(a.sent_at.unwrap_or(a.dispatched_at));
         self.servers.took(now, a.server, on_server);
-        let whole = now.saturating_duration_since(a.at);
-        let from = self.distance(a.server);
-        self.groups[lk.group].hedge.observe(from, whole);
+        let total = now.saturating_duration_since(a.dispatched_at);
+        let distance = self.distance(a.server);
+        self.groups[lk.group].hedge.observe(distance, total);
     }
 
-    /// Takes a part in, if it is of the pinned snapshot and its shard still lacks one.
+    /// Accepts a part if it is from the pinned snapshot and its shard has none yet.
     #[expect(clippy::too_many_arguments, reason = "the parts of one reply")]
-    fn whole(
+    fn accept_part(
         &mut self,
         now: Instant,
-        lk: &mut LookupRun,
-        at: usize,
+        lk: &mut ActiveLookup,
+        pos: usize,
         n: usize,
         snapshot: SnapshotId,
         part: Arc<Part>,
         out: &mut Vec<Action>,
     ) {
-        self.prove(now, lk, out);
+        self.note_survived(now, lk, out);
         if snapshot != lk.snapshot.id {
             self.counters.wrong_snapshot += 1;
-            self.lost(now, lk, at, Lost::Failed, out);
+            self.retry_or_abandon(now, lk, pos, ShardFailure::Failed, out);
             self.resume(now, lk, out);
             return;
         }
-        self.unqueue(lk, at);
-        let shard = &mut lk.shards[at];
+        self.dequeue(lk, pos);
+        let shard = &mut lk.shards[pos];
         match shard.state {
             ShardState::Whole => return,
             ShardState::Missing => lk.missing -= 1,
             ShardState::Held | ShardState::Waiting | ShardState::Running => {}
         }
-        if shard.attempts[n].kind == Kind::Hedge {
+        if shard.attempts[n].cause == Cause::Hedge {
             self.counters.hedges_won += 1;
         }
         shard.state = ShardState::Whole;
         lk.whole += 1;
         lk.hits += part.hits.len() as u64;
         shard.part = Some(part);
-        self.stop_attempts(now, lk, at, out);
+        self.stop_attempts(now, lk, pos, out);
         self.resume(now, lk, out);
     }
 
-    /// A server ran the lookup and lived, so it is not poisoned.
-    fn prove(&mut self, now: Instant, lk: &mut LookupRun, out: &mut Vec<Action>) {
+    /// Records that a server executed the lookup without crashing, which proves it harmless.
+    fn note_survived(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
         if lk.is_proven {
             return;
         }
         lk.is_proven = true;
-        if self.suspects.prove(now, lk.fingerprint) {
-            self.spread_suspect(lk.fingerprint, 0, Duration::ZERO, out);
+        if self.crash_suspects.note_survived(now, lk.fingerprint) {
+            self.broadcast_suspect(lk.fingerprint, 0, Duration::ZERO, out);
         }
     }
 
-    /// Goes on with everything that was held back under suspicion.
-    fn resume(&mut self, now: Instant, lk: &mut LookupRun, out: &mut Vec<Action>) {
+    /// Resumes everything that was held back under suspicion.
+    fn resume(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
         if lk.is_done {
             return;
         }
-        if matches!(lk.phase, Phase::Settling(_) | Phase::Canary(_)) {
+        if matches!(lk.phase, Phase::Quiescing(_) | Phase::Canary(_)) {
             self.fan_out(now, lk, out);
         }
         self.retry_held(now, lk, out);
     }
 
-    /// An attempt ended without a part, and without breaking its connection.
-    fn unanswered(
+    /// Handles an attempt that ended without a part and without a broken connection.
+    fn on_failed_attempt(
         &mut self,
         now: Instant,
-        lk: &mut LookupRun,
-        at: usize,
+        lk: &mut ActiveLookup,
+        pos: usize,
         reply: PartReply,
-        heard: Heard,
+        context: ReplyContext,
         out: &mut Vec<Action>,
     ) {
-        self.judge(now, &reply, heard, out);
-        let lost = match reply {
+        self.update_server_health(now, &reply, context, out);
+        let failure = match reply {
             PartReply::Shed { .. } => {
                 lk.is_congested = true;
-                Lost::NotRun(MissReason::Shed)
+                ShardFailure::NotRun(MissReason::Shed)
             }
-            PartReply::Draining => Lost::NotRun(MissReason::NoReplica),
-            PartReply::NoSnapshot { .. } => Lost::NotRun(MissReason::SnapshotGone),
-            PartReply::NotSent => Lost::NotRun(MissReason::Failed),
-            _ => Lost::Failed,
+            PartReply::Draining => ShardFailure::NotRun(MissReason::NoReplica),
+            PartReply::NoSnapshot { .. } => ShardFailure::NotRun(MissReason::SnapshotGone),
+            PartReply::NotSent => ShardFailure::NotRun(MissReason::Failed),
+            _ => ShardFailure::Failed,
         };
-        self.lost(now, lk, at, lost, out);
+        self.retry_or_abandon(now, lk, pos, failure, out);
     }
 
-    /// A connection broke under an attempt.
-    fn broke(
+    /// Handles a connection that broke under an attempt.
+    fn on_broken_connection(
         &mut self,
         now: Instant,
-        lk: &mut LookupRun,
-        at: usize,
+        lk: &mut ActiveLookup,
+        pos: usize,
         n: usize,
-        heard: Heard,
+        context: ReplyContext,
         out: &mut Vec<Action>,
     ) {
-        lk.shards[at].attempts[n].broken = true;
-        self.judge(now, &PartReply::Broken, heard, out);
-        // After a pause of this process every connection may be found broken at once, here and
-        // elsewhere; its lookups are overdue then, and it says nothing about them.
+        lk.shards[pos].attempts[n].broken = true;
+        self.update_server_health(now, &PartReply::Broken, context, out);
+        // After a pause of this process, every connection may be found broken at once, in every
+        // data centre. Its lookups are past their deadlines then, and the breaks are no evidence
+        // against them.
         if lk.is_proven || now >= lk.answer_by {
-            self.lost(now, lk, at, Lost::Failed, out);
+            self.retry_or_abandon(now, lk, pos, ShardFailure::Failed, out);
             return;
         }
-        let alone = heard.was_live && (lk.phase == Phase::Canary(at) || lk.shards.len() == 1);
-        match self.crash_seen(now, lk.fingerprint, heard.server, alone, out) {
-            Finding::Quarantined(rest) => {
-                let refusal = Refusal::new(RefusalReason::Quarantined, Some(rest));
+        let is_alone = context.was_live && (lk.phase == Phase::Canary(pos) || lk.shards.len() == 1);
+        match self.record_crash(now, lk.fingerprint, context.server, is_alone, out) {
+            CrashFinding::Quarantined(quarantine) => {
+                let refusal = Refusal::new(RefusalReason::Quarantined, Some(quarantine));
                 self.refuse(now, lk, refusal, out);
             }
-            Finding::Harmless => self.hold_lost(now, lk, at, out),
-            Finding::Suspected if lk.is_once() => self.lost(now, lk, at, Lost::Failed, out),
-            Finding::Suspected => {
-                lk.shards[at].miss = MissReason::Failed;
-                self.settle(now, lk, out);
+            CrashFinding::Harmless => self.hold_failed_part(now, lk, pos, out),
+            CrashFinding::Suspected if lk.is_once() => {
+                self.retry_or_abandon(now, lk, pos, ShardFailure::Failed, out)
+            }
+            CrashFinding::Suspected => {
+                lk.shards[pos].miss = MissReason::Failed;
+                self.quiesce(now, lk, out);
             }
         }
     }
 }
 
-/// The place of an attempt: its shard's and its own.
-fn find(lk: &LookupRun, id: &AttemptId) -> Option<(usize, usize)> {
-    let at = lk.position(id.shard)?;
-    let n = usize::from(id.attempt.checked_sub(lk.first_number)?);
-    (n < lk.shards[at].attempts.len()).then_some((at, n))
+/// Returns the positions of an attempt's shard and of the attempt within it.
+fn find_attempt(lk: &ActiveLookup, id: &AttemptId) -> Option<(usize, usize)> {
+    let pos = lk.position(id.shard)?;
+    let n = usize::from(id.attempt.checked_sub(lk.first_attempt_number)?);
+    (n < lk.shards[pos].attempts.len()).then_some((pos, n))
 }
--- a/crates/query/src/timers.rs
+++ b/crates/query/src/timers.rs
@@ -1,4 +1,4 @@
-//! What falls due: deadlines, hedges, timeouts, canaries.
+//! Handles expired timers: deadlines, hedges, timeouts and canaries.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,26 +8,26 @@
 use gs_types::prelude::*;
 
 use crate::action::Action;
-use crate::attempt::Kind;
+use crate::attempt::Cause;
 use crate::core::Core;
 use crate::core::Timer;
 use crate::finish::RETRY_AFTER;
-use crate::life::Lost;
-use crate::lookup::LookupRun;
+use crate::lifecycle::ShardFailure;
+use crate::lookup::ActiveLookup;
 use crate::lookup::Phase;
 use crate::lookup::ShardState;
 use crate::options::PolicyName;
 
-/// The least time between two looks at a lookup whose hedge could not be made.
-const LOOK_AGAIN: Duration = Duration::from_millis(2);
+/// The minimum time between two checks of a lookup whose hedge could not be made.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The part of a lookup's time, as a divisor, after which a silent attempt counts as lost; most of the time is
-/// then left for another.
-const LOST_AFTER_PART: u32 = 4;
+/// The divisor of a lookup's time budget that gives the time after which an attempt without a reply
+/// counts as lost; most of the budget is then left for another.
+const LOSS_TIMEOUT_DIVISOR: u32 = 4;
 
 impl Core {
-    /// The time after an attempt's begin at which it is looked at; `None` for never.
-    pub(crate) fn look_after(&self, lk: &LookupRun, server: ServerIdx) -> Option<Duration> {
+    /// Returns the time after an attempt's dispatch at which it is checked; `None` for never.
+    pub(crate) fn check_delay(&self, lk: &ActiveLookup, server: ServerIdx) -> Option<Duration> {
         if lk.is_once() {
             return None;
         }
@@ -35,13 +35,13 @@
             PolicyName::Baseline => Some(self.options.attempt_timeout),
             PolicyName::Chosen => {
                 let learned = self.groups[lk.group].hedge.delay(self.distance(server));
-                let lost = lost_after(lk);
-                Some(learned.map_or(lost, |delay| delay.min(lost)))
+                let loss = loss_timeout(lk);
+                Some(learned.map_or(loss, |delay| delay.min(loss)))
             }
         }
     }
 
-    /// How far a server is.
+    /// Returns whether a server is in this or another data centre.
     pub(crate) fn distance(&self, server: ServerIdx) -> Distance {
         if self.servers.view(server).is_local() {
             Distance::Near
@@ -50,125 +50,132 @@
         }
     }
 
-    /// A lookup's timer is due.
-    pub(crate) fn due(&mut self, now: Instant, lk: &mut LookupRun, out: &mut Vec<Action>) {
+    /// Handles the expiry of a lookup's timer.
+    pub(crate) fn on_timer(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
         lk.timer = None;
         if now >= lk.answer_by {
-            self.time_up(now, lk, out);
+            self.on_deadline(now, lk, out);
             return;
         }
         if lk.held_until.is_some_and(|until| until <= now) {
             self.retry_held(now, lk, out);
         }
         if lk.phase == Phase::Running {
-            self.look_at_attempts(now, lk, out);
+            self.check_attempts(now, lk, out);
         }
-        self.after(now, lk, out);
+        self.after_event(now, lk, out);
         if lk.is_done {
             return;
         }
         let next = match lk.phase {
-            Phase::Settling(until) => until,
+            Phase::Quiescing(until) => until,
             _ => lk.held_until.unwrap_or(lk.answer_by),
         };
         self.arm(lk, next);
     }
 
-    /// The deadline is here: answer with what there is.
-    fn time_up(&mut self, now: Instant, lk: &mut LookupRun, out: &mut Vec<Action>) {
+    /// Ends a lookup at its deadline with the parts that have arrived.
+    fn on_deadline(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
         if lk.phase == Phase::Claiming {
-            // The claim may have been made, or an earlier submission under the key may have run.
+            // The claim may have been made, or an earlier submission under the key may have been
+            // executed.
             let refusal = Refusal::new(RefusalReason::ClaimsAway, Some(RETRY_AFTER));
             self.finish(now, lk, Outcome::Unknown(refusal), out);
             return;
         }
-        self.note_silence(now, lk);
-        self.conclude(now, lk, false, out);
+        self.note_unanswered_attempts(now, lk);
+        self.finish_with_parts(now, lk, false, out);
     }
 
-    /// Notes the servers that left this lookup's attempts unanswered.
-    fn note_silence(&mut self, now: Instant, lk: &LookupRun) {
+    /// Records the servers that did not reply to this lookup's attempts.
+    fn note_unanswered_attempts(&mut self, now: Instant, lk: &ActiveLookup) {
         let attempts = lk.shards.iter().flat_map(|s| &s.attempts);
         for a in attempts.filter(|a| a.is_live()) {
-            self.note_unanswered(now, lk, a.server, a.at);
+            self.note_unanswered(now, lk, a.server, a.dispatched_at);
         }
     }
 
-    /// Notes that a server left an attempt unanswered, if it had enough of the lookup's time.
+    /// Records that a server did not reply to an attempt, if it had enough of the lookup's time.
     pub(crate) fn note_unanswered(
         &mut self,
         now: Instant,
-        lk: &LookupRun,
+        lk: &ActiveLookup,
         server: ServerIdx,
-        begun: Instant,
+        dispatched_at: Instant,
     ) {
-        if now.saturating_duration_since(begun) >= lost_after(lk) {
-            self.servers.unanswered(now, server, begun);
+        if now.saturating_duration_since(dispatched_at) >= loss_timeout(lk) {
+            self.servers.unanswered(now, server, dispatched_at);
         }
     }
 
-    /// Hedges, or times out, the attempts that took too long; plans the next look.
-    fn look_at_attempts(&mut self, now: Instant, lk: &mut LookupRun, out: &mut Vec<Action>) {
+    /// Hedges or times out slow attempts, and sets the time of the next check.
+    fn check_attempts(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
         let mut next = lk.answer_by;
-        for at in 0..lk.shards.len() {
+        for pos in 0..lk.shards.len() {
             if lk.is_done || lk.phase != Phase::Running {
                 return;
             }
-            let Some((begun, server)) = slow_candidate(lk, at) else {
+            let Some((dispatched_at, server)) = slow_candidate(lk, pos) else {
                 continue;
             };
-            let Some(after) = self.look_after(lk, server) else {
+            let Some(delay) = self.check_delay(lk, server) else {
                 continue;
             };
-            let lost_at = begun + lost_after(lk);
-            if begun + after > now {
-                next = next.min(begun + after);
-            } else if !self.overtake(now, lk, at, lost_at <= now, out) {
-                let again = now + after.max(LOOK_AGAIN);
-                let is_ahead = lost_at > now;
-                next = next.min(if is_ahead { again.min(lost_at) } else { again });
+            let loss_at = dispatched_at + loss_timeout(lk);
+            if dispatched_at + delay > now {
+                next = next.min(dispatched_at + delay);
+            } else if !self.hedge_or_time_out(now, lk, pos, loss_at <= now, out) {
+                let recheck_at = now + delay.max(RECHECK_INTERVAL);
+                let is_loss_ahead = loss_at > now;
+                next = next.min(if is_loss_ahead {
+                    recheck_at.min(loss_at)
+                } else {
+                    recheck_at
+                });
             }
         }
         self.arm(lk, next);
     }
 
-    /// Makes a second attempt beside a slow one, or in its place; `false` if it could not be made.
+    /// Makes an attempt in parallel with a slow one, or times the slow one out and retries it;
+    /// returns `false` if neither could be done.
     ///
-    /// One beside an attempt that counts as lost may use what the budget keeps for retries: a server that went
-    /// silent would else cost its shard while a replica is idle.
-    fn overtake(
+    /// A hedge of an attempt that counts as lost may use the budget reserved for retries: otherwise
+    /// an unresponsive server would cost its shard while another replica is idle.
+    fn hedge_or_time_out(
         &mut self,
         now: Instant,
-        lk: &mut LookupRun,
-        at: usize,
+        lk: &mut ActiveLookup,
+        pos: usize,
         is_lost: bool,
         out: &mut Vec<Action>,
     ) -> bool {
         if self.options.policy == PolicyName::Baseline {
-            self.stop_attempts(now, lk, at, out);
-            self.lost(now, lk, at, Lost::Failed, out);
+            self.stop_attempts(now, lk, pos, out);
+            self.retry_or_abandon(now, lk, pos, ShardFailure::Failed, out);
             return true;
         }
         if self.admission.overloaded(now) {
             return false;
         }
-        let Some(server) = self.place_hedge(now, lk, at) else {
+        let Some(server) = self.choose_hedge_server(now, lk, pos) else {
             return false;
         };
-        let is_taken = match is_lost {
+        let is_within_budget = match is_lost {
             true => self.budget.take_retries(now, 1),
             false => self.budget.take_hedge(now),
         };
-        if !is_taken {
+        if !is_within_budget {
             self.counters.extra_refused += 1;
             return false;
         }
-        self.dispatch(now, lk, at, server, Kind::Hedge, out);
+        self.dispatch(now, lk, pos, server, Cause::Hedge, out);
         true
     }
 
-    /// Lets go of orphans that the shell never ended, so that they cannot hold connections for ever.
-    pub(crate) fn drop_orphans(&mut self, now: Instant) {
+    /// Releases orphans whose end was never reported, so that they do not occupy connections for
+    /// ever.
+    pub(crate) fn release_expired_orphans(&mut self, now: Instant) {
         let expired: Vec<_> = self
             .orphans
             .iter()
@@ -178,12 +185,12 @@
         for (key, server) in expired {
             log::warn!(
                 "event=attempt-forgotten attempt={} server={}",
-                self.id(key),
+                self.attempt_id(key),
                 self.servers.view(server).decl().name
             );
             self.orphans.remove(&key);
             self.servers.released(server);
-            self.freed.push(server);
+            self.freed_servers.push(server);
         }
         if let Some(next) = self.orphans.values().map(|o| o.expires).min() {
             self.timers.insert((next, Timer::Orphans));
@@ -191,19 +198,22 @@
     }
 }
 
-/// The time after which a silent attempt of this lookup counts as lost.
-fn lost_after(lk: &LookupRun) -> Duration {
-    lk.answer_by.saturating_duration_since(lk.arrived) / LOST_AFTER_PART
+/// Returns the time after which an attempt of this lookup without a reply counts as lost.
+fn loss_timeout(lk: &ActiveLookup) -> Duration {
+    lk.answer_by.saturating_duration_since(lk.arrived) / LOSS_TIMEOUT_DIVISOR
 }
 
-/// When and where the shard's one attempt under way began; `None` if there is not exactly one, or if it was
-/// hedged before.
-fn slow_candidate(lk: &LookupRun, at: usize) -> Option<(Instant, ServerIdx)> {
-    let shard = &lk.shards[at];
-    if shard.state != ShardState::Running || shard.attempts.iter().any(|a| a.kind == Kind::Hedge) {
+/// Returns the dispatch time and server of the shard's only live attempt; `None` if there is not
+/// exactly one, or if the shard was hedged before.
+fn slow_candidate(lk: &ActiveLookup, pos: usize) -> Option<(Instant, ServerIdx)> {
+    let shard = &lk.shards[pos];
+    if shard.state != ShardState::Running || shard.attempts.iter().any(|a| a.cause == Cause::Hedge)
+    {
         return None;
     }
     let mut live = shard.attempts.iter().filter(|a| a.is_live());
     let first = live.next()?;
-    live.next().is_none().then_some((first.at, first.server))
+    live.next()
+        .is_none()
+        .then_some((first.dispatched_at, first.server))
 }
