--- a/crates/query/examples/cost.rs
+++ b/crates/query/examples/cost.rs
@@ -1,6 +1,6 @@
-//! Measures what the engine itself costs for each part, without any I/O.
+//! Measures the engine's own cost per part, without any I/O.
 //!
-//! Fake servers answer every attempt. Run it with
+//! Simulated servers answer every attempt. Run it with
 //! `cargo run --release -p gs-query --example cost`; it prints one line for each load.
 
 use std::collections::VecDeque;
@@ -16,16 +16,16 @@
 use gs_query::PartReply;
 use gs_types::prelude::*;
 
-/// Shards of the group, as in the larger groups of the brief.
+/// The number of shards of the group, as in large groups.
 const SHARDS: u32 = 50;
 
-/// Replicas of each shard.
+/// The number of replicas of each shard.
 const REPLICAS: u32 = 2;
 
-/// Hits in each part and on each page.
+/// The number of hits in each part and on each page.
 const PAGE: u32 = 10;
 
-/// Lookups answered in each run.
+/// The number of lookups answered in each run.
 const LOOKUPS: u64 = 20_000;
 
 fn name<T: std::str::FromStr<Err = Error>>(s: &str) -> T {
@@ -94,7 +94,7 @@
     })
 }
 
-/// An engine with lookups in flight and what is under way.
+/// An engine, its lookups in flight and its open attempts.
 struct Load {
     engine: Engine,
     now: Instant,
@@ -136,7 +136,7 @@
         load
     }
 
-    /// Feeds an event; only the engine's own time counts.
+    /// Passes an event to the engine and measures the engine's time only.
     fn on(&mut self, event: Event) {
         let begun = Instant::now();
         self.engine.on(self.now, event, &mut self.out);
@@ -184,7 +184,8 @@
     }
 }
 
-/// The cost of reading the clock twice, which every event's time includes.
+/// Returns the cost in nanoseconds of reading the clock twice, which the time of every event
+/// includes.
 fn clock_cost() -> f64 {
     let n = 1_000_000_u32;
     let begun = Instant::now();
--- a/crates/query/tests/engine/charts.rs
+++ b/crates/query/tests/engine/charts.rs
@@ -1,11 +1,11 @@
-//! The chart of an attempt.
+//! Tests of the state machine definition of an attempt.
 
 use gs_query::AttemptEvent;
 use gs_query::AttemptState;
 use gs_query::attempt_chart;
 use strum::IntoEnumIterator;
 
-/// Parsing proves that every state can be reached and answers every event.
+/// Parsing checks that every state is reachable and handles every event.
 #[test]
 fn the_attempts_chart_is_whole() {
     let chart = attempt_chart().expect("a whole chart");
--- a/crates/query/tests/engine/connections.rs
+++ b/crates/query/tests/engine/connections.rs
@@ -1,4 +1,4 @@
-//! Attempts in flight never pass this VM's share of a server's connections.
+//! Tests that attempts in flight never exceed this VM's share of a server's connections.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
     w.arrive("urgent");
     let d = w.take(0);
     w.sent(&d);
-    w.pass(Duration::from_millis(199));
+    w.advance(Duration::from_millis(199));
     assert_eq!(w.cancelled.len(), 1);
     w.arrive("urgent");
     assert!(w.open.is_empty());
@@ -41,15 +41,16 @@
     assert_eq!(w.open.len(), 1);
 }
 
-/// A shell that forgets to tell an attempt's end would hold the server's connections for ever.
+/// An I/O driver (shell) that never reports an attempt's end must not occupy the server's
+/// connections for ever.
 #[test]
 fn a_forgotten_attempt_gives_its_connection_back_in_time() {
     let mut w = World::new(1, 1);
     w.share_all(&group(1, 1, &[(1, 1)]), 1);
     w.arrive("urgent");
     w.open.clear();
-    w.pass(Duration::from_millis(199));
-    w.pass(Duration::from_secs(3));
+    w.advance(Duration::from_millis(199));
+    w.advance(Duration::from_secs(3));
     w.arrive("urgent");
     assert_eq!(w.open.len(), 1);
 }
@@ -72,7 +73,7 @@
     assert!(out.contains(&Action::Warm(server(0, 0), Connections(3))));
 }
 
-/// A server that has just started is cold. It gets one attempt at a time at first.
+/// A server that has just started gets one attempt at a time at first.
 #[test]
 fn a_new_run_of_a_server_starts_slowly() {
     let mut w = World::with(EngineOptions::default(), &group(1, 1, &[(1, 1)]));
@@ -84,7 +85,7 @@
     }
     assert_eq!(w.open.len(), 1);
     w.serve_all();
-    w.pass(Duration::from_secs(4));
+    w.advance(Duration::from_secs(4));
     for _ in 0..4 {
         w.arrive("urgent");
     }
@@ -101,15 +102,15 @@
             retry_after: Duration::from_millis(30),
         },
     );
-    w.pass(Duration::from_millis(29));
+    w.advance(Duration::from_millis(29));
     assert!(w.open.is_empty());
-    w.pass(Duration::from_millis(1));
+    w.advance(Duration::from_millis(1));
     w.serve_all();
     assert!(w.answer(seq).coverage.is_full());
 }
 
-/// Every attempt at both replicas fails. One is set aside; the other goes on being asked, so that
-/// a wrong signal cannot empty the service.
+/// Every attempt at both replicas fails. One is ejected; the other is still queried, so that a
+/// wrong signal cannot remove every server of a service.
 #[test]
 fn failing_servers_are_set_aside_but_never_all_of_a_service() {
     let mut w = World::with(EngineOptions::default(), &group(1, 2, &[(1, 1)]));
@@ -131,9 +132,9 @@
     assert_eq!(w.open.len(), 1);
 }
 
-/// A poisoned lookup takes both replicas of a shard down; they are back within the deadline of the
-/// auditor's lookup that is under way. Until then each try is refused in no time, and the lookup
-/// must not use up its tries on that. Found with the rig's crashing servers.
+/// A poisoned lookup crashes both replicas of a shard, which are back within the deadline of
+/// another lookup in flight. Until then each attempt fails immediately; the lookup must not use up
+/// its tries on these failures.
 #[test]
 fn a_part_waits_for_replicas_that_are_down_for_a_moment() {
     let mut w = World::new(1, 2);
@@ -142,13 +143,13 @@
         while let Some(d) = w.open.pop() {
             w.reply(&d, PartReply::NotSent);
         }
-        w.pass(Duration::from_millis(10));
+        w.advance(Duration::from_millis(10));
     }
-    assert!(!w.is_over(seq));
+    assert!(!w.is_finished(seq));
     let tries = w.engine.counters().attempts;
     assert!(tries < 12, "{tries} tries at servers that are down");
     for _ in 0..4 {
-        w.pass(Duration::from_millis(10));
+        w.advance(Duration::from_millis(10));
         w.serve_all();
     }
     assert!(w.answer(seq).coverage.is_full());
--- a/crates/query/tests/engine/coverage.rs
+++ b/crates/query/tests/engine/coverage.rs
@@ -1,4 +1,4 @@
-//! What a page covers, and when it is given.
+//! Tests of a page's coverage and of when it is returned.
 
 use std::time::Duration;
 
@@ -27,8 +27,8 @@
     assert!(!a.ended_early);
 }
 
-/// A shard's server is stuck. The editor still gets the page by the deadline, and it says which
-/// shard is not in it.
+/// A shard's server does not reply. The page is still returned by the deadline and names the
+/// missing shard.
 #[test]
 fn an_urgent_lookup_answers_by_its_deadline_with_what_is_there() {
     let mut w = World::new(3, 1);
@@ -38,9 +38,9 @@
         w.sent(&d);
         w.reply(&d, whole(&d));
     }
-    w.pass(Duration::from_millis(150));
-    assert!(!w.is_over(seq));
-    w.pass(Duration::from_millis(49));
+    w.advance(Duration::from_millis(150));
+    assert!(!w.is_finished(seq));
+    w.advance(Duration::from_millis(49));
     let a = w.answer(seq);
     assert_eq!(a.hits, brute_force(1, &[0, 2], 5));
     let missing = MissingShard {
@@ -59,7 +59,7 @@
         let d = w.take(shard);
         w.sent(&d);
     }
-    w.pass(Duration::from_millis(199));
+    w.advance(Duration::from_millis(199));
     let Outcome::Unknown(r) = w.outcome(seq) else {
         panic!("{:?}", w.answers);
     };
@@ -67,8 +67,8 @@
     assert_eq!(r.missing.len(), 2);
 }
 
-/// An auditor's lookup loses one shard's only replica while it runs. It is refused with the shard's
-/// number as soon as that is known; a thin page could be signed off.
+/// A complete lookup loses one shard's only replica while it runs. It is refused with the shard's
+/// number as soon as that is known, since its caller relies on a complete page.
 #[test]
 fn a_complete_lookup_is_refused_with_what_is_missing() {
     let mut w = World::new(3, 1);
@@ -87,8 +87,8 @@
         panic!("{:?}", w.answers);
     };
     assert_eq!(r.reason, RefusalReason::Incomplete);
-    let gone = r.missing.iter().find(|m| m.shard == ShardId(1));
-    assert_eq!(gone.map(|m| m.reason), Some(MissReason::Failed));
+    let failed = r.missing.iter().find(|m| m.shard == ShardId(1));
+    assert_eq!(failed.map(|m| m.reason), Some(MissReason::Failed));
     assert!(r.retry_after.is_some());
 }
 
--- a/crates/query/tests/engine/drain.rs
+++ b/crates/query/tests/engine/drain.rs
@@ -1,4 +1,4 @@
-//! A leaving server gets no new work.
+//! Tests that a draining server gets no new work.
 
 use gs_query::EngineOptions;
 use gs_query::Event;
@@ -15,7 +15,8 @@
 use crate::world::server;
 use crate::world::whole;
 
-/// One shard on two replicas, both in their first run; replica 0 is near and taken first.
+/// Creates one shard with two replicas, both in their first incarnation; replica 0 is near and
+/// preferred.
 fn world() -> World {
     let mut w = World::with(EngineOptions::default(), &group(1, 2, &[(1, 1)]));
     for r in 0..2 {
@@ -24,15 +25,15 @@
     w
 }
 
-fn sign(w: &mut World, incarnation: Option<u64>) {
-    let sign = Notice::Drain {
+fn send_drain_notice(w: &mut World, incarnation: Option<u64>) {
+    let notice = Notice::Drain {
         server: server(0, 0),
         incarnation: incarnation.map(Incarnation),
     };
-    w.on(Event::Sign(sign, NoticeSource::Peer));
+    w.on(Event::Sign(notice, NoticeSource::Peer));
 }
 
-/// The server that the next lookup goes to; it is answered.
+/// Returns the server of the next lookup, which is answered.
 fn next_server(w: &mut World) -> ServerName {
     w.arrive("urgent");
     let d = w.take(0);
@@ -42,7 +43,7 @@
     d.server.name.clone()
 }
 
-/// How the drain of replica 0 is learned.
+/// How the engine learns of the drain of replica 0.
 enum Learned {
     Refused,
     ByHeader,
@@ -55,7 +56,10 @@
 #[case(Learned::ByHeader, true)]
 #[case(Learned::ByHealth, true)]
 #[case(Learned::ByPeer, false)]
-fn the_first_sign_of_a_drain_counts_and_is_spread(#[case] learned: Learned, #[case] spread: bool) {
+fn the_first_sign_of_a_drain_counts_and_is_spread(
+    #[case] learned: Learned,
+    #[case] broadcast: bool,
+) {
     let mut w = world();
     assert_eq!(next_server(&mut w), server(0, 0));
     match learned {
@@ -82,31 +86,32 @@
             r.draining = true;
             w.on(Event::Report(r));
         }
-        Learned::ByPeer => sign(&mut w, Some(1)),
+        Learned::ByPeer => send_drain_notice(&mut w, Some(1)),
     }
     for _ in 0..20 {
         assert_eq!(next_server(&mut w), server(0, 1));
     }
-    let told = Notice::Drain {
+    let notice = Notice::Drain {
         server: server(0, 0),
         incarnation: Some(Incarnation(1)),
     };
-    assert_eq!(w.spread, if spread { vec![told] } else { vec![] });
+    assert_eq!(w.notices, if broadcast { vec![notice] } else { vec![] });
 }
 
-/// The health endpoint lags and still says "not draining". The mark holds until a new run shows.
+/// The health endpoint is out of date and does not report the drain. The drain lasts until a new
+/// incarnation is seen.
 #[test]
 fn only_a_new_run_ends_a_drain() {
     let mut w = world();
-    sign(&mut w, Some(1));
+    send_drain_notice(&mut w, Some(1));
     w.on(Event::Report(report(server(0, 0), 1, &[1])));
     assert_eq!(next_server(&mut w), server(0, 1));
     w.on(Event::Report(report(server(0, 0), 2, &[1])));
     let mut seen = Vec::new();
     for _ in 0..8 {
         seen.push(next_server(&mut w));
-        // The new run is cold and gets its work back over the time of its slow start.
-        w.pass(std::time::Duration::from_millis(500));
+        // The new incarnation gets its share of work back over its slow start.
+        w.advance(std::time::Duration::from_millis(500));
     }
     assert!(seen.contains(&server(0, 0)));
 }
@@ -114,22 +119,22 @@
 #[rstest]
 #[case::of_an_earlier_run(Some(1))]
 #[case::without_a_run(None)]
-fn a_sign_told_again_does_not_drain_the_next_run(#[case] run: Option<u64>) {
+fn a_sign_told_again_does_not_drain_the_next_run(#[case] incarnation: Option<u64>) {
     let mut w = world();
-    sign(&mut w, run);
+    send_drain_notice(&mut w, incarnation);
     w.on(Event::Report(report(server(0, 0), 2, &[1])));
-    sign(&mut w, run);
+    send_drain_notice(&mut w, incarnation);
     let seen: Vec<_> = (0..8).map(|_| next_server(&mut w)).collect();
     assert!(seen.contains(&server(0, 0)));
 }
 
-/// Parts wait for the connections of a server that then drains. They move to its peer at once.
+/// Parts queued for a server that starts to drain are requeued to the other replica immediately.
 #[test]
 fn parts_that_wait_for_a_draining_server_move_on() {
     let mut w = world();
     let seqs: Vec<_> = (0..6).map(|_| w.arrive("complete")).collect();
     assert_eq!((w.open.len(), w.engine.dump(w.now).waiting), (4, 2));
-    sign(&mut w, Some(1));
+    send_drain_notice(&mut w, Some(1));
     w.serve_all();
     for seq in seqs {
         assert!(w.answer(seq).coverage.is_full());
@@ -154,16 +159,16 @@
     assert_eq!(r.missing[0].reason, MissReason::NoReplica);
 }
 
-/// A process starts: its peers' gossip of a drain arrives before the map that declares the server.
-/// Its first lookups must not go to the leaving server for that. Found by the fuzzer.
+/// A starting process receives a peer's drain notice before the map that declares the server. Its
+/// first lookups must not be sent to that server.
 #[test]
 fn a_drain_told_before_the_server_is_declared_counts() {
     let mut w = World::with(EngineOptions::default(), &group(1, 2, &[(1, 1)]));
-    let sign = Notice::Drain {
+    let notice = Notice::Drain {
         server: server(1, 0),
         incarnation: Some(Incarnation(3)),
     };
-    w.on(Event::Sign(sign, NoticeSource::Peer));
+    w.on(Event::Sign(notice, NoticeSource::Peer));
     let map = group(2, 2, &[(1, 2)]);
     w.on(Event::Group(std::sync::Arc::new(map)));
     for _ in 0..4 {
@@ -173,9 +178,9 @@
     }
 }
 
-/// A server says itself that it drains before its run is known here. It restarts, and a peer tells
-/// of the drain of the next run without naming it. That is the first such sign, and no echo of the
-/// server's own word. Found by the fuzzer in a longer run.
+/// A server reports that it drains before its incarnation is known here. It restarts, and a peer
+/// announces the drain of the next incarnation without naming it. That is a new notice and not a
+/// repetition of the server's own report.
 #[test]
 fn a_servers_own_word_does_not_make_a_later_sign_an_echo() {
     let mut w = World::with(EngineOptions::default(), &group(1, 2, &[(1, 1)]));
@@ -187,18 +192,18 @@
     let drained = d.server.name.clone();
     w.on(Event::Report(report(drained.clone(), 1, &[1])));
     w.on(Event::Report(report(drained.clone(), 2, &[1])));
-    let sign = Notice::Drain {
+    let notice = Notice::Drain {
         server: drained.clone(),
         incarnation: None,
     };
-    w.on(Event::Sign(sign, NoticeSource::Peer));
-    // The other replica goes too, so that nothing else can keep work away from this one.
+    w.on(Event::Sign(notice, NoticeSource::Peer));
+    // The other replica drains too, so that it cannot take the work instead.
     let other = (0..2).map(|r| server(0, r)).find(|s| *s != drained);
-    let sign = Notice::Drain {
+    let notice = Notice::Drain {
         server: other.expect("another replica"),
         incarnation: Some(Incarnation(1)),
     };
-    w.on(Event::Sign(sign, NoticeSource::Peer));
+    w.on(Event::Sign(notice, NoticeSource::Peer));
     w.arrive("urgent");
     assert!(w.open.is_empty());
 }
--- a/crates/query/tests/engine/fuzz/drains.rs
+++ b/crates/query/tests/engine/fuzz/drains.rs
@@ -1,4 +1,4 @@
-//! The oracle for drains: after a sign, nothing goes to that run of the server.
+//! Checks that no attempt is sent to an incarnation of a server after a notice of its drain.
 
 use std::collections::BTreeMap;
 
@@ -14,34 +14,35 @@
 
 #[derive(Clone, Debug, Default)]
 struct Server {
-    /// The newest run told of.
-    run: Option<Incarnation>,
-    /// Whether a sign told that this run drains.
+    /// The newest incarnation reported.
+    incarnation: Option<Incarnation>,
+    /// Whether this incarnation was announced as draining.
     is_draining: bool,
-    /// Whether a sign that names no run was told before; told again it may be an echo.
+    /// Whether a notice without an incarnation was received before; another one may be a
+    /// repetition.
     had_unnamed: bool,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Drains {
     servers: BTreeMap<ServerName, Server>,
-    /// Attempts made: their server, and the run known when they were made.
-    made: BTreeMap<AttemptId, (ServerName, Option<Incarnation>)>,
+    /// The server of each dispatched attempt, and its incarnation known at dispatch.
+    dispatched: BTreeMap<AttemptId, (ServerName, Option<Incarnation>)>,
 }
 
 impl Drains {
-    fn named(&mut self, name: &ServerName, run: Incarnation) {
+    fn on_named_notice(&mut self, name: &ServerName, incarnation: Incarnation) {
         let s = self.servers.entry(name.clone()).or_default();
-        match s.run {
-            Some(known) if run < known => {}
+        match s.incarnation {
+            Some(known) if incarnation < known => {}
             _ => {
-                s.run = Some(run);
+                s.incarnation = Some(incarnation);
                 s.is_draining = true;
             }
         }
     }
 
-    fn unnamed(&mut self, name: &ServerName) {
+    fn on_unnamed_notice(&mut self, name: &ServerName) {
         let s = self.servers.entry(name.clone()).or_default();
         if !s.had_unnamed {
             s.had_unnamed = true;
@@ -49,25 +50,26 @@
         }
     }
 
-    /// A server's own word, which is about the run that the attempt went to.
-    fn own_word(&mut self, id: &AttemptId) {
-        let Some((name, run)) = self.made.get(id).cloned() else {
+    /// Applies a server's own drain report, which is about the incarnation that the attempt was
+    /// sent to.
+    fn on_own_report(&mut self, id: &AttemptId) {
+        let Some((name, incarnation)) = self.dispatched.get(id).cloned() else {
             return;
         };
         let s = self.servers.entry(name).or_default();
-        if s.run == run {
+        if s.incarnation == incarnation {
             s.is_draining = true;
         }
     }
 
-    fn report(&mut self, name: &ServerName, run: Incarnation, draining: bool) {
+    fn on_report(&mut self, name: &ServerName, incarnation: Incarnation, draining: bool) {
         let s = self.servers.entry(name.clone()).or_default();
-        match s.run {
-            Some(known) if run < known => return,
-            Some(known) if run > known => s.is_draining = draining,
+        match s.incarnation {
+            Some(known) if incarnation < known => return,
+            Some(known) if incarnation > known => s.is_draining = draining,
             _ => s.is_draining |= draining,
         }
-        s.run = Some(run);
+        s.incarnation = Some(incarnation);
     }
 }
 
@@ -93,16 +95,16 @@
                 },
                 _,
             ) => match incarnation {
-                Some(run) => self.named(server, *run),
-                None => self.unnamed(server),
+                Some(incarnation) => self.on_named_notice(server, *incarnation),
+                None => self.on_unnamed_notice(server),
             },
             Event::Report(r) => {
-                if let Some(run) = r.incarnation {
-                    self.report(&r.server, run, r.draining);
+                if let Some(incarnation) = r.incarnation {
+                    self.on_report(&r.server, incarnation, r.draining);
                 }
             }
-            Event::Reply(id, PartReply::Draining) => self.own_word(id),
-            Event::Reply(id, PartReply::Whole { draining: true, .. }) => self.own_word(id),
+            Event::Reply(id, PartReply::Draining) => self.on_own_report(id),
+            Event::Reply(id, PartReply::Whole { draining: true, .. }) => self.on_own_report(id),
             _ => {}
         }
     }
@@ -113,8 +115,9 @@
         };
         let name = &d.server.name;
         let s = self.servers.entry(name.clone()).or_default();
-        assert!(!s.is_draining, "work for {name}, which drains");
-        self.made.insert(d.attempt.clone(), (name.clone(), s.run));
+        assert!(!s.is_draining, "work for {name}, which is draining");
+        self.dispatched
+            .insert(d.attempt.clone(), (name.clone(), s.incarnation));
     }
 
     fn end(&mut self, _: &Driver) {}
--- a/crates/query/tests/engine/fuzz/driver.rs
+++ b/crates/query/tests/engine/fuzz/driver.rs
@@ -1,4 +1,4 @@
-//! Fake servers and a fake shell around an engine.
+//! Simulated servers and I/O driver (shell) around an engine.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,28 +17,28 @@
 use gs_types::prelude::*;
 
 use super::Oracle;
-use super::step::Cross;
-use super::step::End;
+use super::step::AttemptEnd;
 use super::step::Step;
+use super::step::StrayId;
 use crate::world;
 use crate::world::World;
 
 /// Replicas of each shard.
 const REPLICAS: u32 = 2;
 
-/// The most shards of any snapshot.
+/// The maximum number of shards of a snapshot.
 const SHARDS_MAX: u32 = 6;
 
-/// The servers that faults befall: both replicas of the first two shards.
-const SERVERS_HIT: usize = 4;
+/// The number of servers with faults: both replicas of the first two shards.
+const FAULTY_SERVERS: usize = 4;
 
-/// The texts that are searched for.
+/// The query texts.
 const QUERIES: [&str; 4] = ["pine", "larch", "trout", "kelp"];
 
 /// The lookups declared.
 const LOOKUPS: [&str; 5] = ["urgent", "handful", "complete", "book", "levy"];
 
-/// The part of a shard: its hits tell the text, the snapshot and the shard that they are from.
+/// Returns the part of a shard; its hits name the query, snapshot and shard that they are from.
 pub fn part(query: &str, id: u64, s: u32) -> Part {
     let mut p = world::part(id, s);
     for h in &mut p.hits {
@@ -49,37 +49,37 @@
     p
 }
 
-/// An attempt as the shell knows it.
+/// A dispatched attempt as known to the I/O driver.
 #[derive(Clone, Debug)]
-struct Held {
+struct OpenAttempt {
     dispatch: Dispatch,
-    at: Instant,
-    run: u64,
+    dispatched_at: Instant,
+    incarnation: u64,
     is_sent: bool,
     is_cancelled: bool,
 }
 
-/// A server's true state.
+/// The actual state of a server.
 #[derive(Clone, Debug)]
 struct Server {
-    run: u64,
+    incarnation: u64,
     is_draining: bool,
-    /// Runs that ever drained.
+    /// The incarnations that have drained.
     drained: Vec<u64>,
 }
 
-/// Fake servers and a fake shell around an engine.
+/// Simulated servers and I/O driver (shell) around an engine.
 #[derive(Debug)]
 pub struct Driver {
     pub engine: Engine,
     start: Instant,
     now: Instant,
     wake_at: Option<Instant>,
-    next: u64,
+    next_seq: u64,
     arrived: Vec<LookupSeq>,
     claims: Vec<LookupSeq>,
-    open: Vec<Held>,
-    past: Vec<Dispatch>,
+    open: Vec<OpenAttempt>,
+    dispatched: Vec<Dispatch>,
     servers: BTreeMap<ServerName, Server>,
     revision: u64,
     snapshots: Vec<(u64, u32)>,
@@ -106,11 +106,11 @@
             start,
             now: start,
             wake_at: None,
-            next: 1,
+            next_seq: 1,
             arrived: Vec::new(),
             claims: Vec::new(),
             open: Vec::new(),
-            past: Vec::new(),
+            dispatched: Vec::new(),
             servers: BTreeMap::new(),
             revision: 1,
             snapshots: vec![(1, 3), (2, 4)],
@@ -118,7 +118,7 @@
         for s in 0..SHARDS_MAX {
             for r in 0..REPLICAS {
                 let fresh = Server {
-                    run: 1,
+                    incarnation: 1,
                     is_draining: false,
                     drained: Vec::new(),
                 };
@@ -130,7 +130,7 @@
         d
     }
 
-    /// Feeds an event, and does what the engine asks for.
+    /// Passes an event to the engine and carries out the resulting actions.
     fn on<O: Oracle>(&mut self, event: Event, oracle: &mut O) {
         let at = self.now.duration_since(self.start).as_micros() as u64;
         oracle.before(at, &event);
@@ -139,29 +139,30 @@
         for action in out {
             oracle.after(at, &action);
             match action {
-                Action::Dispatch(dispatch) => self.hold(dispatch),
-                Action::Cancel(id) => self.cancel(&id),
-                Action::Claim(ask) => self.claims.push(ask.seq),
+                Action::Dispatch(dispatch) => self.on_dispatch(dispatch),
+                Action::Cancel(id) => self.on_cancel(&id),
+                Action::Claim(claim) => self.claims.push(claim.seq),
                 Action::Wake(after) => self.wake_at = Some(self.now + after),
                 Action::Answer(..) | Action::Warm(..) | Action::Spread(_) => {}
             }
         }
     }
 
-    fn hold(&mut self, dispatch: Dispatch) {
-        self.past.push(dispatch.clone());
-        self.open.push(Held {
-            at: self.now,
-            run: self.servers[&dispatch.server.name].run,
+    fn on_dispatch(&mut self, dispatch: Dispatch) {
+        self.dispatched.push(dispatch.clone());
+        self.open.push(OpenAttempt {
+            dispatched_at: self.now,
+            incarnation: self.servers[&dispatch.server.name].incarnation,
             dispatch,
             is_sent: false,
             is_cancelled: false,
         });
     }
 
-    fn cancel(&mut self, id: &AttemptId) {
-        let held = self.open.iter_mut().find(|h| h.dispatch.attempt == *id);
-        held.expect("a cancel names an attempt under way")
+    fn on_cancel(&mut self, id: &AttemptId) {
+        let attempt = self.open.iter_mut().find(|h| h.dispatch.attempt == *id);
+        attempt
+            .expect("a cancel names an attempt in flight")
             .is_cancelled = true;
     }
 
@@ -173,35 +174,43 @@
                 floor,
                 deadline_ms,
             } => self.arrive(lookup, query, floor, deadline_ms, oracle),
-            Step::Claim { pick, verdict } => {
+            Step::Claim { pick, decision } => {
                 if !self.claims.is_empty() {
                     let seq = self.claims.remove(pick % self.claims.len());
-                    self.on(Event::Claim(seq, verdict), oracle);
+                    self.on(Event::Claim(seq, decision), oracle);
                 }
             }
             Step::Sent(n) => self.send(n, oracle),
             Step::Reply(n, end) => self.end_one(n, end, oracle),
             Step::ReplyAll(n) => self.end_all(n, oracle),
-            Step::Stray(n, cross) => self.stray(n, cross, oracle),
-            Step::Pass(ms) => self.pass(Duration::from_millis(ms), oracle),
-            Step::Report { server, lag, holds } => self.report(server, lag, holds, oracle),
+            Step::Stray(n, stray_id) => self.stray(n, stray_id, oracle),
+            Step::Pass(ms) => self.advance(Duration::from_millis(ms), oracle),
+            Step::Report {
+                server,
+                is_outdated,
+                holds,
+            } => self.report(server, is_outdated, holds, oracle),
             Step::BeginDrain(n) => {
                 let s = self.server(n).1;
                 s.is_draining = true;
-                let run = s.run;
-                s.drained.push(run);
+                let incarnation = s.incarnation;
+                s.drained.push(incarnation);
             }
             Step::Restart(n) => {
                 let s = self.server(n).1;
-                s.run += 1;
+                s.incarnation += 1;
                 s.is_draining = false;
             }
-            Step::DrainSign { server, named, lag } => self.sign(server, named, lag, oracle),
+            Step::DrainSign {
+                server,
+                named,
+                is_outdated,
+            } => self.send_drain_notice(server, named, is_outdated, oracle),
             Step::Quarantine {
                 query,
                 crashes,
                 rest_ms,
-            } => self.quarantine(query, crashes, rest_ms, oracle),
+            } => self.send_quarantine_notice(query, crashes, rest_ms, oracle),
             Step::Repartition(shards) => self.repartition(shards, oracle),
             Step::Share(n, share) => {
                 let name = self.server(n).0;
@@ -216,12 +225,12 @@
         }
     }
 
-    /// Lets time pass until every lookup is over; the shell ends all attempts.
-    pub fn run_out<O: Oracle>(&mut self, oracle: &mut O) {
+    /// Advances the clock until every lookup and attempt has ended.
+    pub fn finish_all<O: Oracle>(&mut self, oracle: &mut O) {
         for _ in 0..8 {
-            self.pass(Duration::from_millis(100), oracle);
+            self.advance(Duration::from_millis(100), oracle);
         }
-        assert_eq!(self.engine.in_flight(), 0, "lookups left over");
+        assert_eq!(self.engine.in_flight(), 0, "lookups still in flight");
     }
 
     fn arrive<O: Oracle>(
@@ -232,8 +241,8 @@
         deadline_ms: Option<u64>,
         oracle: &mut O,
     ) {
-        let seq = LookupSeq(self.next);
-        self.next += 1;
+        let seq = LookupSeq(self.next_seq);
+        self.next_seq += 1;
         self.arrived.push(seq);
         let lookup = LOOKUPS[lookup % LOOKUPS.len()];
         let req = LookupRequest {
@@ -256,32 +265,39 @@
         }
     }
 
-    fn end_one<O: Oracle>(&mut self, n: usize, end: End, oracle: &mut O) {
+    fn end_one<O: Oracle>(&mut self, n: usize, end: AttemptEnd, oracle: &mut O) {
         if self.open.is_empty() {
             return;
         }
         let n = n % self.open.len();
-        // What never left cannot be answered, and what left cannot be unsent.
+        // An attempt that was not sent cannot get a reply, and one that was sent cannot end as
+        // `NotSent`.
         match (end, self.open[n].is_sent) {
-            (End::NotSent, true) => return,
-            (End::NotSent, false) => {}
+            (AttemptEnd::NotSent, true) => return,
+            (AttemptEnd::NotSent, false) => {}
             (_, false) => self.send(n, oracle),
             (_, true) => {}
         }
-        let held = self.open.remove(n);
-        let reply = self.reply_of(&held, end);
-        self.on(Event::Reply(held.dispatch.attempt, reply), oracle);
+        let attempt = self.open.remove(n);
+        let reply = self.reply_of(&attempt, end);
+        self.on(Event::Reply(attempt.dispatch.attempt, reply), oracle);
     }
 
     fn end_all<O: Oracle>(&mut self, n: usize, oracle: &mut O) {
         for k in 0..self.open.len() {
-            self.end_one(n.wrapping_mul(31).wrapping_add(k * 7), End::Whole, oracle);
+            self.end_one(
+                n.wrapping_mul(31).wrapping_add(k * 7),
+                AttemptEnd::Whole,
+                oracle,
+            );
         }
     }
 
-    fn reply_of(&self, held: &Held, end: End) -> PartReply {
-        let d = &held.dispatch;
-        let run_drained = self.servers[&d.server.name].drained.contains(&held.run);
+    fn reply_of(&self, attempt: &OpenAttempt, end: AttemptEnd) -> PartReply {
+        let d = &attempt.dispatch;
+        let has_drained = self.servers[&d.server.name]
+            .drained
+            .contains(&attempt.incarnation);
         let from = |id: u64, draining| PartReply::Whole {
             snapshot: SnapshotId(id),
             part: Arc::new(part(&d.query, id, d.attempt.shard.0)),
@@ -289,41 +305,41 @@
             draining,
         };
         match end {
-            End::Whole => from(d.snapshot.0, false),
-            End::WholeDraining => from(d.snapshot.0, run_drained),
-            End::WrongSnapshot(id) => from(id, false),
-            End::Shed => PartReply::Shed {
+            AttemptEnd::Whole => from(d.snapshot.0, false),
+            AttemptEnd::WholeDraining => from(d.snapshot.0, has_drained),
+            AttemptEnd::WrongSnapshot(id) => from(id, false),
+            AttemptEnd::Shed => PartReply::Shed {
                 retry_after: Duration::from_millis(10),
             },
-            End::Draining if run_drained => PartReply::Draining,
-            End::Draining => PartReply::Failed,
-            End::NoSnapshot(mask) => {
-                let mut holds = held_by(mask);
+            AttemptEnd::Draining if has_drained => PartReply::Draining,
+            AttemptEnd::Draining => PartReply::Failed,
+            AttemptEnd::NoSnapshot(mask) => {
+                let mut holds = snapshots_in(mask);
                 holds.retain(|id| *id != d.snapshot);
                 PartReply::NoSnapshot { holds }
             }
-            End::NotSent => PartReply::NotSent,
-            End::Broken => PartReply::Broken,
-            End::Garbled => PartReply::Garbled,
-            End::Failed => PartReply::Failed,
+            AttemptEnd::NotSent => PartReply::NotSent,
+            AttemptEnd::Broken => PartReply::Broken,
+            AttemptEnd::Garbled => PartReply::Garbled,
+            AttemptEnd::Failed => PartReply::Failed,
         }
     }
 
-    /// A reply that belongs to no attempt under way, with what its server would have said.
-    fn stray<O: Oracle>(&mut self, n: usize, cross: Cross, oracle: &mut O) {
-        if self.past.is_empty() {
+    /// Sends a reply that matches no attempt in flight, with the part of another attempt.
+    fn stray<O: Oracle>(&mut self, n: usize, stray_id: StrayId, oracle: &mut O) {
+        if self.dispatched.is_empty() {
             return;
         }
-        let d = self.past[n % self.past.len()].clone();
+        let d = self.dispatched[n % self.dispatched.len()].clone();
         let mut id = d.attempt.clone();
-        match cross {
-            Cross::Again => {}
-            Cross::OtherVm => id.vm = world::name("vm-2"),
-            Cross::EarlierRun => id.incarnation = Incarnation(6),
-            Cross::NextTry => id.attempt = id.attempt.wrapping_add(1),
-            Cross::OtherLookup => id.lookup = LookupSeq(id.lookup.0.wrapping_add(1)),
+        match stray_id {
+            StrayId::Duplicate => {}
+            StrayId::OtherVm => id.vm = world::name("vm-2"),
+            StrayId::EarlierIncarnation => id.incarnation = Incarnation(6),
+            StrayId::NextAttempt => id.attempt = id.attempt.wrapping_add(1),
+            StrayId::OtherLookup => id.lookup = LookupSeq(id.lookup.0.wrapping_add(1)),
         }
-        // An id that is under way is no stray; its own server would have to answer.
+        // A reply to an attempt in flight would not be stray.
         if self.open.iter().any(|h| h.dispatch.attempt == id) {
             return;
         }
@@ -336,8 +352,8 @@
         self.on(Event::Reply(id, reply), oracle);
     }
 
-    /// Moves the time from wake-up to wake-up, as a shell does.
-    fn pass<O: Oracle>(&mut self, by: Duration, oracle: &mut O) {
+    /// Advances the clock from wake-up to wake-up, as an I/O driver does.
+    fn advance<O: Oracle>(&mut self, by: Duration, oracle: &mut O) {
         let end = self.now + by;
         while let Some(at) = self.wake_at.filter(|at| *at <= end) {
             self.now = self.now.max(at);
@@ -345,70 +361,82 @@
             self.on(Event::Tick, oracle);
         }
         self.now = end;
-        self.end_forgotten(oracle);
+        self.end_overdue(oracle);
     }
 
-    /// A shell ends what was cancelled, or is long past its time.
-    fn end_forgotten<O: Oracle>(&mut self, oracle: &mut O) {
+    /// Ends the attempts that were cancelled or are long past their deadlines.
+    fn end_overdue<O: Oracle>(&mut self, oracle: &mut O) {
         let limit = world::DEADLINE + Duration::from_millis(100);
         while let Some(n) = self
             .open
             .iter()
-            .position(|h| h.is_cancelled || self.now - h.at > limit)
+            .position(|h| h.is_cancelled || self.now - h.dispatched_at > limit)
         {
-            let held = self.open.remove(n);
-            let reply = match (held.is_sent, held.is_cancelled) {
+            let attempt = self.open.remove(n);
+            let reply = match (attempt.is_sent, attempt.is_cancelled) {
                 (false, _) => PartReply::NotSent,
                 (true, true) => PartReply::Cancelled,
                 (true, false) => PartReply::Failed,
             };
-            self.on(Event::Reply(held.dispatch.attempt, reply), oracle);
+            self.on(Event::Reply(attempt.dispatch.attempt, reply), oracle);
         }
     }
 
-    fn report<O: Oracle>(&mut self, n: usize, lag: bool, holds: u8, oracle: &mut O) {
+    fn report<O: Oracle>(&mut self, n: usize, is_outdated: bool, holds: u8, oracle: &mut O) {
         let (name, s) = self.server(n);
-        // A lagging endpoint tells of the run before, or not yet of the drain.
-        let run = if lag {
-            s.run.saturating_sub(1).max(1)
+        // An out-of-date report names the previous incarnation or lacks the drain.
+        let incarnation = if is_outdated {
+            s.incarnation.saturating_sub(1).max(1)
         } else {
-            s.run
+            s.incarnation
         };
-        let draining = !lag && s.is_draining;
-        let mut report = world::report(name, run, &[]);
-        report.snapshots = held_by(holds);
+        let draining = !is_outdated && s.is_draining;
+        let mut report = world::report(name, incarnation, &[]);
+        report.snapshots = snapshots_in(holds);
         report.draining = draining;
         self.on(Event::Report(report), oracle);
     }
 
-    fn sign<O: Oracle>(&mut self, n: usize, named: bool, lag: bool, oracle: &mut O) {
+    fn send_drain_notice<O: Oracle>(
+        &mut self,
+        n: usize,
+        named: bool,
+        is_outdated: bool,
+        oracle: &mut O,
+    ) {
         let (name, s) = self.server(n);
-        let told = if lag {
+        let announced = if is_outdated {
             s.drained.first()
         } else {
             s.drained.last()
         };
-        let Some(run) = told.copied() else {
+        let Some(incarnation) = announced.copied() else {
             return;
         };
-        let sign = Notice::Drain {
+        let notice = Notice::Drain {
             server: name,
-            incarnation: named.then_some(Incarnation(run)),
+            incarnation: named.then_some(Incarnation(incarnation)),
         };
-        self.on(Event::Sign(sign, NoticeSource::Peer), oracle);
+        self.on(Event::Sign(notice, NoticeSource::Peer), oracle);
     }
 
-    fn quarantine<O: Oracle>(&mut self, query: usize, crashes: u32, rest: u64, oracle: &mut O) {
+    fn send_quarantine_notice<O: Oracle>(
+        &mut self,
+        query: usize,
+        crashes: u32,
+        rest: u64,
+        oracle: &mut O,
+    ) {
         let req = World::request("urgent", QUERIES[query % QUERIES.len()]);
-        let sign = Notice::Quarantine {
+        let notice = Notice::Quarantine {
             fingerprint: req.fingerprint(),
             crashes,
             rest: Duration::from_millis(rest),
         };
-        self.on(Event::Sign(sign, NoticeSource::Peer), oracle);
+        self.on(Event::Sign(notice, NoticeSource::Peer), oracle);
     }
 
-    /// A new snapshot with another count of shards; the oldest of three is taken off the map.
+    /// Adds a snapshot with another number of shards; the oldest of more than three is removed.
     fn repartition<O: Oracle>(&mut self, shards: u32, oracle: &mut O) {
         if self.revision > 3 {
             return;
@@ -428,16 +456,16 @@
     }
 
     fn server(&mut self, n: usize) -> (ServerName, &mut Server) {
-        // A few servers, so that several steps meet at one.
-        let n = n % SERVERS_HIT;
+        // Few servers, so that several steps affect the same one.
+        let n = n % FAULTY_SERVERS;
         let found = self.servers.iter_mut().nth(n);
         let (name, server) = found.expect("a server");
         (name.clone(), server)
     }
 }
 
-/// The snapshots of a bit mask; mostly many of them.
-fn held_by(mask: u8) -> smallvec::SmallVec<[SnapshotId; 4]> {
+/// Returns the snapshots of a bit mask; all of them if the top bit is not set.
+fn snapshots_in(mask: u8) -> smallvec::SmallVec<[SnapshotId; 4]> {
     (1..=5_u64)
         .filter(|id| mask & 0x80 == 0 || mask & (1 << id) != 0)
         .map(SnapshotId)
--- a/crates/query/tests/engine/fuzz/mod.rs
+++ b/crates/query/tests/engine/fuzz/mod.rs
@@ -1,4 +1,5 @@
-//! Stateful fuzzing: events in any order, against oracles that know only the promises.
+//! Stateful fuzzing: events in any order, checked by oracles that know only the engine's
+//! guarantees.
 //!
 //! `GS_FUZZ_CASES` sets the number of cases for a longer run; the seed is fixed.
 
@@ -28,38 +29,38 @@
 use step::Step;
 use step::Weights;
 
-/// Cases run when `GS_FUZZ_CASES` does not say.
-const CASES: u32 = 48;
+/// The number of cases if `GS_FUZZ_CASES` is not set.
+const DEFAULT_CASES: u32 = 48;
 
 fn fuzz_config() -> Config {
     let cases = std::env::var("GS_FUZZ_CASES").ok();
     Config {
-        cases: cases.and_then(|n| n.parse().ok()).unwrap_or(CASES),
+        cases: cases.and_then(|n| n.parse().ok()).unwrap_or(DEFAULT_CASES),
         rng_seed: RngSeed::Fixed(20_261_203),
         failure_persistence: None,
         ..Config::default()
     }
 }
 
-/// Watches what goes into the engine and what comes out, and panics at a broken promise.
+/// Observes the engine's events and actions, and panics at a violated guarantee.
 pub trait Oracle: Default {
-    /// How often each step is taken.
+    /// Returns the frequency of each step.
     fn weights() -> Weights;
 
-    /// An event is about to go in, at so many microseconds since the start.
+    /// Observes an event before it is processed, `at` microseconds since the start.
     fn before(&mut self, at: u64, event: &Event);
 
-    /// An action came out.
+    /// Observes an action.
     fn after(&mut self, at: u64, action: &Action);
 
-    /// Everything has ended.
+    /// Checks the totals after every lookup has ended.
     fn end(&mut self, driver: &driver::Driver);
 }
 
-/// The reference knows nothing: steps are chosen blindly, and the oracles judge what happens.
-struct Blind<O>(PhantomData<O>);
+/// A reference without state: steps are chosen at random, and the oracles check the results.
+struct Stateless<O>(PhantomData<O>);
 
-impl<O: Oracle + std::fmt::Debug + Clone + 'static> ReferenceStateMachine for Blind<O> {
+impl<O: Oracle + std::fmt::Debug + Clone + 'static> ReferenceStateMachine for Stateless<O> {
     type State = ();
     type Transition = Step;
 
@@ -74,12 +75,12 @@
     fn apply((): (), _: &Step) {}
 }
 
-/// Runs the engine under an oracle.
+/// Runs the engine with an oracle.
 struct Fuzz<O>(PhantomData<O>);
 
 impl<O: Oracle + std::fmt::Debug + Clone + 'static> StateMachineTest for Fuzz<O> {
     type SystemUnderTest = (Driver, O);
-    type Reference = Blind<O>;
+    type Reference = Stateless<O>;
 
     fn init_test((): &()) -> (Driver, O) {
         let mut oracle = O::default();
@@ -93,7 +94,7 @@
     }
 
     fn teardown((mut driver, mut oracle): (Driver, O), (): ()) {
-        driver.run_out(&mut oracle);
+        driver.finish_all(&mut oracle);
         oracle.end(&driver);
     }
 }
@@ -101,15 +102,17 @@
 prop_state_machine! {
     #![proptest_config(fuzz_config())]
 
-    /// Every page is the merge of exactly the shards it claims, from one snapshot, for its caller.
+    /// Every page is the merge of exactly the shards in its coverage, from one snapshot, for its
+    /// caller.
     #[test]
     fn answers_are_true(sequential 1..120 => Fuzz<Answers>);
 
-    /// No attempt goes to a run of a server after a sign of its drain.
+    /// No attempt is sent to an incarnation of a server after a notice of its drain.
     #[test]
     fn drained_servers_get_no_work(sequential 1..120 => Fuzz<Drains>);
 
-    /// Every lookup has one outcome by its deadline, and what it says of having run is true.
+    /// Every lookup has one outcome by its deadline, which is correct about whether it was
+    /// executed.
     #[test]
     fn outcomes_are_true(sequential 1..120 => Fuzz<Outcomes>);
 }
--- a/crates/query/tests/engine/fuzz/step.rs
+++ b/crates/query/tests/engine/fuzz/step.rs
@@ -1,12 +1,12 @@
-//! The steps that a fuzzer takes.
+//! The steps of the fuzzer and their generators.
 
 use gs_query::ClaimDecision;
 use proptest::prelude::*;
 use proptest::strategy::BoxedStrategy;
 
-/// What came of an attempt, as far as the fuzzer decides it.
+/// How the fuzzer ends an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptEnd {
     Whole,
     WholeDraining,
     WrongSnapshot(u64),
@@ -19,7 +19,7 @@
     Failed,
 }
 
-/// One step; numbers pick among what is there, by their remainder.
+/// A step; numbers select among the existing items by their remainder.
 #[derive(Clone, Debug)]
 pub enum Step {
     Arrive {
@@ -30,20 +30,20 @@
     },
     Claim {
         pick: usize,
-        verdict: ClaimDecision,
+        decision: ClaimDecision,
     },
-    /// An open attempt passes the point of no return.
+    /// The first byte of an open attempt is sent.
     Sent(usize),
     /// An open attempt ends.
-    Reply(usize, End),
-    /// The latest attempts all end whole, in this order of a shuffle.
+    Reply(usize, AttemptEnd),
+    /// All open attempts end with a complete part, in an order derived from this number.
     ReplyAll(usize),
-    /// The reply of any attempt ever made comes again, or another process's.
-    Stray(usize, Cross),
+    /// A reply that matches no attempt in flight arrives: a duplicate, or one with another id.
+    Stray(usize, StrayId),
     Pass(u64),
     Report {
         server: usize,
-        lag: bool,
+        is_outdated: bool,
         holds: u8,
     },
     BeginDrain(usize),
@@ -51,7 +51,7 @@
     DrainSign {
         server: usize,
         named: bool,
-        lag: bool,
+        is_outdated: bool,
     },
     Quarantine {
         query: usize,
@@ -65,15 +65,15 @@
 
 /// How a stray reply differs from the attempt's own.
 #[derive(Clone, Copy, Debug)]
-pub enum Cross {
-    Again,
+pub enum StrayId {
+    Duplicate,
     OtherVm,
-    EarlierRun,
-    NextTry,
+    EarlierIncarnation,
+    NextAttempt,
     OtherLookup,
 }
 
-/// How often each kind of step is taken.
+/// The frequency of each kind of step.
 #[derive(Clone, Copy, Debug)]
 pub struct Weights {
     pub arrive: u32,
@@ -85,22 +85,22 @@
     pub suspicion: u32,
 }
 
-fn end() -> impl Strategy<Value = End> {
+fn end() -> impl Strategy<Value = AttemptEnd> {
     prop_oneof![
-        8 => Just(End::Whole),
-        1 => Just(End::WholeDraining),
-        2 => (1..5_u64).prop_map(End::WrongSnapshot),
-        2 => Just(End::Shed),
-        1 => Just(End::Draining),
-        4 => any::<u8>().prop_map(End::NoSnapshot),
-        1 => Just(End::NotSent),
-        2 => Just(End::Broken),
-        1 => Just(End::Garbled),
-        2 => Just(End::Failed),
+        8 => Just(AttemptEnd::Whole),
+        1 => Just(AttemptEnd::WholeDraining),
+        2 => (1..5_u64).prop_map(AttemptEnd::WrongSnapshot),
+        2 => Just(AttemptEnd::Shed),
+        1 => Just(AttemptEnd::Draining),
+        4 => any::<u8>().prop_map(AttemptEnd::NoSnapshot),
+        1 => Just(AttemptEnd::NotSent),
+        2 => Just(AttemptEnd::Broken),
+        1 => Just(AttemptEnd::Garbled),
+        2 => Just(AttemptEnd::Failed),
     ]
 }
 
-fn verdict() -> impl Strategy<Value = ClaimDecision> {
+fn decision() -> impl Strategy<Value = ClaimDecision> {
     prop_oneof![
         6 => Just(ClaimDecision::Granted),
         1 => Just(ClaimDecision::Taken),
@@ -125,33 +125,33 @@
         })
 }
 
-fn cross() -> impl Strategy<Value = Cross> {
+fn stray_id() -> impl Strategy<Value = StrayId> {
     prop_oneof![
-        4 => Just(Cross::Again),
-        1 => Just(Cross::OtherVm),
-        1 => Just(Cross::EarlierRun),
-        1 => Just(Cross::NextTry),
-        1 => Just(Cross::OtherLookup),
+        4 => Just(StrayId::Duplicate),
+        1 => Just(StrayId::OtherVm),
+        1 => Just(StrayId::EarlierIncarnation),
+        1 => Just(StrayId::NextAttempt),
+        1 => Just(StrayId::OtherLookup),
     ]
 }
 
-/// Any step, by these weights.
+/// Generates steps by these weights.
 pub fn weighted(w: Weights) -> BoxedStrategy<Step> {
     prop_oneof![
         w.arrive => arrive(),
-        w.claims => (any::<usize>(), verdict())
-            .prop_map(|(pick, verdict)| Step::Claim { pick, verdict }),
+        w.claims => (any::<usize>(), decision())
+            .prop_map(|(pick, decision)| Step::Claim { pick, decision }),
         w.replies => any::<usize>().prop_map(Step::Sent),
         w.replies * 2 => (any::<usize>(), end()).prop_map(|(n, end)| Step::Reply(n, end)),
         w.replies => any::<usize>().prop_map(Step::ReplyAll),
-        w.strays => (any::<usize>(), cross()).prop_map(|(n, cross)| Step::Stray(n, cross)),
+        w.strays => (any::<usize>(), stray_id()).prop_map(|(n, stray_id)| Step::Stray(n, stray_id)),
         4 => (0..80_u64).prop_map(Step::Pass),
         w.drains + w.snapshots => (any::<usize>(), any::<bool>(), any::<u8>())
-            .prop_map(|(server, lag, holds)| Step::Report { server, lag, holds }),
+            .prop_map(|(server, is_outdated, holds)| Step::Report { server, is_outdated, holds }),
         w.drains => any::<usize>().prop_map(Step::BeginDrain),
         w.drains => any::<usize>().prop_map(Step::Restart),
         w.drains => (any::<usize>(), any::<bool>(), any::<bool>())
-            .prop_map(|(server, named, lag)| Step::DrainSign { server, named, lag }),
+            .prop_map(|(server, named, is_outdated)| Step::DrainSign { server, named, is_outdated }),
         w.suspicion => (any::<usize>(), 0..3_u32, prop_oneof![Just(0), 0..2_000_u64])
             .prop_map(|(query, crashes, rest_ms)| Step::Quarantine { query, crashes, rest_ms }),
         w.snapshots => (1..7_u32).prop_map(Step::Repartition),
--- a/crates/query/tests/engine/hedge.rs
+++ b/crates/query/tests/engine/hedge.rs
@@ -1,4 +1,4 @@
-//! Hedges and retries, and the budget that bounds them.
+//! Tests of hedges and retries and of the budget that limits them.
 
 use std::time::Duration;
 
@@ -14,8 +14,8 @@
 use crate::world::group;
 use crate::world::whole;
 
-/// A world that has learned that parts take about 2 ms.
-fn taught(options: EngineOptions) -> World {
+/// Creates a world that has recorded part latencies of about 2 ms.
+fn with_learned_latency(options: EngineOptions) -> World {
     let mut w = World::with(options, &group(1, 2, &[(1, 4)]));
     for _ in 0..80 {
         w.arrive("urgent");
@@ -25,16 +25,17 @@
     w
 }
 
-/// One server of four is slow. Its part is asked for again elsewhere, and the page does not wait.
+/// One server of four is slow. Its part is hedged at another server, so that the page is not
+/// delayed.
 #[test]
 fn a_slow_part_is_hedged_at_another_server_and_the_loser_is_cancelled() {
-    let mut w = taught(EngineOptions::default());
+    let mut w = with_learned_latency(EngineOptions::default());
     let seq = w.arrive("urgent");
     let slow = w.take(3);
     w.sent(&slow);
     w.now += Duration::from_millis(2);
     w.serve_all();
-    w.pass(Duration::from_millis(4));
+    w.advance(Duration::from_millis(4));
     assert_eq!(w.open.len(), 1);
     assert_ne!(w.open[0].server.name, slow.server.name);
     assert_ne!(w.open[0].attempt, slow.attempt);
@@ -46,8 +47,8 @@
     assert_eq!(w.engine.counters().hedges_won, 1);
 }
 
-/// Every part of every lookup is slow. Hedging all of them would double the load that makes them
-/// slow; the budget lets a few per cent through.
+/// Every part of every lookup is slow. Hedging all of them would double the load that slows them
+/// down; the budget allows a few per cent.
 #[test]
 fn when_everything_is_slow_hedges_stay_within_the_budget() {
     let options = EngineOptions {
@@ -56,19 +57,19 @@
         extra_floor: 0.0,
         ..EngineOptions::default()
     };
-    let mut w = taught(options);
+    let mut w = with_learned_latency(options);
     let before = w.engine.counters().clone();
     for _ in 0..100 {
         w.arrive("urgent");
         let first = std::mem::take(&mut w.open);
-        w.pass(Duration::from_millis(20));
+        w.advance(Duration::from_millis(20));
         w.open.extend(first);
         w.serve_all();
     }
     let c = w.engine.counters();
     let hedges = c.hedges - before.hedges;
     let first = c.attempts - before.attempts - hedges;
-    // 1% of the first attempts, and what was saved up before.
+    // 1% of the initial attempts, plus the budget saved up before.
     assert!(
         hedges as f64 <= first as f64 * 0.01 + 1.0,
         "{hedges} of {first}"
@@ -76,7 +77,7 @@
     assert!(c.extra_refused > before.extra_refused);
 }
 
-/// A storm of failures: without a bound, each lookup would make four attempts a shard.
+/// Every attempt fails. Without a limit, each lookup would make four attempts per shard.
 #[test]
 fn when_everything_fails_retries_stay_within_the_budget() {
     let options = EngineOptions {
@@ -101,12 +102,12 @@
     let mut w = World::new(2, 2);
     let seq = w.arrive("complete");
     let failed = w.serve(1, PartReply::Failed);
-    let again = w.take(1);
-    assert_ne!(again.server.name, failed.server.name);
-    assert_eq!(again.attempt.attempt, 1);
-    assert!(again.budget <= failed.budget);
-    w.sent(&again);
-    w.reply(&again, whole(&again));
+    let retry = w.take(1);
+    assert_ne!(retry.server.name, failed.server.name);
+    assert_eq!(retry.attempt.attempt, 1);
+    assert!(retry.budget <= failed.budget);
+    w.sent(&retry);
+    w.reply(&retry, whole(&retry));
     w.serve_all();
     assert_eq!(w.answer(seq).extra_attempts, 1);
 }
@@ -119,8 +120,8 @@
     w.sent(&first);
     w.now += Duration::from_millis(70);
     w.reply(&first, PartReply::Failed);
-    let again = w.take(0);
-    assert_eq!(again.budget, first.budget - Duration::from_millis(70));
+    let retry = w.take(0);
+    assert_eq!(retry.budget, first.budget - Duration::from_millis(70));
 }
 
 #[test]
@@ -131,14 +132,14 @@
         tries_max: 2,
         ..EngineOptions::default()
     };
-    let mut w = taught(options);
+    let mut w = with_learned_latency(options);
     let seq = w.arrive("urgent");
     let slow = w.take(3);
     w.sent(&slow);
     w.serve_all();
-    w.pass(Duration::from_millis(49));
+    w.advance(Duration::from_millis(49));
     assert!(w.open.is_empty());
-    w.pass(Duration::from_millis(1));
+    w.advance(Duration::from_millis(1));
     assert_eq!(w.cancelled, [slow.attempt]);
     w.serve_all();
     assert!(w.answer(seq).coverage.is_full());
@@ -148,7 +149,7 @@
 #[test]
 fn equal_events_and_seeds_give_equal_attempts() {
     let run = || {
-        let mut w = taught(EngineOptions::default());
+        let mut w = with_learned_latency(EngineOptions::default());
         for _ in 0..20 {
             w.arrive("urgent");
             w.serve_all();
@@ -162,16 +163,17 @@
     assert_eq!(run(), run());
 }
 
-/// How a server that stays silent is known, before the test of it.
+/// What is known about latencies before a server becomes unresponsive.
 #[derive(Clone, Copy)]
 enum Learned {
     /// Nothing is known of the group yet.
     Nothing,
-    /// Parts are known to take longer than any lookup has.
+    /// The recorded part latencies exceed any lookup's time.
     LongTimes,
 }
 
-/// A fresh VM, or one that has seen a cut, waits out the whole deadline for servers that went silent.
+/// A new VM, or one that saw a partition, must not wait the whole deadline for unresponsive
+/// servers.
 #[rstest]
 #[case::of_a_fresh_vm(Learned::Nothing)]
 #[case::after_a_cut(Learned::LongTimes)]
@@ -181,18 +183,18 @@
         for _ in 0..40 {
             w.arrive("urgent");
             let silent = std::mem::take(&mut w.open);
-            w.pass(DEADLINE);
+            w.advance(DEADLINE);
             for d in silent.iter().chain(&std::mem::take(&mut w.open)) {
                 w.reply(d, PartReply::Failed);
             }
         }
-        w.pass(Duration::from_secs(20));
+        w.advance(Duration::from_secs(20));
     }
     let seq = w.arrive("urgent");
     let silent = w.take(0);
     w.sent(&silent);
     w.serve_all();
-    w.pass(DEADLINE / 2);
+    w.advance(DEADLINE / 2);
     let other = w.take(0);
     assert_ne!(other.server.name, silent.server.name);
     w.sent(&other);
@@ -200,7 +202,8 @@
     assert!(w.answer(seq).coverage.is_full());
 }
 
-/// A few slow parts use up what hedges may, and the next server that goes silent costs its shard.
+/// Slow parts have used up the budget for hedges. A server that becomes unresponsive must not cost
+/// its shard.
 #[test]
 fn a_silent_server_is_asked_around_from_what_is_kept_for_retries() {
     let options = EngineOptions {
@@ -209,12 +212,12 @@
         extra_floor: 0.0,
         ..EngineOptions::default()
     };
-    let mut w = taught(options);
+    let mut w = with_learned_latency(options);
     let seq = w.arrive("urgent");
     let silent = w.take(3);
     w.sent(&silent);
     w.serve_all();
-    w.pass(DEADLINE / 2);
+    w.advance(DEADLINE / 2);
     w.serve_all();
     assert!(w.answer(seq).coverage.is_full());
 }
--- a/crates/query/tests/engine/main.rs
+++ b/crates/query/tests/engine/main.rs
@@ -1,4 +1,4 @@
-//! The engine's promises, one behaviour a test.
+//! Tests of the engine's guarantees, one behaviour per test.
 
 mod charts;
 mod connections;
--- a/crates/query/tests/engine/once.rs
+++ b/crates/query/tests/engine/once.rs
@@ -1,4 +1,4 @@
-//! At-most-once lookups: claim first, one attempt, never again.
+//! Tests of at-most-once lookups: the claim comes first, then a single attempt.
 
 use std::time::Duration;
 
@@ -11,8 +11,9 @@
 use crate::world::World;
 use crate::world::whole;
 
-/// A levy lookup whose claim is granted, on a group of one shard with two replicas.
-fn granted() -> (World, LookupSeq) {
+/// Creates an at-most-once lookup whose claim is granted, on a group of one shard with two
+/// replicas.
+fn world_with_claim() -> (World, LookupSeq) {
     let mut w = World::new(1, 2);
     let seq = w.arrive("levy");
     assert!(w.open.is_empty(), "sent before the claim");
@@ -23,28 +24,29 @@
 
 #[test]
 fn it_is_sent_once_the_claim_is_granted() {
-    let (mut w, seq) = granted();
+    let (mut w, seq) = world_with_claim();
     assert_eq!(w.open.len(), 1);
     assert!(w.open[0].once);
     w.serve_all();
     assert!(w.answer(seq).coverage.is_full());
 }
 
-/// Without the claim nobody knows whether an earlier submission under the key has run, so none of
-/// these refusals may say `not-run`: the caller would mint a new key and pay twice.
+/// Without the claim it is unknown whether an earlier submission under the key was executed, so
+/// none of these refusals may be `not-run`: the caller would retry with a new key and cause a
+/// second execution.
 #[rstest]
 #[case(ClaimDecision::Taken, RefusalReason::AlreadyClaimed, false)]
 #[case(ClaimDecision::Expired, RefusalReason::KeyExpired, false)]
 #[case(ClaimDecision::Unknown, RefusalReason::ClaimsAway, true)]
 #[case(ClaimDecision::Refused, RefusalReason::ClaimsAway, true)]
 fn without_a_granted_claim_nothing_is_sent(
-    #[case] verdict: ClaimDecision,
+    #[case] decision: ClaimDecision,
     #[case] reason: RefusalReason,
     #[case] retry: bool,
 ) {
     let mut w = World::new(1, 2);
     let seq = w.arrive("levy");
-    w.on(Event::Claim(seq, verdict));
+    w.on(Event::Claim(seq, decision));
     assert!(w.open.is_empty());
     let Outcome::Unknown(r) = w.outcome(seq) else {
         panic!("{:?}", w.answers);
@@ -52,7 +54,7 @@
     assert_eq!((r.reason, r.retry_after.is_some()), (reason, retry));
 }
 
-/// A renewal's resend reaches a VM that is leaving, while the first submission runs at another.
+/// A retry reaches a VM that is leaving while the first submission is executed through another VM.
 #[test]
 fn a_resend_refused_on_arrival_is_not_told_not_run() {
     let mut w = World::new(1, 2);
@@ -64,15 +66,15 @@
     assert_eq!(r.reason, RefusalReason::Leaving);
 }
 
-/// The levy's server breaks, errs or is slow after it got the request. Another attempt could take
-/// the levy twice, so there is none, and the caller is told that it may have run.
+/// The server crashes, fails or is slow after it got the request. A second attempt could be a
+/// second execution, so there is none, and the outcome is `unknown`.
 #[rstest]
 #[case(PartReply::Broken)]
 #[case(PartReply::Garbled)]
 #[case(PartReply::Failed)]
 #[case(PartReply::Cancelled)]
 fn after_it_was_sent_it_is_never_tried_again(#[case] reply: PartReply) {
-    let (mut w, seq) = granted();
+    let (mut w, seq) = world_with_claim();
     w.serve(0, reply);
     assert!(w.open.is_empty());
     let Outcome::Unknown(r) = w.outcome(seq) else {
@@ -81,13 +83,14 @@
     assert_eq!(r.reason, RefusalReason::Failed);
 }
 
-/// The server refused the levy and says that it did not run it. The key is used up, as the claim
-/// was granted to this lookup; so nothing ran and nothing can any more: a new key is safe.
+/// The server refused the lookup and did not execute it. The key is used up, as the claim was
+/// granted to this lookup; nothing was or can be executed under it, so the caller may retry with a
+/// new key.
 #[rstest]
 #[case(PartReply::Shed { retry_after: Duration::from_millis(5) })]
 #[case(PartReply::Draining)]
 fn a_refusal_by_the_server_is_not_run_for_good(#[case] reply: PartReply) {
-    let (mut w, seq) = granted();
+    let (mut w, seq) = world_with_claim();
     w.serve(0, reply);
     assert!(w.open.is_empty());
     let Outcome::NotRun(r) = w.outcome(seq) else {
@@ -98,7 +101,7 @@
 
 #[test]
 fn an_attempt_that_never_left_may_go_to_another_server() {
-    let (mut w, seq) = granted();
+    let (mut w, seq) = world_with_claim();
     let d = w.take(0);
     w.reply(&d, PartReply::NotSent);
     assert_eq!(w.open.len(), 1);
@@ -109,22 +112,22 @@
 
 #[test]
 fn it_is_never_hedged() {
-    let (mut w, _) = granted();
+    let (mut w, _) = world_with_claim();
     let d = w.take(0);
     w.sent(&d);
     for _ in 0..18 {
-        w.pass(Duration::from_millis(10));
+        w.advance(Duration::from_millis(10));
     }
     assert!(w.open.is_empty());
 }
 
-/// The platform answers the claim only after the caller's deadline. The lookup is over by then, and
-/// must not be sent behind the caller's back.
+/// The claim is decided only after the caller's deadline. The lookup has ended by then and must not
+/// be sent.
 #[test]
 fn a_claim_granted_too_late_sends_nothing() {
     let mut w = World::new(1, 1);
     let seq = w.arrive("levy");
-    w.pass(Duration::from_millis(199));
+    w.advance(Duration::from_millis(199));
     let Outcome::Unknown(r) = w.outcome(seq) else {
         panic!("{:?}", w.answers);
     };
@@ -133,11 +136,11 @@
     assert!(w.open.is_empty());
 }
 
-/// The caller hangs up while its levy is with a server. Stopping it would leave open whether it
-/// ran; let go on, it ends as it would have.
+/// The caller disconnects while its lookup is at a server. Cancelling it would leave unknown
+/// whether it was executed, so it continues.
 #[test]
 fn it_goes_on_when_the_caller_hangs_up() {
-    let (mut w, seq) = granted();
+    let (mut w, seq) = world_with_claim();
     let d = w.take(0);
     w.sent(&d);
     w.on(Event::Gone(seq));
--- a/crates/query/tests/engine/outcome.rs
+++ b/crates/query/tests/engine/outcome.rs
@@ -1,4 +1,4 @@
-//! A refusal says `not-run` only when that is true.
+//! Tests that a refusal is `not-run` only if nothing was executed.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 use crate::world::World;
 use crate::world::group;
 
-/// What came of the only attempt of a complete lookup, in one word.
-fn word(w: &World, seq: LookupSeq) -> &'static str {
+/// Returns the name of a lookup's outcome.
+fn outcome_name(w: &World, seq: LookupSeq) -> &'static str {
     match w.outcome(seq) {
         Outcome::Answered(_) => "answered",
         Outcome::NotRun(_) => "not-run",
@@ -36,17 +36,17 @@
     let mut w = World::with(options, &group(1, 1, &[(1, 1)]));
     let seq = w.arrive("complete");
     w.serve(0, reply);
-    assert_eq!(word(&w, seq), expected);
+    assert_eq!(outcome_name(&w, seq), expected);
 }
 
-/// The deadline passes while an attempt is with the shell, which may write its first byte at that
-/// very moment: the word of it is then still on its way to the engine. So it may have run.
+/// The deadline passes while an attempt is dispatched but not reported as sent. The I/O driver
+/// (shell) may be sending its first byte at that moment, so it may be executed.
 #[test]
 fn an_attempt_that_the_shell_still_has_may_have_run() {
     let mut w = World::new(1, 1);
     let seq = w.arrive("complete");
-    w.pass(Duration::from_millis(199));
-    assert_eq!(word(&w, seq), "unknown");
+    w.advance(Duration::from_millis(199));
+    assert_eq!(outcome_name(&w, seq), "unknown");
 }
 
 #[test]
@@ -55,7 +55,7 @@
     w.share_all(&group(1, 1, &[(1, 1)]), 0);
     let seq = w.arrive("urgent");
     assert!(w.open.is_empty());
-    w.pass(Duration::from_millis(199));
+    w.advance(Duration::from_millis(199));
     let Outcome::NotRun(r) = w.outcome(seq) else {
         panic!("{:?}", w.answers);
     };
@@ -74,23 +74,23 @@
     };
     assert_eq!(r.reason, RefusalReason::Leaving);
     w.serve_all();
-    assert_eq!(word(&w, old), "answered");
+    assert_eq!(outcome_name(&w, old), "answered");
     assert_eq!(w.engine.in_flight(), 0);
 }
 
 #[test]
 fn more_than_can_end_in_time_is_refused_at_once_as_overload() {
     let mut w = World::new(1, 1);
-    // A server that needs 50 ms a part teaches what a place in its queue costs.
+    // A latency of 50 ms per part makes the expected queueing time exceed the deadline.
     for _ in 0..4 {
         w.arrive("complete");
         let d = w.take(0);
         w.sent(&d);
-        w.pass(Duration::from_millis(50));
+        w.advance(Duration::from_millis(50));
         w.reply(&d, crate::world::whole(&d));
     }
     let seqs: Vec<_> = (0..12).map(|_| w.arrive("complete")).collect();
-    let refused: Vec<_> = seqs.iter().filter(|s| w.is_over(**s)).collect();
+    let refused: Vec<_> = seqs.iter().filter(|s| w.is_finished(**s)).collect();
     assert!(!refused.is_empty(), "nothing refused");
     assert!(refused.len() < 11, "all but one refused");
     for seq in refused {
@@ -108,7 +108,7 @@
     let mut req = World::request("urgent", "pine");
     req.deadline = Some(Duration::ZERO);
     let seq = w.arrive_with(req);
-    assert_eq!(word(&w, seq), "not-run");
+    assert_eq!(outcome_name(&w, seq), "not-run");
     assert!(w.open.is_empty());
 }
 
@@ -125,8 +125,9 @@
     );
 }
 
-/// A failed attempt is heard of after the deadline, but before the timer that ends the lookup: the
-/// process was paused. Another attempt would be work for an answer that nobody waits for.
+/// A failed attempt is reported after the deadline but before the timer that ends the lookup,
+/// because the process was paused. No further attempt may be made, since its answer could not be
+/// used.
 #[test]
 fn no_attempt_is_made_after_the_deadline() {
     let mut w = World::new(1, 2);
@@ -136,5 +137,5 @@
     w.now += Duration::from_millis(300);
     w.reply(&d, PartReply::Failed);
     assert!(w.open.is_empty());
-    assert_eq!(word(&w, seq), "unknown");
+    assert_eq!(outcome_name(&w, seq), "unknown");
 }
--- a/crates/query/tests/engine/poison/canary.rs
+++ b/crates/query/tests/engine/poison/canary.rs
@@ -1,4 +1,4 @@
-//! Suspects, the canary that tries them, and quarantine.
+//! Tests of suspects, canaries and quarantine.
 
 use std::time::Duration;
 
@@ -14,9 +14,9 @@
 use crate::world::World;
 use crate::world::server;
 
-/// A poisoned lookup is fanned out. The first server crashes; all other attempts are stopped
-/// before they run, and one server alone gets it next. When that crashes too, the lookup is refused,
-/// here and by every peer, and nobody else sees it.
+/// A poisoned lookup is fanned out and crashes the first server. All other attempts are cancelled
+/// before they are executed, and a single server gets the lookup next. When that crashes too, the
+/// lookup is refused by this VM and every peer.
 #[test]
 fn at_most_one_further_server_sees_a_suspect() {
     let mut w = World::new(6, 2);
@@ -36,14 +36,17 @@
         panic!("{:?}", w.answers);
     };
     assert_eq!(r.reason, RefusalReason::Quarantined);
-    let told = |crashes, rest| Notice::Quarantine {
+    let notice = |crashes, rest| Notice::Quarantine {
         fingerprint: fingerprint("urgent"),
         crashes,
         rest,
     };
     assert_eq!(
-        w.spread,
-        [told(1, Duration::ZERO), told(2, Duration::from_secs(30))]
+        w.notices,
+        [
+            notice(1, Duration::ZERO),
+            notice(2, Duration::from_secs(30))
+        ]
     );
 }
 
@@ -51,7 +54,7 @@
 fn a_resend_of_a_quarantined_lookup_is_refused_at_once() {
     let mut w = World::new(3, 1);
     quarantine(&mut w, 2, Duration::from_secs(30));
-    w.pass(Duration::from_secs(10));
+    w.advance(Duration::from_secs(10));
     let seq = w.arrive("urgent");
     let Outcome::NotRun(r) = w.outcome(seq) else {
         panic!("{:?}", w.answers);
@@ -61,7 +64,7 @@
     assert!(w.open.is_empty());
 }
 
-/// The caller resends its poisoned lookup while the first is still being tried on one server.
+/// The caller retries its poisoned lookup while the first submission's canary is in flight.
 #[test]
 fn while_a_suspect_is_tried_its_resends_are_refused() {
     let mut w = World::new(4, 2);
@@ -75,8 +78,8 @@
     assert_eq!(r.reason, RefusalReason::Quarantined);
 }
 
-/// A server dies by itself under a harmless lookup. The canary's answer clears the lookup, the
-/// rest of the fan-out follows, and the page is whole.
+/// A server fails by itself under a harmless lookup. The canary's part clears the lookup, the rest
+/// of the fan-out follows, and the page is complete.
 #[test]
 fn a_harmless_lookup_is_cleared_by_its_canary_and_answered_whole() {
     let mut w = World::new(4, 2);
@@ -90,7 +93,7 @@
     w.serve_all();
     assert!(w.answer(seq).coverage.is_full());
     assert!(matches!(
-        w.spread.last(),
+        w.notices.last(),
         Some(Notice::Quarantine { crashes: 0, .. })
     ));
     assert!(w.engine.dump(w.now).suspects.is_empty());
@@ -101,16 +104,16 @@
     let mut w = World::new(5, 1);
     quarantine(&mut w, 1, Duration::ZERO);
     let early = w.arrive("urgent");
-    assert!(w.is_over(early), "left to the peer's canary at first");
-    w.pass(Duration::from_secs(2));
+    assert!(w.is_finished(early), "not refused during the peer's canary");
+    w.advance(Duration::from_secs(2));
     let seq = w.arrive("urgent");
     assert_eq!(w.open.len(), 1);
     w.serve_all();
     assert!(w.answer(seq).coverage.is_full());
 }
 
-/// A quarantine somewhere raises suspicion: variants of the poisoned text may follow. A lookup
-/// never seen before shows one server first; one that ran well just now does not.
+/// A quarantine on any VM raises suspicion, since variants of the poisoned query may follow. A
+/// lookup not seen before starts with a canary; one that succeeded recently does not.
 #[test]
 fn while_suspicion_is_up_only_unproven_lookups_get_a_canary() {
     let mut w = World::new(5, 1);
@@ -136,9 +139,9 @@
     assert_eq!(w.cancelled.len(), 3);
 }
 
-/// Suspicion is up, and every shard but one has lost a replica already. A canary that crashed its
-/// server would leave any of those shards without one for everybody; so it goes to the one that has
-/// a replica to spare, and the next canary not to the shard whose server it just crashed.
+/// Suspicion is raised, and every shard but one has lost a replica. A canary that crashes its
+/// server would leave any of those shards without a replica, so it is sent to the shard that has
+/// one to spare; the next canary avoids the shard whose server just crashed.
 #[test]
 fn a_canary_goes_where_a_replica_can_be_spared() {
     let mut w = World::new(6, 2);
--- a/crates/query/tests/engine/poison/fleet.rs
+++ b/crates/query/tests/engine/poison/fleet.rs
@@ -1,4 +1,4 @@
-//! Poisoned lookups sent again through several VMs.
+//! Tests of poisoned lookups that are retried through several VMs.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use super::crash;
 use crate::world::World;
 
-/// VMs that hear each other's signs at once, and servers that crash on every attempt they get.
+/// VMs that receive each other's notices immediately, and servers that crash on every attempt.
 struct Fleet {
     vms: Vec<World>,
     crashed: Vec<ServerName>,
@@ -24,20 +24,20 @@
         }
     }
 
-    /// Tells every sign to every other VM.
+    /// Sends every notice to every other VM.
     fn gossip(&mut self) {
         for n in 0..self.vms.len() {
-            for sign in std::mem::take(&mut self.vms[n].spread) {
+            for notice in std::mem::take(&mut self.vms[n].notices) {
                 for (other, w) in self.vms.iter_mut().enumerate() {
                     if other != n {
-                        w.on(Event::Sign(sign.clone(), NoticeSource::Peer));
+                        w.on(Event::Sign(notice.clone(), NoticeSource::Peer));
                     }
                 }
             }
         }
     }
 
-    /// Every attempt under way that was not cancelled reaches its server, which crashes.
+    /// Every live attempt reaches its server, which crashes.
     fn crash_all(&mut self) {
         for n in 0..self.vms.len() {
             let w = &mut self.vms[n];
@@ -53,44 +53,44 @@
         self.gossip();
     }
 
-    fn pass(&mut self, by: Duration) {
+    fn advance(&mut self, by: Duration) {
         for w in &mut self.vms {
-            w.pass(by);
+            w.advance(by);
         }
         self.gossip();
     }
 }
 
-/// A caller sends a poisoned lookup again and again, each time to another VM. Two servers crash,
-/// one under the first run and one under the canary; every later resend is refused at once.
+/// A caller retries a poisoned lookup, each time through another VM. Two servers crash, one under
+/// the first submission and one under the canary; every later retry is refused immediately.
 #[test]
 fn a_poisoned_lookup_resent_through_every_vm_crashes_two_servers() {
     let mut f = Fleet::new(3, 1);
     for n in 0..60 {
         f.vms[n % 3].arrive("book");
         f.crash_all();
-        f.pass(Duration::from_millis(100));
+        f.advance(Duration::from_millis(100));
     }
     f.crashed.sort();
     f.crashed.dedup();
     assert_eq!(f.crashed.len(), 2, "{:?}", f.crashed);
 }
 
-/// A poisoned lookup over many shards has crashed servers, and suspicion is up in the fleet. The
-/// next poisoned text, seen for the first time, is shown to two servers one after the other and to
-/// no more, at whichever VMs it is resent.
+/// A poisoned lookup over many shards has crashed servers, and suspicion is raised on every VM. The
+/// next poisoned query, seen for the first time, is sent to at most two servers one after the
+/// other, through whichever VMs it is retried.
 #[test]
 fn under_suspicion_a_new_poisoned_fan_out_crashes_at_most_two_servers() {
     let mut f = Fleet::new(3, 8);
     f.vms[0].arrive("urgent");
     f.crash_all();
     f.crash_all();
-    f.pass(Duration::from_secs(1));
+    f.advance(Duration::from_secs(1));
     f.crashed.clear();
     for n in 0..60 {
         f.vms[n % 3].arrive_with(World::request("urgent", "another"));
         f.crash_all();
-        f.pass(Duration::from_millis(100));
+        f.advance(Duration::from_millis(100));
     }
     f.crashed.sort();
     f.crashed.dedup();
--- a/crates/query/tests/engine/poison/mod.rs
+++ b/crates/query/tests/engine/poison/mod.rs
@@ -1,4 +1,4 @@
-//! Lookups that crash the servers that run them.
+//! Tests of lookups that crash the servers that execute them.
 
 mod canary;
 mod fleet;
@@ -21,15 +21,15 @@
 }
 
 fn quarantine(w: &mut World, crashes: u32, rest: Duration) {
-    let sign = Notice::Quarantine {
+    let notice = Notice::Quarantine {
         fingerprint: fingerprint("urgent"),
         crashes,
         rest,
     };
-    w.on(Event::Sign(sign, NoticeSource::Peer));
+    w.on(Event::Sign(notice, NoticeSource::Peer));
 }
 
-/// Breaks an attempt as a crash does.
+/// Breaks the connection of an attempt, as a server's crash does.
 fn crash(w: &mut World, d: &Dispatch) {
     w.sent(d);
     w.reply(d, PartReply::Broken);
--- a/crates/query/tests/engine/poison/proven.rs
+++ b/crates/query/tests/engine/poison/proven.rs
@@ -1,4 +1,4 @@
-//! Lookups that ran well before a server broke under them.
+//! Tests of lookups that were executed successfully before a server crashed under them.
 
 use std::time::Duration;
 
@@ -13,8 +13,9 @@
 use crate::world::server;
 use crate::world::whole;
 
-/// A server dies under a lookup that another shard has answered already. A poisoned lookup crashes
-/// each server that runs it, so this one is harmless: no canary, only a retry of the lost part.
+/// A server fails under a lookup that another shard has answered. A poisoned lookup crashes each
+/// server that executes it, so this one is harmless: there is no canary, only a retry of the failed
+/// part.
 #[test]
 fn a_lookup_that_a_server_survived_is_no_suspect() {
     let mut w = World::new(3, 2);
@@ -27,11 +28,11 @@
     assert!(w.cancelled.is_empty());
     w.serve_all();
     assert!(w.answer(seq).coverage.is_full());
-    assert_eq!(w.spread, []);
+    assert_eq!(w.notices, []);
 }
 
-/// The crashed servers restart. Their new runs are served again at once, and owe nothing to the
-/// failures of the old.
+/// The crashed servers restart. Their new incarnations are used immediately, without the failures
+/// of the old ones.
 #[test]
 fn a_crashed_server_is_back_with_its_new_run() {
     let mut w = World::new(1, 2);
@@ -59,8 +60,8 @@
     assert_eq!(failures, 0);
 }
 
-/// A server dies by itself under a popular lookup, and the VM that saw it tells its suspicion. The
-/// lookup ran well here a moment ago, so it must not be refused by the whole fleet for that.
+/// A server fails by itself under a popular lookup, and the VM that saw it announces its suspicion.
+/// The lookup succeeded here recently, so it must not be refused.
 #[test]
 fn a_peers_suspicion_does_not_stop_a_lookup_that_just_ran_well_here() {
     let mut w = World::new(3, 1);
@@ -79,9 +80,9 @@
     assert_eq!(r.reason, RefusalReason::Quarantined);
 }
 
-/// A text that ran well until now begins to crash servers, as their index or program changed. Its
-/// fan-out breaks a server of each shard. A retry of the first one at once would take that shard's
-/// last replica down too; it waits a moment for what the other shards say.
+/// A lookup that succeeded until now begins to crash servers, as their index or program changed.
+/// Its fan-out crashes a server of each shard. An immediate retry of the first part would crash
+/// that shard's last replica too, so it waits for the results of the other shards.
 #[test]
 fn a_lost_part_of_a_proven_lookup_waits_for_the_other_parts_before_its_retry() {
     let mut w = World::new(3, 2);
@@ -90,7 +91,7 @@
     let seq = w.arrive("urgent");
     let first = w.take(0);
     crash(&mut w, &first);
-    assert_eq!(w.open.len(), 2, "retried before the others were heard");
+    assert_eq!(w.open.len(), 2, "retried before the other parts");
     for d in std::mem::take(&mut w.open) {
         crash(&mut w, &d);
     }
@@ -103,24 +104,24 @@
     assert_eq!(r.reason, RefusalReason::Quarantined);
 }
 
-/// The other side of it: one server dies by itself under a proven lookup. Its part is asked for
-/// again as soon as another part is in, or after a few milliseconds.
+/// A server fails by itself under a proven lookup. Its part is retried as soon as another part
+/// arrives, or after 10 ms.
 #[rstest]
 #[case::after_another_part(true)]
 #[case::after_a_moment(false)]
-fn a_lost_part_of_a_proven_lookup_is_retried_soon(#[case] another_comes: bool) {
+fn a_lost_part_of_a_proven_lookup_is_retried_soon(#[case] another_arrives: bool) {
     let mut w = World::new(3, 2);
     w.arrive("urgent");
     w.serve_all();
     let seq = w.arrive("urgent");
-    let lost = w.take(0);
-    crash(&mut w, &lost);
-    if another_comes {
+    let failed = w.take(0);
+    crash(&mut w, &failed);
+    if another_arrives {
         let d = w.take(1);
         w.sent(&d);
         w.reply(&d, whole(&d));
     } else {
-        w.pass(Duration::from_millis(10));
+        w.advance(Duration::from_millis(10));
     }
     assert!(w.open.iter().any(|d| d.attempt.shard == ShardId(0)));
     w.serve_all();
--- a/crates/query/tests/engine/poison/together.rs
+++ b/crates/query/tests/engine/poison/together.rs
@@ -1,4 +1,5 @@
-//! Servers that break together: a lost data centre, or a poisoned lookup?
+//! Tests of several servers whose connections break together: a lost data centre or a poisoned
+//! lookup.
 
 use std::time::Duration;
 
@@ -14,9 +15,9 @@
 use crate::world::server;
 use crate::world::whole;
 
-/// A data centre is lost, and with it two servers under a fan-out of a text never seen before. That is
-/// no proof against the text: breaking together is what a cut looks like too. A server elsewhere sees it
-/// alone, lives, and the page is whole; nobody is refused for half a minute.
+/// A data centre fails, and with it two servers under a fan-out of a query not seen before. That is
+/// no proof against the query, since a partition looks the same. A server elsewhere executes it
+/// alone without crashing, and the page is complete.
 #[test]
 fn servers_that_break_together_do_not_convict_a_lookup() {
     let mut w = World::new(4, 2);
@@ -33,12 +34,13 @@
     assert!(w.answer(seq).coverage.is_full());
 }
 
-/// A poisoned text never seen before crashes servers here and in another data centre at once. No cut
-/// looks like that, so it is refused without a canary, which could take a shard's last replica down.
+/// A poisoned query not seen before crashes servers in this and another data centre at once. No
+/// partition looks like that, so it is refused without a canary, which could crash a shard's last
+/// replica.
 #[test]
 fn servers_that_break_here_and_elsewhere_convict_a_lookup() {
     let mut w = World::new(4, 2);
-    // Without its near replica, shard 1 is asked in the other data centre.
+    // Without its near replica, shard 1 is queried in the other data centre.
     w.on(Event::Sign(
         Notice::Drain {
             server: server(1, 0),
@@ -58,15 +60,15 @@
     assert_eq!(r.reason, RefusalReason::Quarantined);
     w.open.retain(|d| !w.cancelled.contains(&d.attempt));
     assert!(w.open.is_empty());
-    // It was not tried alone, so its rest is short, and its next run shows one server first.
-    w.pass(Duration::from_secs(5));
+    // It had no canary, so its quarantine is short, and its next submission starts with one.
+    w.advance(Duration::from_secs(5));
     w.arrive("complete");
     assert_eq!(w.open.len(), 1);
 }
 
-/// This process is paused for a while, and the servers drop its connections. When it goes on, it
-/// finds attempts broken everywhere before it finds their deadline passed. The lookups are over; they
-/// must not be put into quarantine in the whole fleet for that.
+/// This process is paused, and the servers drop its connections. When it resumes, it finds the
+/// attempts broken everywhere before the deadline's timer is processed. The lookups are past their
+/// deadlines and must not be quarantined.
 #[test]
 fn breaks_found_after_the_deadline_convict_nobody() {
     let mut w = World::new(4, 2);
@@ -86,28 +88,28 @@
     for d in &open {
         w.reply(d, PartReply::Broken);
     }
-    w.pass(Duration::ZERO);
-    assert!(w.is_over(seq));
-    assert_eq!(w.spread, []);
+    w.advance(Duration::ZERO);
+    assert!(w.is_finished(seq));
+    assert_eq!(w.notices, []);
     assert!(w.engine.dump(w.now).suspects.is_empty());
 }
 
-/// A data centre goes: many servers break at once under a lookup that ran well a moment ago. It
-/// must not be put into quarantine for that.
+/// A data centre fails, and many servers break at once under a lookup that succeeded recently. It
+/// must not be quarantined.
 #[test]
 fn a_proven_lookup_is_not_quarantined_when_a_data_centre_goes() {
     let mut w = World::new(6, 2);
     w.arrive("urgent");
     w.serve_all();
     let seq = w.arrive("urgent");
-    let (gone, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut w.open)
+    let (lost, others): (Vec<_>, Vec<_>) = std::mem::take(&mut w.open)
         .into_iter()
-        .partition(|d| d.server.data_centre == name_near());
-    for d in &gone {
+        .partition(|d| d.server.data_centre == near());
+    for d in &lost {
         crash(&mut w, d);
     }
-    w.open.extend(rest);
-    w.open.retain(|d| d.server.data_centre != name_near());
+    w.open.extend(others);
+    w.open.retain(|d| d.server.data_centre != near());
     let cancelled = w.cancelled.clone();
     for d in std::mem::take(&mut w.open) {
         if cancelled.contains(&d.attempt) {
@@ -117,18 +119,18 @@
             w.reply(&d, whole(&d));
         }
     }
-    w.pass(Duration::from_millis(60));
+    w.advance(Duration::from_millis(60));
     w.serve_all();
     assert!(w.answer(seq).coverage.is_full());
 }
 
-fn name_near() -> DataCentre {
+fn near() -> DataCentre {
     name("near")
 }
 
-/// A poisoned lookup is fanned out through another VM and crashes a server of every shard. Its caller
-/// sends it again at once, through this VM, before the other's word is here: it would crash the
-/// replicas too. But the crash also closed this VM's connections, at that same moment.
+/// A poisoned lookup, fanned out through another VM, crashes a server of every shard. Its caller
+/// retries it through this VM before the other VM's notice arrives, which would crash the other
+/// replicas too. The crash also closed this VM's connections at the same moment.
 #[test]
 fn servers_lost_together_raise_suspicion_before_a_peers_word() {
     let mut w = World::new(6, 2);
@@ -136,10 +138,10 @@
     w.on(Event::Lost(server(1, 0)));
     w.arrive("urgent");
     assert_eq!(w.open.len(), 1, "the canary alone");
-    w.pass(Duration::from_secs(2));
+    w.advance(Duration::from_secs(2));
     let before = w.open.len();
     w.arrive_with(World::request("urgent", "larch"));
-    assert_eq!(w.open.len(), before + 6, "no suspicion is left");
+    assert_eq!(w.open.len(), before + 6, "suspicion is still raised");
 }
 
 #[test]
@@ -147,7 +149,7 @@
     let mut w = World::new(6, 2);
     w.on(Event::Lost(server(0, 0)));
     w.on(Event::Lost(server(0, 0)));
-    w.pass(Duration::from_millis(200));
+    w.advance(Duration::from_millis(200));
     w.on(Event::Lost(server(1, 0)));
     w.arrive("urgent");
     assert_eq!(w.open.len(), 6);
--- a/crates/query/tests/engine/replies.rs
+++ b/crates/query/tests/engine/replies.rs
@@ -1,4 +1,4 @@
-//! Each caller gets the answer to its own request.
+//! Tests that each caller gets the answer to its own request.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::world::name;
 use crate::world::whole;
 
-/// A network path doubles a reply. Counted twice it would claim a shard that never answered.
+/// A reply is duplicated. Counted twice, it would report a shard as answered that never replied.
 #[test]
 fn a_doubled_reply_counts_once() {
     let mut w = World::new(3, 1);
@@ -24,7 +24,7 @@
     w.reply(&first, whole(&first));
     w.reply(&d, whole(&d));
     w.open.clear();
-    w.pass(Duration::from_millis(199));
+    w.advance(Duration::from_millis(199));
     let a = w.answer(seq);
     assert_eq!(a.coverage.whole, 1);
     assert_eq!(a.hits, brute_force(1, &[1], 5));
@@ -41,12 +41,12 @@
     d.attempt.vm = name(vm);
     d.attempt.incarnation = Incarnation(incarnation);
     w.reply(&d, whole(&d));
-    assert!(!w.is_over(seq));
+    assert!(!w.is_finished(seq));
     assert_eq!(w.engine.counters().stray_replies, 1);
 }
 
-/// Two lookups run at the same time and their replies come back crossed in time. Each page holds
-/// the parts of its own attempts only, which the ids tell apart.
+/// The replies of two concurrent lookups arrive in reverse order. Each page must contain only the
+/// parts of its own attempts, which are identified by their ids.
 #[test]
 fn replies_of_two_lookups_in_any_order_reach_their_own() {
     let mut w = World::new(2, 1);
@@ -67,8 +67,8 @@
     let seq = w.arrive("urgent");
     let d = w.take(0);
     w.sent(&d);
-    w.pass(Duration::from_millis(199));
-    assert!(w.is_over(seq));
+    w.advance(Duration::from_millis(199));
+    assert!(w.is_finished(seq));
     assert_eq!(w.engine.dump(w.now).servers[0].in_flight, 1);
     w.reply(&d, whole(&d));
     assert_eq!(w.engine.dump(w.now).servers[0].in_flight, 0);
--- a/crates/query/tests/engine/silence.rs
+++ b/crates/query/tests/engine/silence.rs
@@ -1,4 +1,4 @@
-//! Shards from whose servers nothing comes back.
+//! Tests of shards whose servers are unresponsive.
 
 use std::time::Duration;
 
@@ -10,18 +10,18 @@
 use crate::world::World;
 use crate::world::whole;
 
-/// How long a caller is told to stay away.
-const AWAY: Duration = Duration::from_secs(1);
+/// The time after which a refused caller may retry.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Who notices first that an attempt has had its time.
+/// What detects first that an attempt's time is over.
 #[derive(Clone, Copy, PartialEq)]
 enum Noticed {
     ByTimer,
     ByShell,
 }
 
-/// A world whose shard 1 has left a complete lookup unanswered to its deadline.
-fn cut(replicas: u32, noticed: Noticed) -> World {
+/// Creates a world whose shard 1 did not reply to a complete lookup by its deadline.
+fn world_with_silent_shard(replicas: u32, noticed: Noticed) -> World {
     let mut w = World::new(2, replicas);
     w.arrive("complete");
     let answered = w.open[0].clone();
@@ -32,13 +32,13 @@
             w.sent(&d);
             silent.push(d);
         }
-        w.pass(DEADLINE / 4);
+        w.advance(DEADLINE / 4);
     }
     w.now += DEADLINE / 4;
     if noticed == Noticed::ByShell {
         silent.iter().for_each(|d| w.reply(d, PartReply::Late));
     }
-    w.pass(Duration::ZERO);
+    w.advance(Duration::ZERO);
     w
 }
 
@@ -49,13 +49,13 @@
     }
 }
 
-/// Guards against a cut-off data centre whose callers wait their whole deadline for a refusal that is known.
+/// Prevents callers from waiting for their whole deadline for shards in a partitioned data centre.
 #[rstest]
 fn a_lookup_that_needs_a_silent_shard_is_refused_at_once(
     #[values(1, 2)] replicas: u32,
     #[values(Noticed::ByTimer, Noticed::ByShell)] noticed: Noticed,
 ) {
-    let mut w = cut(replicas, noticed);
+    let mut w = world_with_silent_shard(replicas, noticed);
     let seq = w.arrive("complete");
     let r = refusal(&w, seq);
     let missing = MissingShard {
@@ -63,15 +63,19 @@
         reason: MissReason::Late,
     };
     assert_eq!(r.reason, RefusalReason::Incomplete);
-    assert_eq!((r.missing, r.retry_after), (vec![missing], Some(AWAY)));
+    assert_eq!(
+        (r.missing, r.retry_after),
+        (vec![missing], Some(RETRY_AFTER))
+    );
     assert!(w.open.is_empty(), "{:?}", w.open);
 }
 
-/// Guards against a shard that stays refused once its servers are back: one lookup a second tries them.
+/// Prevents a shard from staying refused once its servers are back: one lookup per second tries
+/// them.
 #[test]
 fn one_lookup_a_second_tries_a_silent_shard() {
-    let mut w = cut(1, Noticed::ByTimer);
-    w.pass(AWAY);
+    let mut w = world_with_silent_shard(1, Noticed::ByTimer);
+    w.advance(RETRY_AFTER);
     let tried = w.arrive("complete");
     assert_eq!(w.open.len(), 2);
     let meanwhile = w.arrive("complete");
@@ -83,28 +87,28 @@
     w.answer(after);
 }
 
-/// Guards against urgent lookups that are refused for a shard which they can do without.
+/// Prevents urgent lookups from being refused for a shard that they do not need.
 #[test]
 fn an_urgent_lookup_goes_out_with_the_shards_that_answer() {
-    let mut w = cut(1, Noticed::ByTimer);
+    let mut w = world_with_silent_shard(1, Noticed::ByTimer);
     let seq = w.arrive("urgent");
     assert_eq!(w.open.len(), 2);
     w.serve_all();
     w.answer(seq);
 }
 
-/// Guards against lookups that are refused for a server which is slow and not silent.
+/// Prevents lookups from being refused for a server that is slow but responsive.
 #[test]
 fn a_shard_that_answers_others_is_not_silent() {
     let mut w = World::new(1, 1);
     w.arrive("complete");
     let slow = w.take(0);
     w.sent(&slow);
-    w.pass(DEADLINE / 2);
+    w.advance(DEADLINE / 2);
     let other = w.arrive("complete");
     w.serve_all();
     w.answer(other);
-    w.pass(DEADLINE / 2);
+    w.advance(DEADLINE / 2);
     w.arrive("complete");
     assert_eq!(w.open.len(), 1);
 }
--- a/crates/query/tests/engine/snapshot.rs
+++ b/crates/query/tests/engine/snapshot.rs
@@ -1,4 +1,4 @@
-//! One page, one snapshot.
+//! Tests that a page contains parts of one snapshot only.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use crate::world::server;
 use crate::world::whole;
 
-/// Two snapshots of three shards; every replica says that it holds both.
+/// Creates two snapshots of three shards; every replica reports that it holds both.
 fn two_snapshots() -> World {
     let mut w = World::with(EngineOptions::default(), &group(1, 2, &[(1, 3), (2, 3)]));
     for s in 0..3 {
@@ -28,7 +28,7 @@
     w
 }
 
-fn tell(w: &mut World, s: u32, held: &[u64]) {
+fn report_held(w: &mut World, s: u32, held: &[u64]) {
     for r in 0..2 {
         w.on(Event::Report(report(server(s, r), 1, held)));
     }
@@ -40,7 +40,7 @@
     w.arrive("urgent");
     assert!(w.open.iter().all(|d| d.snapshot == SnapshotId(2)));
     w.open.clear();
-    tell(&mut w, 1, &[1]);
+    report_held(&mut w, 1, &[1]);
     w.arrive("urgent");
     assert_eq!(w.open.len(), 3);
     assert!(w.open.iter().all(|d| d.snapshot == SnapshotId(1)));
@@ -49,7 +49,7 @@
 #[test]
 fn a_caller_never_goes_back_behind_its_floor() {
     let mut w = two_snapshots();
-    tell(&mut w, 1, &[1]);
+    report_held(&mut w, 1, &[1]);
     let mut req = World::request("complete", "pine");
     req.floor = Some(SnapshotId(2));
     let seq = w.arrive_with(req.clone());
@@ -65,26 +65,26 @@
     assert_eq!(r.reason, RefusalReason::NoSnapshot);
 }
 
-/// A server answers from another snapshot than the one asked for. Its hits would not fit the other
-/// shards' page, so the part counts as none and another replica is asked.
+/// A server replies from another snapshot than the pinned one. Its hits do not fit the other parts,
+/// so the part is discarded and another replica is queried.
 #[test]
 fn a_part_from_another_snapshot_is_no_part() {
     let mut w = two_snapshots();
     let seq = w.arrive("urgent");
-    let stale = PartReply::Whole {
+    let other = PartReply::Whole {
         snapshot: SnapshotId(1),
         part: Arc::new(part(1, 0)),
         load: 0,
         draining: false,
     };
-    w.serve(0, stale);
+    w.serve(0, other);
     assert_eq!(w.engine.counters().wrong_snapshot, 1);
     w.serve_all();
     assert_eq!(w.answer(seq).hits, brute_force(2, &[0, 1, 2], 5));
 }
 
-/// The index is repartitioned while a lookup runs: the replicas drop the snapshot it is pinned to.
-/// It begins again on the other one, and no part of the first is in its page.
+/// The replicas drop the snapshot that a lookup is pinned to. It restarts on the other one, and no
+/// part of the first is in its page.
 #[test]
 fn a_lookup_whose_snapshot_is_dropped_begins_again_on_another() {
     let mut w = two_snapshots();
@@ -158,7 +158,8 @@
     assert_eq!(w.answer(seq).coverage.shards, 2);
 }
 
-/// A health endpoint lags behind the server's own word: the snapshot is not asked for again.
+/// A health endpoint reports a snapshot that the server itself reported as dropped: the snapshot is
+/// not requested again.
 #[test]
 fn a_servers_own_word_on_its_snapshots_outweighs_its_health_endpoint() {
     let mut w = two_snapshots();
@@ -166,30 +167,30 @@
     w.serve(0, PartReply::NoSnapshot { holds: holds(&[1]) });
     w.serve(0, PartReply::NoSnapshot { holds: holds(&[1]) });
     w.open.clear();
-    tell(&mut w, 0, &[1, 2]);
-    w.pass(Duration::from_millis(10));
+    report_held(&mut w, 0, &[1, 2]);
+    w.advance(Duration::from_millis(10));
     w.open.clear();
     w.arrive("urgent");
     assert!(w.open.iter().all(|d| d.snapshot == SnapshotId(1)));
 }
 
-/// A lookup's canary clears it, its fan-out goes on, and a shard's snapshot turns out to be gone.
-/// The lookup begins again on a snapshot with fewer shards; the fan-out of the old one must not
-/// walk on over the new one's shards. Found by the fuzzer as a panic.
+/// A lookup's canary clears it, and its fan-out finds that a shard's snapshot was dropped. The
+/// lookup restarts on a snapshot with fewer shards; the fan-out of the old one must not continue
+/// over the new shards, which would panic.
 #[test]
 fn a_restart_on_fewer_shards_ends_the_fan_out_of_the_old_snapshot() {
     let mut w = World::with(EngineOptions::default(), &group(1, 2, &[(1, 2), (2, 5)]));
-    let sign = gs_query::Notice::Quarantine {
+    let notice = gs_query::Notice::Quarantine {
         fingerprint: Fingerprint(9),
         crashes: 2,
         rest: Duration::from_secs(5),
     };
-    w.on(Event::Sign(sign, gs_query::NoticeSource::Peer));
+    w.on(Event::Sign(notice, gs_query::NoticeSource::Peer));
     let seq = w.arrive("urgent");
     let canary = w.open.remove(0);
     assert_eq!((canary.snapshot, w.open.len()), (SnapshotId(2), 0));
     for s in (0..5).filter(|s| ShardId(*s) != canary.attempt.shard) {
-        tell(&mut w, s, &[1]);
+        report_held(&mut w, s, &[1]);
     }
     w.sent(&canary);
     w.reply(&canary, whole(&canary));
--- a/crates/query/tests/engine/world.rs
+++ b/crates/query/tests/engine/world.rs
@@ -1,4 +1,4 @@
-//! A group with known parts, and an engine driven by hand.
+//! A group with known parts and an engine that a test drives event by event.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,12 +19,12 @@
 /// The deadline of every lookup declared here.
 pub const DEADLINE: Duration = Duration::from_millis(200);
 
-/// Parses a name; tests use valid ones only.
+/// Parses a valid name.
 pub fn name<T: std::str::FromStr<Err = Error>>(s: &str) -> T {
     s.parse().expect("a valid name")
 }
 
-/// The name of a replica: server `r` of shard `s`.
+/// Returns the name of server `r` of shard `s`.
 pub fn server(s: u32, r: u32) -> ServerName {
     name(&format!("s{s}-{r}"))
 }
@@ -53,13 +53,13 @@
     })
 }
 
-/// A group whose snapshots have these numbers and counts of shards.
+/// Returns a group whose snapshots have these numbers and numbers of shards.
 pub fn group(revision: u64, replicas: u32, snapshots: &[(u64, u32)]) -> GroupMap {
-    let most = snapshots.iter().map(|s| s.1).max().unwrap_or(0);
+    let shards_max = snapshots.iter().map(|s| s.1).max().unwrap_or(0);
     GroupMap {
         group: name("ledger"),
         revision,
-        servers: (0..most)
+        servers: (0..shards_max)
             .flat_map(|s| (0..replicas).map(move |r| decl(s, r)))
             .collect(),
         snapshots: snapshots
@@ -81,7 +81,7 @@
     }
 }
 
-/// One front with a lookup of each kind.
+/// Returns a configuration of one front with a lookup of each kind.
 pub fn config(version: u64) -> Config {
     Config {
         version: ConfVersion(version),
@@ -100,7 +100,7 @@
     }
 }
 
-/// The part that shard `s` of snapshot `id` holds: two hits, each with its origin in its name.
+/// Returns the part that shard `s` of snapshot `id` holds: two hits, each named after its origin.
 pub fn part(id: u64, s: u32) -> Part {
     let hit = |n: u32| Hit {
         doc: format!("{id}-{s}-{n}").into(),
@@ -112,7 +112,7 @@
     Part { hits, matched: 2 }
 }
 
-/// The page that these shards of a snapshot give, by sorting everything.
+/// Returns the page of these shards of a snapshot, computed by sorting all hits.
 pub fn brute_force(id: u64, shards: &[u32], page: usize) -> Vec<Hit> {
     let mut hits: Vec<Hit> = shards.iter().flat_map(|s| part(id, *s).hits).collect();
     hits.sort_by(|a, b| b.score.cmp(&a.score).then_with(|| a.doc.cmp(&b.doc)));
@@ -120,7 +120,7 @@
     hits
 }
 
-/// A whole reply to an attempt.
+/// Returns a reply with a complete part to an attempt.
 pub fn whole(d: &Dispatch) -> PartReply {
     PartReply::Whole {
         snapshot: d.snapshot,
@@ -130,7 +130,7 @@
     }
 }
 
-/// A server's report that it is fine and holds these snapshots.
+/// Returns the report of a healthy server that holds these snapshots.
 pub fn report(server: ServerName, incarnation: u64, holds: &[u64]) -> ServerReport {
     ServerReport {
         server,
@@ -141,22 +141,22 @@
     }
 }
 
-/// An engine with its time and what it asked for.
+/// An engine with its clock and the actions it returned.
 pub struct World {
     pub engine: Engine,
     pub now: Instant,
-    /// Attempts handed over and not yet ended by the test.
+    /// Attempts dispatched and not yet ended by the test.
     pub open: Vec<Dispatch>,
     /// Attempts cancelled and not yet ended by the test.
     pub cancelled: Vec<AttemptId>,
     pub answers: Vec<(LookupSeq, Outcome)>,
     pub claims: Vec<LookupSeq>,
-    pub spread: Vec<gs_query::Notice>,
-    next: u64,
+    pub notices: Vec<gs_query::Notice>,
+    next_seq: u64,
 }
 
 impl World {
-    /// A group of one snapshot, number 1, with each server's share at 2 connections.
+    /// Creates a group of one snapshot, number 1, with a share of 2 connections per server.
     pub fn new(shards: u32, replicas: u32) -> Self {
         Self::with(
             EngineOptions::default(),
@@ -180,8 +180,8 @@
             cancelled: Vec::new(),
             answers: Vec::new(),
             claims: Vec::new(),
-            spread: Vec::new(),
-            next: 1,
+            notices: Vec::new(),
+            next_seq: 1,
         };
         w.on(Event::Config(Arc::new(config(1))));
         w.on(Event::Group(Arc::new(map.clone())));
@@ -198,7 +198,7 @@
         self.on(Event::Shares(shares));
     }
 
-    /// Feeds an event and sorts what comes out.
+    /// Passes an event to the engine and records the resulting actions.
     pub fn on(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.engine.on(self.now, event, &mut out);
@@ -207,8 +207,8 @@
                 Action::Dispatch(d) => self.open.push(d.clone()),
                 Action::Cancel(id) => self.cancelled.push(id.clone()),
                 Action::Answer(seq, outcome) => self.answers.push((*seq, outcome.clone())),
-                Action::Claim(ask) => self.claims.push(ask.seq),
-                Action::Spread(sign) => self.spread.push(sign.clone()),
+                Action::Claim(claim) => self.claims.push(claim.seq),
+                Action::Spread(notice) => self.notices.push(notice.clone()),
                 Action::Wake(_) | Action::Warm(..) => {}
             }
         }
@@ -232,19 +232,19 @@
     }
 
     pub fn arrive_with(&mut self, req: LookupRequest) -> LookupSeq {
-        let seq = LookupSeq(self.next);
-        self.next += 1;
+        let seq = LookupSeq(self.next_seq);
+        self.next_seq += 1;
         self.on(Event::Arrive(Arrival { seq, req }));
         seq
     }
 
-    /// Moves the time and ticks.
-    pub fn pass(&mut self, by: Duration) {
+    /// Advances the clock and sends a tick.
+    pub fn advance(&mut self, by: Duration) {
         self.now += by;
         self.on(Event::Tick);
     }
 
-    /// Takes the open attempt at this shard out; the earliest if there are several.
+    /// Removes and returns the earliest open attempt at this shard.
     pub fn take(&mut self, shard: u32) -> Dispatch {
         let at = self
             .open
@@ -262,7 +262,7 @@
         self.on(Event::Reply(d.attempt.clone(), reply));
     }
 
-    /// Sends and answers the open attempt at a shard.
+    /// Sends the open attempt at a shard and replies to it.
     pub fn serve(&mut self, shard: u32, reply: PartReply) -> Dispatch {
         let d = self.take(shard);
         self.sent(&d);
@@ -270,7 +270,7 @@
         d
     }
 
-    /// Sends and answers every open attempt whole, those that follow included.
+    /// Sends every open attempt, including those that follow, and replies with a complete part.
     pub fn serve_all(&mut self) {
         while !self.open.is_empty() {
             let d = self.open.remove(0);
@@ -279,7 +279,7 @@
         }
     }
 
-    /// The one outcome of a lookup.
+    /// Returns the only outcome of a lookup.
     pub fn outcome(&self, seq: LookupSeq) -> Outcome {
         let found: Vec<_> = self.answers.iter().filter(|(s, _)| *s == seq).collect();
         assert_eq!(found.len(), 1, "outcomes of {seq}: {found:?}");
@@ -287,11 +287,11 @@
     }
 
     /// Whether a lookup has its outcome.
-    pub fn is_over(&self, seq: LookupSeq) -> bool {
+    pub fn is_finished(&self, seq: LookupSeq) -> bool {
         self.answers.iter().any(|(s, _)| *s == seq)
     }
 
-    /// The answer of a lookup that must have been answered.
+    /// Returns the answer of a lookup that must have been answered.
     pub fn answer(&self, seq: LookupSeq) -> Answer {
         match self.outcome(seq) {
             Outcome::Answered(a) => a,
@@ -300,9 +300,9 @@
     }
 }
 
-/// The snapshots that a refusing server holds.
+/// Returns a server's list of the snapshots it holds.
 pub fn holds(ids: &[u64]) -> SmallVec<[SnapshotId; 4]> {
-    let mut held = smallvec![];
-    held.extend(ids.iter().map(|id| SnapshotId(*id)));
-    held
+    let mut ids_held = smallvec![];
+    ids_held.extend(ids.iter().map(|id| SnapshotId(*id)));
+    ids_held
 }
