--- a/crates/query/src/crash_suspects.rs
+++ b/crates/query/src/crash_suspects.rs
@@ -34,8 +34,8 @@
 /// How long a proof is valid; the index and the servers' program may change.
 const PROOF_LIFETIME: Duration = Duration::from_secs(60);
 
-/// How long a fingerprint under suspicion is refused while another lookup or VM sends its canary.
-const PEER_CANARY_WAIT: Duration = Duration::from_secs(1);
+/// How long a suspect is refused while its canary, from this VM or a peer, is in flight.
+const CANARY_WAIT: Duration = Duration::from_secs(1);
 
 /// How to treat an arriving lookup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -135,7 +135,7 @@
             };
         };
         match s.quarantined_for(now) {
-            Duration::ZERO if s.canary.is_some() => SuspectStatus::Refused(PEER_CANARY_WAIT),
+            Duration::ZERO if s.canary.is_some() => SuspectStatus::Refused(CANARY_WAIT),
             Duration::ZERO => SuspectStatus::Canary,
             left => SuspectStatus::Refused(left),
         }
@@ -255,7 +255,7 @@
             self.quarantine(now, fp, quarantine);
         } else {
             let s = self.entry(now, fp);
-            s.refused_until = s.refused_until.max(Some(now + PEER_CANARY_WAIT));
+            s.refused_until = s.refused_until.max(Some(now + CANARY_WAIT));
         }
     }
 
--- a/crates/query/src/incomplete_log.rs
+++ b/crates/query/src/incomplete_log.rs
@@ -27,7 +27,7 @@
             return;
         };
         let hedge = &self.groups[lk.group].hedge;
-        let hedge_delay = |from| Millis(hedge.delay(from));
+        let hedge_delay = |distance| Millis(hedge.delay(distance));
         let missing = lk.shards.iter().filter(|s| s.state != ShardState::Whole);
         let missing: Vec<String> = missing.map(|s| self.describe_shard(now, s)).collect();
         log::info!(
--- a/crates/query/src/lookup.rs
+++ b/crates/query/src/lookup.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub(crate) enum ShardState {
-    /// Not started, or held back under suspicion.
+    /// Not started, or held back until a canary or another part succeeds.
     Held,
     /// Queued for a free connection.
     Waiting,
