--- a/crates/query/src/attempt.rs
+++ b/crates/query/src/attempt.rs
@@ -67,6 +67,10 @@
 }
 
 /// Parses the state machine definition of an attempt.
+///
+/// # Errors
+///
+/// [`ErrorKind::BadInput`] if the definition is invalid.
 pub fn attempt_chart() -> Result<Chart<AttemptState, AttemptEvent>> {
     Chart::parse(include_str!("../../../charts/attempt.toml"))
 }
--- a/crates/query/src/engine.rs
+++ b/crates/query/src/engine.rs
@@ -41,6 +41,11 @@
 #[bon]
 impl Engine {
     /// Starts building an engine from the VM, its incarnation and data centre, and a seed.
+    ///
+    /// # Errors
+    ///
+    /// [`ErrorKind::BadInput`] if an option is out of range or an embedded state machine definition is
+    /// invalid.
     #[builder(start_fn = builder, finish_fn = build)]
     pub fn new(
         vm: VmId,
--- a/crates/query/src/options.rs
+++ b/crates/query/src/options.rs
@@ -84,6 +84,10 @@
 
 impl EngineOptions {
     /// Checks the range of every option.
+    ///
+    /// # Errors
+    ///
+    /// [`ErrorKind::BadInput`] with the option's name and its range.
     pub fn check(&self) -> Result<()> {
         let bad = |name: &str, range: &str| {
             Err(
