--- a/crates/query/src/crash_suspects.rs
+++ b/crates/query/src/crash_suspects.rs
@@ -21,8 +21,8 @@
 /// before it is quarantined in spite of its proof.
 const PROVEN_CRASHES_MAX: u32 = 4;
 
-/// The quarantine of a lookup that broke servers in several data centres but had no canary. The
-/// servers are back after this time, so that its canary does not crash a shard's last replica.
+/// The quarantine of a lookup that broke servers in several data centres but had no canary. It
+/// lasts until the servers should be back, so that its canary does not crash a shard's last replica.
 const UNTRIED_QUARANTINE: Duration = Duration::from_secs(5);
 
 /// The maximum number of suspects stored; the one that expires first is evicted.
