--- a/crates/query/tests/engine/poison/mod.rs
+++ b/crates/query/tests/engine/poison/mod.rs
@@ -1,4 +1,4 @@
-//! Lookups that crash the servers that run them.
+//! Tests of lookups that crash the servers that execute them.
 
 mod canary;
 mod fleet;
@@ -9,9 +9,9 @@
 
 use gs_query::Dispatch;
 use gs_query::Event;
+use gs_query::Notice;
+use gs_query::NoticeSource;
 use gs_query::PartReply;
-use gs_query::Sign;
-use gs_query::SignSource;
 use gs_types::prelude::*;
 
 use crate::world::World;
@@ -21,15 +21,15 @@
 }
 
 fn quarantine(w: &mut World, crashes: u32, rest: Duration) {
-    let sign = Sign::Quarantine {
+    let notice = Notice::Quarantine {
         fingerprint: fingerprint("urgent"),
         crashes,
         rest,
     };
-    w.on(Event::Sign(sign, SignSource::Peer));
+    w.on(Event::Sign(notice, NoticeSource::Peer));
 }
 
-/// Breaks an attempt as a crash does.
+/// Breaks the connection of an attempt, as a server's crash does.
 fn crash(w: &mut World, d: &Dispatch) {
     w.sent(d);
     w.reply(d, PartReply::Broken);
