--- a/crates/edge/src/contact.rs
+++ b/crates/edge/src/contact.rs
@@ -32,7 +32,7 @@
         if lost_at.is_none() {
             *lost_at = Some(Instant::now());
             log::warn!("event=directory-lost by={what} error=\"{error}\"");
-            self.feed.push(Event::Reach(false));
+            self.feed.push(Event::RegisterReachable(false));
         }
     }
 
@@ -45,7 +45,7 @@
             "event=directory-regained by={what} after_ms={}",
             since.elapsed().as_millis()
         );
-        self.feed.push(Event::Reach(true));
+        self.feed.push(Event::RegisterReachable(true));
         self.regained.send_modify(|n| *n += 1);
     }
 
--- a/crates/edge/src/desk.rs
+++ b/crates/edge/src/desk.rs
@@ -10,11 +10,11 @@
 use gs_actor::lock;
 use gs_relay::Arrival;
 use gs_relay::CallerRequest;
-use gs_relay::Ending;
+use gs_relay::DelegatedParts;
 use gs_relay::Event;
 use gs_relay::FailReason;
-use gs_relay::Handed;
 use gs_relay::Outcome;
+use gs_relay::RequestReport;
 use gs_types::prelude::*;
 use tokio::sync::oneshot;
 
@@ -26,13 +26,13 @@
 /// Callers and peers share it: a number that both gave out would end one's request with the other's.
 #[derive(Default)]
 pub(crate) struct Pending {
-    waiting: Mutex<HashMap<LookupSeq, oneshot::Sender<Ending>>>,
+    waiting: Mutex<HashMap<LookupSeq, oneshot::Sender<RequestReport>>>,
     given: AtomicU64,
 }
 
 impl Pending {
     /// Gives a waiting caller its end.
-    pub(crate) fn settle(&self, seq: LookupSeq, ending: Ending) {
+    pub(crate) fn settle(&self, seq: LookupSeq, ending: RequestReport) {
         if let Some(tx) = lock(&self.waiting).remove(&seq) {
             // A caller that hung up at this moment no longer listens.
             drop(tx.send(ending));
@@ -40,7 +40,7 @@
     }
 
     /// Gives a request its number.
-    fn insert(&self) -> (LookupSeq, oneshot::Receiver<Ending>) {
+    fn insert(&self) -> (LookupSeq, oneshot::Receiver<RequestReport>) {
         let seq = LookupSeq(self.given.fetch_add(1, Ordering::Relaxed));
         let (tx, rx) = oneshot::channel();
         lock(&self.waiting).insert(seq, tx);
@@ -64,7 +64,7 @@
     /// Runs one request to its only end.
     ///
     /// Dropping the future tells the relay that the caller hung up.
-    pub(crate) async fn ask(&self, req: CallerRequest, handed: Option<Handed>) -> Outcome {
+    pub(crate) async fn ask(&self, req: CallerRequest, handed: Option<DelegatedParts>) -> Outcome {
         let (seq, rx) = self.pending.insert();
         let _hang_up = HangUp {
             seq,
@@ -73,7 +73,11 @@
         };
         let (id, path) = (Arc::clone(&req.id), req.path.clone());
         let is_handed = handed.is_some();
-        self.feed.push(Event::Arrive(Arrival { seq, req, handed }));
+        self.feed.push(Event::Arrive(Arrival {
+            seq,
+            req,
+            delegated: handed,
+        }));
         match rx.await {
             Ok(ending) => {
                 self.ends.note(&id, &path, is_handed, &ending);
@@ -107,7 +111,7 @@
 impl Drop for HangUp<'_> {
     fn drop(&mut self) {
         if self.pending.remove(self.seq) {
-            self.feed.push(Event::Gone(self.seq));
+            self.feed.push(Event::CallerDisconnected(self.seq));
         }
     }
 }
--- a/crates/edge/src/ends.rs
+++ b/crates/edge/src/ends.rs
@@ -5,8 +5,8 @@
 use std::time::Instant;
 
 use gs_actor::lock;
-use gs_relay::Ending;
 use gs_relay::Outcome;
+use gs_relay::RequestReport;
 use gs_types::pace::Pace;
 use gs_types::prelude::*;
 
@@ -31,7 +31,7 @@
     }
 
     /// Notes the end of a request.
-    pub(crate) fn note(&self, id: &str, path: &str, is_handed: bool, e: &Ending) {
+    pub(crate) fn note(&self, id: &str, path: &str, is_handed: bool, e: &RequestReport) {
         let (outcome, reason) = kind_of(e);
         self.metrics.request(outcome, reason, e.took);
         if outcome == WHOLE {
@@ -49,10 +49,10 @@
             e.version.unwrap_or_default(),
             e.took.as_millis(),
             e.objective.as_millis(),
-            e.given_up,
+            e.abandoned,
             e.extra,
         );
-        for s in &e.trail {
+        for s in &e.attempt_log {
             log::info!(
                 "event=request-attempt id={id} shard={} service={} server={} cause={} at_ms={} \
                  took_ms={} end={}",
@@ -72,7 +72,7 @@
 const WHOLE: &str = "whole";
 
 /// How a request ended, and why if it was refused or failed.
-fn kind_of(e: &Ending) -> (&'static str, &'static str) {
+fn kind_of(e: &RequestReport) -> (&'static str, &'static str) {
     let is_late = e.took > e.objective;
     match &e.outcome {
         Outcome::Relayed(a) if !a.status.is_success() => ("relayed-failure", ""),
--- a/crates/edge/src/follow.rs
+++ b/crates/edge/src/follow.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use gs_actor::Feed;
+use gs_relay::CoalesceDelay;
 use gs_relay::Event;
-use gs_relay::Settle;
 use gs_store::Backoff;
 use gs_types::prelude::*;
 use tokio::time::Instant;
@@ -44,7 +44,7 @@
     pub(crate) feed: Feed<Event>,
     pub(crate) state: Arc<State>,
     pub(crate) contact: Arc<Contact>,
-    pub(crate) settle: Settle,
+    pub(crate) settle: CoalesceDelay,
     pub(crate) seed: u64,
 }
 
@@ -55,7 +55,7 @@
     /// The state to watch from; `None` to list first.
     at: Option<Revision>,
     /// The pauses between watches.
-    settle: Settle,
+    settle: CoalesceDelay,
 }
 
 impl Follower {
@@ -84,7 +84,7 @@
                 Ok(()) => {
                     self.contact.seen(KINDS[self.kind as usize]);
                     backoff.reset();
-                    tokio::time::sleep(known.settle.pause()).await;
+                    tokio::time::sleep(known.settle.delay()).await;
                 }
                 Err(e) if e.kind() == ErrorKind::NotFound => {
                     log::info!("event=directory-forgot kind={} error=\"{e}\"", self.kind);
@@ -132,7 +132,7 @@
             self.take(known, item);
         }
         known.at = Some(listing.at);
-        known.settle.restart();
+        known.settle.reset();
         Ok(())
     }
 
@@ -142,9 +142,9 @@
         let is_page = changes.items.len() >= FULL_PAGE;
         let is_free = changes.origin == Origin::Peer;
         if changes.items.is_empty() || is_page || is_free {
-            known.settle.restart();
+            known.settle.reset();
         } else {
-            known.settle.changed(begun.elapsed(), started.elapsed());
+            known.settle.on_changes(begun.elapsed(), started.elapsed());
         }
         for item in changes.items {
             self.take(known, item);
--- a/crates/edge/src/lanes.rs
+++ b/crates/edge/src/lanes.rs
@@ -16,11 +16,11 @@
 use gs_http::Lent;
 use gs_http::exchange;
 use gs_relay::AttemptEnd;
+use gs_relay::AttemptKey;
 use gs_relay::Dispatch;
 use gs_relay::Event;
-use gs_relay::RunId;
 use gs_relay::ServerEntry;
-use gs_relay::catch_up;
+use gs_relay::pause_grace;
 use gs_types::prelude::*;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -67,7 +67,7 @@
     feed: Feed<Event>,
     opts: LaneOptions,
     lanes: Mutex<HashMap<ServerName, Arc<Lane>>>,
-    running: Arc<Mutex<HashMap<RunId, oneshot::Sender<()>>>>,
+    running: Arc<Mutex<HashMap<AttemptKey, oneshot::Sender<()>>>>,
     pub(crate) counts: Arc<Opened>,
 }
 
@@ -92,8 +92,8 @@
     pub(crate) fn send(&self, d: Dispatch) {
         let lane = self.lane(&d.server);
         let (tx, cancelled) = oneshot::channel();
-        lock(&self.running).insert(d.run, tx);
-        let codec: Arc<dyn ServerCodec> = match d.hand_over {
+        lock(&self.running).insert(d.attempt, tx);
+        let codec: Arc<dyn ServerCodec> = match d.delegation {
             Some(_) => Arc::new(PeerCodec),
             None => Arc::clone(&self.codec),
         };
@@ -101,7 +101,7 @@
         let running = Arc::clone(&self.running);
         let feed = self.feed.clone();
         tokio::spawn(async move {
-            let id = attempt.d.run;
+            let id = attempt.d.attempt;
             let end = attempt.run(cancelled).await;
             lock(&running).remove(&id);
             feed.push(Event::Ended(id, end));
@@ -109,7 +109,7 @@
     }
 
     /// Stops an attempt; its end is still told.
-    pub(crate) fn cancel(&self, id: RunId) {
+    pub(crate) fn cancel(&self, id: AttemptKey) {
         if let Some(tx) = lock(&self.running).remove(&id) {
             // An attempt that ends at this moment no longer listens, which is as good.
             let _ = tx.send(());
@@ -167,12 +167,15 @@
         let lent = tokio::select! {
             biased;
             _ = &mut cancelled => return AttemptEnd::NotSent,
-            lent = self.lane.take_recent(self.d.give_up, idle_max) => lent,
+            lent = self.lane.take_recent(self.d.attempt_timeout, idle_max) => lent,
         };
         let mut lent = match lent {
             Ok(lent) => lent,
             Err(e) => {
-                log::debug!("event=no-connection attempt={} error=\"{e}\"", self.d.run);
+                log::debug!(
+                    "event=no-connection attempt={} error=\"{e}\"",
+                    self.d.attempt
+                );
                 return AttemptEnd::NotSent;
             }
         };
@@ -182,7 +185,7 @@
             Err(e) => {
                 log::error!(
                     "event=attempt-unsendable attempt={} error=\"{e}\"",
-                    self.d.run
+                    self.d.attempt
                 );
                 return AttemptEnd::NotSent;
             }
@@ -190,8 +193,8 @@
         let done = tokio::select! {
             biased;
             done = exchange(&mut lent, req, ANSWER_MAX) => done,
-            () = past(begun + self.d.give_up) => {
-                return AttemptEnd::Late(self.d.give_up);
+            () = past(begun + self.d.attempt_timeout) => {
+                return AttemptEnd::Late(self.d.attempt_timeout);
             }
             _ = &mut cancelled => return AttemptEnd::Cancelled,
         };
@@ -203,7 +206,10 @@
             }
             Err(ExchangeError::NotSent) => AttemptEnd::NotSent,
             Err(ExchangeError::Broken(e)) => {
-                log::debug!("event=attempt-broken attempt={} error=\"{e}\"", self.d.run);
+                log::debug!(
+                    "event=attempt-broken attempt={} error=\"{e}\"",
+                    self.d.attempt
+                );
                 AttemptEnd::Broken
             }
             Err(ExchangeError::TooLarge) => AttemptEnd::Garbled,
@@ -211,7 +217,7 @@
     }
 
     fn give_back(&self, mut lent: Lent, judged: &Judged) {
-        if !judged.is_clean || !self.d.keep {
+        if !judged.is_clean || !self.d.keep_connection {
             return;
         }
         if let Some(idle) = judged.idle_max {
@@ -225,7 +231,7 @@
 /// came meanwhile is read.
 async fn past(due: Instant) {
     tokio::time::sleep_until(due).await;
-    if let Some(more) = catch_up(due.into_std(), Instant::now().into_std()) {
+    if let Some(more) = pause_grace(due.into_std(), Instant::now().into_std()) {
         tokio::time::sleep(more).await;
     }
 }
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -14,15 +14,15 @@
 use gs_actor::lock;
 use gs_http::Handler;
 use gs_http::Whole;
-use gs_relay::Asked;
 use gs_relay::AttemptEnd;
 use gs_relay::CallerRequest;
+use gs_relay::DelegatedParts;
 use gs_relay::Dispatch;
-use gs_relay::Handed;
 use gs_relay::Missing;
 use gs_relay::OpaqueRequest;
 use gs_relay::Outcome;
 use gs_relay::Page;
+use gs_relay::PossibleServers;
 use gs_relay::RefuseReason;
 use gs_relay::Relay;
 use gs_types::prelude::*;
@@ -103,14 +103,14 @@
         let headers = req.headers_mut();
         headers.insert(ID, text_value(&d.id)?);
         headers.insert(PATIENCE_MS, millis(left));
-        if let Some(h) = &d.hand_over {
+        if let Some(h) = &d.delegation {
             headers.insert(HOST, text_value(&h.host)?);
             headers.insert(ROUTE, HeaderValue::from(h.route.0));
             headers.insert(SHARDS, text_value(&join(&h.shards))?);
             headers.insert(HOPS, HeaderValue::from(u16::from(h.hops)));
             headers.insert(ON_TIME_MS, millis(h.on_time));
             headers.insert(LATEST_MS, millis(h.latest));
-            headers.insert(LEAST, HeaderValue::from(h.least));
+            headers.insert(LEAST, HeaderValue::from(h.parts_wanted));
         }
         Ok(req)
     }
@@ -153,11 +153,15 @@
 
 /// What a page says of a shard that it leaves out.
 fn told(missing: &Missing) -> String {
-    let names = missing.asked.servers().iter().map(ServerName::as_str);
+    let names = missing
+        .possible_servers
+        .servers()
+        .iter()
+        .map(ServerName::as_str);
     let names: Vec<&str> = names.collect();
-    let asked = match missing.asked {
-        Asked::Unknown => ANY.to_owned(),
-        Asked::None | Asked::Servers(_) => names.join(","),
+    let asked = match missing.possible_servers {
+        PossibleServers::Unknown => ANY.to_owned(),
+        PossibleServers::None | PossibleServers::Servers(_) => names.join(","),
     };
     format!("{}={asked}", missing.shard)
 }
@@ -169,19 +173,19 @@
         let (shard, asked) = m.split_once('=')?;
         Some(Missing {
             shard: shard.parse().ok()?,
-            asked: asked_of(asked)?,
+            possible_servers: asked_of(asked)?,
         })
     })
     .collect()
 }
 
-fn asked_of(text: &str) -> Option<Asked> {
+fn asked_of(text: &str) -> Option<PossibleServers> {
     match text {
-        "" => Some(Asked::None),
-        ANY => Some(Asked::Unknown),
+        "" => Some(PossibleServers::None),
+        ANY => Some(PossibleServers::Unknown),
         names => {
             let names = names.split(',').map(|n| n.parse().ok());
-            names.collect::<Option<_>>().map(Asked::Servers)
+            names.collect::<Option<_>>().map(PossibleServers::Servers)
         }
     }
 }
@@ -232,7 +236,7 @@
 impl Peers {
     /// Everything that a VM must know to serve, for one that starts.
     fn knowledge(&self) -> Response<Full<Bytes>> {
-        let known = lock(&self.relay).knowledge();
+        let known = lock(&self.relay).seed_state();
         let Some(known) = known.filter(|_| self.desk.is_ready()) else {
             return said(StatusCode::SERVICE_UNAVAILABLE, "not-ready");
         };
@@ -256,7 +260,7 @@
     }
 }
 
-fn read(mut head: Parts, body: Bytes) -> Result<(CallerRequest, Handed)> {
+fn read(mut head: Parts, body: Bytes) -> Result<(CallerRequest, DelegatedParts)> {
     let missing = |name: &HeaderName| {
         Error::new(ErrorKind::BadInput, format!("no `{name}`")).at("read hand-over")
     };
@@ -281,7 +285,7 @@
         host,
         path: head.uri.path().into(),
         id,
-        patience: Some(Duration::from_millis(patience)),
+        caller_timeout: Some(Duration::from_millis(patience)),
         content: Arc::new(OpaqueRequest {
             target: target.into(),
             method: head.method,
@@ -289,11 +293,11 @@
             body,
         }),
     };
-    let handed = Handed {
+    let handed = DelegatedParts {
         route: Fingerprint(route),
         on_time: Duration::from_millis(on_time),
         latest: Duration::from_millis(latest),
-        least,
+        parts_wanted: least,
         shards,
         hops,
     };
--- a/crates/edge/src/process.rs
+++ b/crates/edge/src/process.rs
@@ -10,9 +10,9 @@
 use gs_http::LaneOptions;
 use gs_http::Server;
 use gs_http::listen;
+use gs_relay::CoalesceDelay;
 use gs_relay::Event;
 use gs_relay::Relay;
-use gs_relay::Settle;
 use gs_types::prelude::*;
 use tokio::sync::watch;
 
@@ -210,7 +210,7 @@
             feed: self.feed.clone(),
             state: Arc::clone(&self.state),
             contact: Arc::clone(contact),
-            settle: Settle::new(self.settings.servers.drain, self.settings.vm.first_start),
+            settle: CoalesceDelay::new(self.settings.servers.drain, self.settings.vm.first_start),
             seed: seed ^ kind as u64,
         }
     }
--- a/crates/edge/src/roster.rs
+++ b/crates/edge/src/roster.rs
@@ -9,7 +9,7 @@
 use gs_relay::Leases;
 use gs_relay::Listed;
 use gs_relay::PeerVm;
-use gs_relay::renew_every;
+use gs_relay::renewal_interval;
 use gs_store::Backoff;
 use tokio::time::Instant;
 
@@ -142,9 +142,9 @@
     async fn take(&self, known: &mut Known, listed: Vec<Announced>) {
         let names: Vec<Listed> = listed.iter().map(as_listed).collect();
         let now = Instant::now().into_std();
-        let look = known.leases.look(now, &self.me.name, &names);
+        let look = known.leases.check(now, &self.me.name, &names);
         let live = listed.into_iter().map(|a| a.vm);
-        let live: Vec<PeerVm> = live.filter(|vm| !look.gone.contains(&vm.name)).collect();
+        let live: Vec<PeerVm> = live.filter(|vm| !look.expired.contains(&vm.name)).collect();
         if live.len() != known.vms {
             log::info!("event=vms listed={} before={}", live.len(), known.vms);
             known.vms = live.len();
@@ -170,7 +170,7 @@
     async fn renew(&self, known: &mut Known, vms: usize) {
         let renewal = known.next_renewal(self.seed);
         match self.directory.renew(&self.me, renewal).await {
-            Ok(()) => known.renew_at = Instant::now() + renew_every(self.renew_every, vms),
+            Ok(()) => known.renew_at = Instant::now() + renewal_interval(self.renew_every, vms),
             // The next look is soon enough: three more are allowed to fail.
             Err(e) => log::info!("event=renewal-failed error=\"{e}\""),
         }
@@ -210,7 +210,7 @@
             vms.push(self.me.clone());
         }
         self.register.set_vms(&vms);
-        self.feed.push(Event::Roster(vms));
+        self.feed.push(Event::Vms(vms));
     }
 }
 
--- a/crates/edge/src/seed.rs
+++ b/crates/edge/src/seed.rs
@@ -10,7 +10,7 @@
 
 use gs_actor::Feed;
 use gs_relay::Event;
-use gs_relay::Knowledge;
+use gs_relay::SeedState;
 use gs_store::Backoff;
 use gs_types::prelude::*;
 
@@ -71,7 +71,7 @@
         }
     }
 
-    fn take(&self, addr: SocketAddr, known: Knowledge) {
+    fn take(&self, addr: SocketAddr, known: SeedState) {
         let names = known.servers.iter().map(|s| s.name.to_string()).collect();
         let (version, servers) = (known.table.version(), known.servers.len());
         if self.state.take_table(&known.table) {
@@ -82,12 +82,12 @@
             for entry in known.servers {
                 self.feed.push(Event::Server(Arc::new(entry)));
             }
-            self.feed.push(Event::Roster(known.vms));
+            self.feed.push(Event::Vms(known.vms));
         });
         log::info!("event=seeded peer={addr} version={version} servers={servers} taken={is_taken}");
     }
 
-    async fn ask(&self, addr: SocketAddr) -> Result<Knowledge> {
+    async fn ask(&self, addr: SocketAddr) -> Result<SeedState> {
         self.peers.get(addr, KNOWLEDGE_PATH, ASK_TIMEOUT).await
     }
 }
--- a/crates/edge/src/shell.rs
+++ b/crates/edge/src/shell.rs
@@ -68,7 +68,13 @@
             Action::Answer(seq, ending) => self.pending.settle(seq, *ending),
             Action::Quarantine(request) => self.quarantine(request),
             Action::Wake(after) => return Some(after),
-            Action::Connect { server, warm, most } => self.lanes.connect(&server, warm, most),
+            Action::Connect {
+                server,
+                connections_min,
+                connections_max,
+            } => self
+                .lanes
+                .connect(&server, connections_min, connections_max),
             Action::Disconnect(server) => self.lanes.disconnect(&server),
         }
         None
--- a/crates/relay/src/gave_up.rs
+++ b/crates/relay/src/abandon.rs
@@ -10,7 +10,7 @@
     Clone, Copy, Debug, PartialEq, Eq, Hash, strum::Display, strum::EnumIter, strum::IntoStaticStr,
 )]
 #[strum(serialize_all = "kebab-case")]
-pub enum GaveUp {
+pub enum AbandonReason {
     /// The request's time was over, or the part had too many attempts.
     UsedUp,
     /// A further attempt would exceed the budget of its service.
@@ -29,18 +29,18 @@
 ///
 /// Displays as `budget:4,no-server:1`, and as nothing without any.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct GivenUp(SmallVec<[(GaveUp, usize); 2]>);
+pub struct AbandonCounts(SmallVec<[(AbandonReason, usize); 2]>);
 
-impl GivenUp {
+impl AbandonCounts {
     /// Counts the reasons of these parts.
-    pub(crate) fn of(parts: impl Iterator<Item = GaveUp> + Clone) -> Self {
+    pub(crate) fn of(parts: impl Iterator<Item = AbandonReason> + Clone) -> Self {
         let count = |reason| parts.clone().filter(|r| *r == reason).count();
-        let counts = GaveUp::iter().map(|reason| (reason, count(reason)));
+        let counts = AbandonReason::iter().map(|reason| (reason, count(reason)));
         Self(counts.filter(|(_, n)| *n > 0).collect())
     }
 }
 
-impl fmt::Display for GivenUp {
+impl fmt::Display for AbandonCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (n, (reason, count)) in self.0.iter().enumerate() {
             let comma = if n > 0 { "," } else { "" };
--- a/crates/relay/src/action.rs
+++ b/crates/relay/src/action.rs
@@ -5,16 +5,16 @@
 
 use gs_types::prelude::*;
 
-use crate::attempt::RunId;
+use crate::attempt::AttemptKey;
 use crate::entry::ServerEntry;
-use crate::outcome::Ending;
+use crate::outcome::RequestReport;
 use crate::request::OpaqueRequest;
 
 /// An attempt to hand to a backend server.
 #[derive(Clone, Debug)]
 pub struct Dispatch {
     /// Which attempt it is.
-    pub run: RunId,
+    pub attempt: AttemptKey,
     /// The server; nobody else may run it.
     pub server: Arc<ServerEntry>,
     /// The caller's id of the request.
@@ -24,18 +24,18 @@
     /// The time that the caller still waits; handed to the server.
     pub time_left: Duration,
     /// When the attempt is given up; at most `time_left`.
-    pub give_up: Duration,
+    pub attempt_timeout: Duration,
     /// Whether it may run at most once, so that a connection that may be stale is not used.
     pub once: bool,
     /// Whether its connection is kept for later attempts.
-    pub keep: bool,
+    pub keep_connection: bool,
     /// Set if the server is another VM, which is to ask for parts.
-    pub hand_over: Option<HandOver>,
+    pub delegation: Option<Delegation>,
 }
 
 /// What is said to a VM that is to ask for parts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HandOver {
+pub struct Delegation {
     /// The host that the caller named.
     pub host: Box<str>,
     /// The route by its content; the peer runs the request under no other.
@@ -45,7 +45,7 @@
     /// The time in which it must leave there to be of any use.
     pub latest: Duration,
     /// The fewest parts that are of use in time.
-    pub least: usize,
+    pub parts_wanted: usize,
     /// The shards wanted, by their number in the route.
     pub shards: Vec<u16>,
     /// VMs that the request has passed.
@@ -58,9 +58,9 @@
     /// Hand an attempt to a backend server.
     Send(Dispatch),
     /// Stop an attempt; if it was sent, close its connection so that the server drops the work.
-    Cancel(RunId),
+    Cancel(AttemptKey),
     /// The final word to the caller of this request; sent once, and at once.
-    Answer(LookupSeq, Box<Ending>),
+    Answer(LookupSeq, Box<RequestReport>),
     /// Tell the other VMs that this request crashes servers.
     Quarantine(Fingerprint),
     /// Send [`crate::Event::Tick`] after this time at the latest.
@@ -70,9 +70,9 @@
         /// The server.
         server: Arc<ServerEntry>,
         /// Connections to hold open.
-        warm: Connections,
+        connections_min: Connections,
         /// The most connections.
-        most: Connections,
+        connections_max: Connections,
     },
     /// Close every connection to this server as it becomes idle.
     Disconnect(ServerName),
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/active_request.rs
@@ -7,13 +7,13 @@
 use gs_types::prelude::*;
 use smallvec::SmallVec;
 
-use crate::asked::Asked;
+use crate::abandon::AbandonReason;
 use crate::attempt::Attempt;
+use crate::attempt::AttemptKey;
 use crate::attempt::Cause;
-use crate::attempt::RunId;
-use crate::bundle::BUNDLE;
+use crate::bundle::BUNDLE_PART_NUMBER;
 use crate::bundle::Bundle;
-use crate::gave_up::GaveUp;
+use crate::possible_servers::PossibleServers;
 use crate::reply::ServerAnswer;
 use crate::request::CallerRequest;
 use crate::route::Repeat;
@@ -43,9 +43,9 @@
     pub(crate) state: PartState,
     pub(crate) attempts: SmallVec<[Attempt; 2]>,
     /// The servers that may have run it for a peer.
-    pub(crate) elsewhere: Asked,
+    pub(crate) possible_servers: PossibleServers,
     /// Why it was given up, if it was.
-    pub(crate) gave_up: Option<GaveUp>,
+    pub(crate) abandon_reason: Option<AbandonReason>,
     /// The answer that counts, or the last failure that a server answered with.
     pub(crate) answer: Option<Box<ServerAnswer>>,
 }
@@ -57,8 +57,8 @@
             service,
             state: PartState::Waiting(Cause::First),
             attempts: SmallVec::new(),
-            elsewhere: Asked::None,
-            gave_up: None,
+            possible_servers: PossibleServers::None,
+            abandon_reason: None,
             answer: None,
         }
     }
@@ -75,7 +75,7 @@
 
 /// One request in flight.
 #[derive(Debug)]
-pub(crate) struct Run {
+pub(crate) struct ActiveRequest {
     pub(crate) seq: LookupSeq,
     pub(crate) req: CallerRequest,
     pub(crate) route: Arc<Route>,
@@ -85,7 +85,7 @@
     /// When its final word leaves at the latest.
     pub(crate) answer_by: Instant,
     /// How long the caller and the route give it.
-    pub(crate) patience: Duration,
+    pub(crate) caller_timeout: Duration,
     /// The shards wanted, if another VM asks for parts.
     pub(crate) only: Option<Vec<u16>>,
     /// VMs that it has passed.
@@ -107,15 +107,15 @@
     pub(crate) retry_after: Option<Duration>,
 }
 
-impl Run {
+impl ActiveRequest {
     pub(crate) fn is_once(&self) -> bool {
         self.route.repeat == Repeat::Once
     }
 
     /// Every attempt under way, at servers and at peers.
-    pub(crate) fn live_attempts(&self) -> Vec<(RunId, Attempt)> {
+    pub(crate) fn live_attempts(&self) -> Vec<(AttemptKey, Attempt)> {
         let bundles = self.bundles.iter().enumerate();
-        let bundles = bundles.map(|(n, b)| (BUNDLE, n, b.attempt));
+        let bundles = bundles.map(|(n, b)| (BUNDLE_PART_NUMBER, n, b.attempt));
         let parts = self.parts.iter().enumerate().flat_map(|(at, part)| {
             // A fan-out has far fewer than 2^16 shards.
             let attempts = part.attempts.iter().enumerate();
@@ -123,7 +123,7 @@
         });
         let live = bundles.chain(parts).filter(|(_, _, a)| a.is_live());
         let named = live.map(|(part, n, a)| {
-            let id = RunId {
+            let id = AttemptKey {
                 lookup: self.seq,
                 part,
                 attempt: n as u16,
--- a/crates/relay/src/admission.rs
+++ b/crates/relay/src/admission.rs
@@ -11,12 +11,12 @@
 use gs_types::prelude::*;
 use rand::RngExt;
 
+use crate::active_request::ActiveRequest;
 use crate::outcome::RefuseReason;
-use crate::placement::Place;
+use crate::placement::Placement;
 use crate::relay::Core;
 use crate::request::CallerRequest;
 use crate::route::Target;
-use crate::run::Run;
 
 /// The least time to come back after a refusal: sooner, nothing can have changed.
 const RETRY_MIN: Duration = Duration::from_millis(50);
@@ -53,17 +53,17 @@
         now: Instant,
         req: &CallerRequest,
     ) -> Result<(), (RefuseReason, Option<Duration>)> {
-        if self.suspects.is_calm() {
+        if self.suspects.is_empty() {
             return Ok(());
         }
-        match self.suspects.refused_for(now, req.fingerprint()) {
+        match self.suspects.quarantined_for(now, req.fingerprint()) {
             None => Ok(()),
             Some(rest) => Err((RefuseReason::Quarantined, Some(rest))),
         }
     }
 
     /// Refuses a request if too much is in flight here to hold it.
-    pub(crate) fn check_load(&mut self) -> Result<(), (RefuseReason, Option<Duration>)> {
+    pub(crate) fn check_in_flight(&mut self) -> Result<(), (RefuseReason, Option<Duration>)> {
         if self.in_flight >= self.options.lookups_max {
             return Err((RefuseReason::Overload, Some(self.spread(RETRY_USUAL))));
         }
@@ -71,12 +71,12 @@
     }
 
     /// Refuses a request that cannot come to an answer, as too few of its parts have a server.
-    pub(crate) fn check_reach(
+    pub(crate) fn check_servers_reachable(
         &mut self,
         now: Instant,
-        run: &Run,
+        request: &ActiveRequest,
     ) -> Result<(), (RefuseReason, Option<Duration>)> {
-        let Some(back_at) = self.out_of_reach(now, run) else {
+        let Some(back_at) = self.out_of_reach(now, request) else {
             return Ok(());
         };
         let retry = back_at.map_or(RETRY_USUAL, |at| at.saturating_duration_since(now));
@@ -89,28 +89,28 @@
     /// The load it answers: callers that come several times as often as the servers can serve, and come again.
     /// Taken on, each page would be late, and make the next ones late; turned away at once, those that are
     /// taken on are on time and the others may come back.
-    pub(crate) fn check_room(
+    pub(crate) fn check_expected_latency(
         &mut self,
         now: Instant,
-        run: &Run,
+        request: &ActiveRequest,
     ) -> Result<(), (RefuseReason, Option<Duration>)> {
-        let Target::Scatter(scatter) = &run.route.target else {
+        let Target::Scatter(scatter) = &request.route.target else {
             return Ok(());
         };
-        let is_part_of_one = run
+        let is_part_of_one = request
             .only
             .as_ref()
             .is_some_and(|o| o.len() < scatter.shards.len());
         // Before anything is learned of a route, a guess must not turn its first callers away.
-        let is_learned = self.times(&run.route).is_learned();
+        let is_learned = self.times(&request.route).is_learned();
         if is_part_of_one || !is_learned || self.in_flight < IN_FLIGHT_FREE {
             return Ok(());
         }
-        let Some(expected) = self.expected_page(now, run, &scatter.shards) else {
+        let Some(expected) = self.expected_page(now, request, &scatter.shards) else {
             return Ok(());
         };
-        let room = run.objective_at.saturating_duration_since(now);
-        let rank = u32::from(run.route.priority.min(RANKS_MAX));
+        let room = request.objective_at.saturating_duration_since(now);
+        let rank = u32::from(request.route.priority.min(RANKS_MAX));
         if expected.mul_f64(SPREAD) <= room.mul_f64(RANK_PART.powi(rank as i32)) {
             return Ok(());
         }
@@ -121,38 +121,43 @@
     /// When the last of the parts that make an answer is expected; `None` if nothing is known of them.
     ///
     /// Shards that this VM leaves to others are taken to be like those that it asks itself.
-    fn expected_page(&self, now: Instant, run: &Run, shards: &[ServiceName]) -> Option<Duration> {
-        let scene = self.scene(now, run);
+    fn expected_page(
+        &self,
+        now: Instant,
+        request: &ActiveRequest,
+        shards: &[ServiceName],
+    ) -> Option<Duration> {
+        let placement_context = self.placement_context(now, request);
         let mut known: Vec<Duration> = Vec::with_capacity(shards.len());
         for (n, shard) in shards.iter().enumerate() {
-            if self.is_elsewhere(&run.route, n) {
+            if self.is_delegated(&request.route, n) {
                 continue;
             }
             let waiting = self.services.get(shard).map_or(0, |s| s.waiting.len());
-            known.extend(scene.outlook(shard, waiting));
+            known.extend(placement_context.expected_part_time(shard, waiting));
         }
         if known.is_empty() {
             return None;
         }
-        let needed = run.route.parts_min() as f64 / shards.len() as f64;
+        let needed = request.route.parts_min() as f64 / shards.len() as f64;
         let at = ((known.len() as f64 * needed).ceil() as usize).clamp(1, known.len()) - 1;
         let (_, last, _) = known.select_nth_unstable(at);
         Some(*last)
     }
 
     /// Whether too few parts have a server to come to an answer, and until when if that is known.
-    fn out_of_reach(&mut self, now: Instant, run: &Run) -> Option<Option<Instant>> {
-        let route = Arc::clone(&run.route);
+    fn out_of_reach(&mut self, now: Instant, request: &ActiveRequest) -> Option<Option<Instant>> {
+        let route = Arc::clone(&request.route);
         self.times(&route);
         let mut reached = 0;
         let mut back_at: Option<Instant> = None;
-        for part in self.parts_of(&route, run.only.as_deref()) {
-            match self.scene(now, run).place(&part) {
-                Place::Now(..) | Place::Wait => reached += 1,
-                Place::Nowhere(until) => back_at = soonest(back_at, until),
+        for part in self.parts_of(&route, request.only.as_deref()) {
+            match self.placement_context(now, request).choose_server(&part) {
+                Placement::Now(..) | Placement::Wait => reached += 1,
+                Placement::Nowhere(until) => back_at = soonest(back_at, until),
             }
         }
-        (reached < run.parts_min).then_some(back_at)
+        (reached < request.parts_min).then_some(back_at)
     }
 
     fn spread(&mut self, retry: Duration) -> Duration {
--- a/crates/relay/src/arrive.rs
+++ b/crates/relay/src/arrival.rs
@@ -7,19 +7,19 @@
 use gs_types::prelude::*;
 use smallvec::SmallVec;
 
+use crate::abandon::AbandonCounts;
 use crate::action::Action;
+use crate::active_request::ActiveRequest;
+use crate::active_request::Part;
 use crate::event::Arrival;
-use crate::event::Handed;
-use crate::gave_up::GivenUp;
-use crate::outcome::Ending;
+use crate::event::DelegatedParts;
 use crate::outcome::Outcome;
 use crate::outcome::RefuseReason;
+use crate::outcome::RequestReport;
 use crate::relay::Core;
 use crate::request::CallerRequest;
 use crate::route::Route;
 use crate::route::Target;
-use crate::run::Part;
-use crate::run::Run;
 use crate::split;
 
 /// The part of a request's time that is kept for its final word to get to the caller.
@@ -30,31 +30,37 @@
 
 impl Core {
     /// Takes a request on and begins it, or refuses it at once.
-    pub(crate) fn arrive(
+    pub(crate) fn on_arrival(
         &mut self,
         now: Instant,
         arrival: Arrival,
         out: &mut Vec<Action>,
-    ) -> Option<Box<Run>> {
+    ) -> Option<Box<ActiveRequest>> {
         self.counters.arrivals += 1;
-        let Arrival { seq, req, handed } = arrival;
-        let mut run = match self.take_on(now, seq, req, handed) {
-            Ok(run) => run,
+        let Arrival {
+            seq,
+            req,
+            delegated,
+        } = arrival;
+        let mut request = match self.take_on(now, seq, req, delegated) {
+            Ok(request) => request,
             Err((reason, retry_after)) => {
                 self.refuse(seq, reason, retry_after, out);
                 return None;
             }
         };
-        let checked = self.check_reach(now, &run);
-        if let Err((reason, retry_after)) = checked.and_then(|()| self.check_room(now, &run)) {
+        let checked = self.check_servers_reachable(now, &request);
+        if let Err((reason, retry_after)) =
+            checked.and_then(|()| self.check_expected_latency(now, &request))
+        {
             self.refuse(seq, reason, retry_after, out);
             return None;
         }
-        self.begin(now, &mut run, out);
-        if self.settle(now, &mut run, out) {
+        self.begin(now, &mut request, out);
+        if self.finish_if_done(now, &mut request, out) {
             return None;
         }
-        Some(run)
+        Some(request)
     }
 
     fn take_on(
@@ -62,31 +68,33 @@
         now: Instant,
         seq: LookupSeq,
         req: CallerRequest,
-        handed: Option<Handed>,
-    ) -> Result<Box<Run>, (RefuseReason, Option<Duration>)> {
+        delegated: Option<DelegatedParts>,
+    ) -> Result<Box<ActiveRequest>, (RefuseReason, Option<Duration>)> {
         let route = self.find(&req)?;
         self.check_quarantine(now, &req)?;
-        self.check_load()?;
-        let mut run = self.prepare(now, seq, req, route);
-        let Some(handed) = handed else {
-            return Ok(run);
+        self.check_in_flight()?;
+        let mut request = self.prepare(now, seq, req, route);
+        let Some(delegated) = delegated else {
+            return Ok(request);
         };
         // Parts of two versions' shards must not meet on one page.
-        if handed.route != run.route.fingerprint() {
+        if delegated.route != request.route.fingerprint() {
             return Err((RefuseReason::OtherRoute, None));
         }
-        run.objective_at = (now + handed.on_time).min(run.answer_by);
-        run.only = Some(handed.shards);
-        run.hops = handed.hops;
-        run.answer_by = run.answer_by.min(now + handed.latest);
-        run.parts_min = 0;
-        run.parts_wanted = handed.least.min(run.only.as_ref().map_or(0, Vec::len));
-        Ok(run)
+        request.objective_at = (now + delegated.on_time).min(request.answer_by);
+        request.only = Some(delegated.shards);
+        request.hops = delegated.hops;
+        request.answer_by = request.answer_by.min(now + delegated.latest);
+        request.parts_min = 0;
+        request.parts_wanted = delegated
+            .parts_wanted
+            .min(request.only.as_ref().map_or(0, Vec::len));
+        Ok(request)
     }
 
     fn find(&self, req: &CallerRequest) -> Result<Arc<Route>, (RefuseReason, Option<Duration>)> {
         let Some(table) = &self.table else {
-            let retry = if self.reach.is_in() {
+            let retry = if self.register_reachability.is_in() {
                 STARTING_RETRY
             } else {
                 OUTAGE_RETRY
@@ -103,12 +111,14 @@
         seq: LookupSeq,
         req: CallerRequest,
         route: Arc<Route>,
-    ) -> Box<Run> {
-        let patience = req.patience.map_or(route.timeout, |p| p.min(route.timeout));
-        let last_word = (patience / LAST_WORD_PART).min(LAST_WORD_MAX);
+    ) -> Box<ActiveRequest> {
+        let caller_timeout = req
+            .caller_timeout
+            .map_or(route.timeout, |p| p.min(route.timeout));
+        let last_word = (caller_timeout / LAST_WORD_PART).min(LAST_WORD_MAX);
         let on_time = route.objective.saturating_sub(self.options.answer_margin);
-        let answer_by = now + patience.saturating_sub(last_word);
-        Box::new(Run {
+        let answer_by = now + caller_timeout.saturating_sub(last_word);
+        Box::new(ActiveRequest {
             seq,
             req,
             only: None,
@@ -120,7 +130,7 @@
             arrived: now,
             objective_at: (now + on_time).min(answer_by),
             answer_by,
-            patience,
+            caller_timeout,
             route,
             whole: 0,
             missing: 0,
@@ -159,18 +169,18 @@
         out: &mut Vec<Action>,
     ) {
         self.counters.refused += 1;
-        let ending = Ending {
+        let report = RequestReport {
             outcome: Outcome::Refused(reason, retry_after),
             took: Duration::ZERO,
             objective: Duration::ZERO,
             parts: (0, 0),
-            given_up: GivenUp::default(),
+            abandoned: AbandonCounts::default(),
             extra: 0,
             route: None,
             version: self.table.as_ref().map(|t| t.version()),
-            trail: Vec::new(),
+            attempt_log: Vec::new(),
         };
-        out.push(Action::Answer(seq, Box::new(ending)));
+        out.push(Action::Answer(seq, Box::new(report)));
     }
 }
 
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -9,7 +9,7 @@
 
 /// Names one attempt within this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct RunId {
+pub struct AttemptKey {
     /// The request.
     pub lookup: LookupSeq,
     /// The part of the request, from 0.
@@ -18,7 +18,7 @@
     pub attempt: u16,
 }
 
-impl fmt::Display for RunId {
+impl fmt::Display for AttemptKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}/{}", self.lookup, self.part, self.attempt)
     }
@@ -38,7 +38,7 @@
 
 /// What an attempt is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Doing {
+pub(crate) enum AttemptState {
     /// Handed over; its server may be running it.
     Live,
     /// It ended and may have run.
@@ -52,7 +52,7 @@
 pub(crate) struct Attempt {
     pub(crate) server: ServerKey,
     pub(crate) at: Instant,
-    pub(crate) doing: Doing,
+    pub(crate) state: AttemptState,
     pub(crate) cause: Cause,
     /// Rounds of work that were before it at its server, as far as was known.
     pub(crate) rounds: f64,
@@ -62,11 +62,11 @@
 
 impl Attempt {
     pub(crate) fn is_live(&self) -> bool {
-        self.doing == Doing::Live
+        self.state == AttemptState::Live
     }
 
     /// Whether its server has run it or may have.
     pub(crate) fn may_have_run(&self) -> bool {
-        self.doing != Doing::NotRun
+        self.state != AttemptState::NotRun
     }
 }
--- a/crates/relay/src/trail.rs
+++ b/crates/relay/src/attempt_log.rs
@@ -5,18 +5,18 @@
 
 use gs_types::prelude::*;
 
+use crate::active_request::ActiveRequest;
+use crate::active_request::PartState;
 use crate::attempt::Attempt;
 use crate::attempt::Cause;
-use crate::run::PartState;
-use crate::run::Run;
 use crate::servers::Servers;
 
 /// The most steps kept of one request; those of parts that were whole at the first attempt tell nothing.
-const STEPS_MAX: usize = 24;
+const RECORDS_MAX: usize = 24;
 
 /// One attempt of a request, as a log line shows it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Step {
+pub struct AttemptRecord {
     /// The shard, or 0 where there is but one part.
     pub shard: u16,
     /// The service; for a bundle, the peers.
@@ -34,25 +34,31 @@
 }
 
 /// The attempts that tell why a request ended as it did.
-pub(crate) fn trail(run: &Run, servers: &Servers) -> Vec<Step> {
-    let mut steps = Vec::new();
-    for b in &run.bundles {
+pub(crate) fn attempt_log(request: &ActiveRequest, servers: &Servers) -> Vec<AttemptRecord> {
+    let mut records = Vec::new();
+    for b in &request.bundles {
         let view = servers.get(b.attempt.server);
         let service = view.map(|v| v.entry.service.clone());
-        let first = b.parts.first().and_then(|at| run.parts.get(*at));
+        let first = b.parts.first().and_then(|at| request.parts.get(*at));
         if let Some(service) = service.or_else(|| first.map(|p| p.service.clone())) {
             let shard = first.map_or(0, |p| p.shard);
-            steps.push(step(run.arrived, shard, service, &b.attempt, servers));
+            records.push(attempt_record(
+                request.arrived,
+                shard,
+                service,
+                &b.attempt,
+                servers,
+            ));
         }
     }
-    for part in &run.parts {
+    for part in &request.parts {
         let is_plain = part.state == PartState::Whole && part.attempts.len() <= 1;
         if is_plain {
             continue;
         }
         for a in &part.attempts {
-            steps.push(step(
-                run.arrived,
+            records.push(attempt_record(
+                request.arrived,
                 part.shard,
                 part.service.clone(),
                 a,
@@ -60,18 +66,18 @@
             ));
         }
     }
-    steps.truncate(STEPS_MAX);
-    steps
+    records.truncate(RECORDS_MAX);
+    records
 }
 
-fn step(
+fn attempt_record(
     arrived: Instant,
     shard: u16,
     service: ServiceName,
     a: &Attempt,
     servers: &Servers,
-) -> Step {
-    Step {
+) -> AttemptRecord {
+    AttemptRecord {
         shard,
         service,
         server: servers.get(a.server).map(|v| v.entry.name.clone()),
--- a/crates/relay/src/budget.rs
+++ b/crates/relay/src/budget.rs
@@ -25,7 +25,7 @@
 
 /// Requests and extra attempts of one service in a sliding window.
 #[derive(Clone, Debug)]
-pub struct ExtraWindow {
+pub struct ExtraAttemptBudget {
     window: Duration,
     ratio: f64,
     slack: f64,
@@ -34,7 +34,7 @@
     extra: u32,
 }
 
-impl ExtraWindow {
+impl ExtraAttemptBudget {
     /// Allows `ratio` extra attempts a request in any window, and `slack` besides.
     #[must_use]
     pub fn new(window: Duration, ratio: f64, slack: f64) -> Self {
--- a/crates/relay/src/settle.rs
+++ b/crates/relay/src/coalesce_delay.rs
@@ -30,13 +30,13 @@
 
 /// The pauses between looks that bring something: they double while a series of changes goes on.
 #[derive(Clone, Copy, Debug)]
-pub struct Settle {
+pub struct CoalesceDelay {
     longest: Duration,
     longest_at_start: Duration,
-    pause: Duration,
+    delay: Duration,
 }
 
-impl Settle {
+impl CoalesceDelay {
     /// The pauses of a process, by how long a leaving server goes on serving.
     #[must_use]
     pub fn new(drain: Duration, first_start: bool) -> Self {
@@ -48,14 +48,14 @@
             } else {
                 longest
             },
-            pause: Duration::ZERO,
+            delay: Duration::ZERO,
         }
     }
 
     /// The pause before the next look.
     #[must_use]
-    pub fn pause(&self) -> Duration {
-        self.pause
+    pub fn delay(&self) -> Duration {
+        self.delay
     }
 
     /// Everything was listed, or a look brought nothing or a part of what there is: the next one follows at
@@ -63,21 +63,21 @@
     ///
     /// Kept over an outage, a pause of before it would delay the first look after it, and a server that left
     /// meanwhile would get work for that much longer.
-    pub fn restart(&mut self) {
-        self.pause = Duration::ZERO;
+    pub fn reset(&mut self) {
+        self.delay = Duration::ZERO;
     }
 
     /// A look that waited so long brought something.
-    pub fn changed(&mut self, waited: Duration, since_start: Duration) {
+    pub fn on_changes(&mut self, waited: Duration, since_start: Duration) {
         let (begin, longest) = if since_start < START_TIME {
             (SHORTEST_PAUSE, self.longest_at_start)
         } else {
             (self.longest.mul_f64(BEGIN_PART), self.longest)
         };
-        self.pause = if waited >= QUIET_AFTER {
+        self.delay = if waited >= QUIET_AFTER {
             begin
         } else {
-            (self.pause * 2).clamp(begin, longest)
+            (self.delay * 2).clamp(begin, longest)
         };
     }
 }
--- a/crates/relay/src/verdict.rs
+++ b/crates/relay/src/completion.rs
@@ -27,7 +27,7 @@
 
 /// What is to be done with a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum CompletionDecision {
     /// More may come in time.
     Wait,
     /// Answer with what is in.
@@ -42,23 +42,23 @@
 /// then ask again while there is time. A peer, to which fewer parts than it wants are of little use but never
 /// none, then gets those that are in.
 #[must_use]
-pub fn verdict(now: Instant, p: &Progress) -> Verdict {
+pub fn decide_completion(now: Instant, p: &Progress) -> CompletionDecision {
     let open = p.parts - p.whole - p.missing;
     let can_come = p.whole + open;
     if can_come < p.parts_min {
-        return Verdict::Fail;
+        return CompletionDecision::Fail;
     }
     let is_all = open == 0 || can_come < p.parts_wanted;
     let is_enough = p.whole >= p.parts_wanted && now >= p.objective_at;
     if is_all || is_enough {
-        return Verdict::Deliver;
+        return CompletionDecision::Deliver;
     }
     if now < p.answer_by {
-        return Verdict::Wait;
+        return CompletionDecision::Wait;
     }
     if p.whole >= p.parts_min {
-        Verdict::Deliver
+        CompletionDecision::Deliver
     } else {
-        Verdict::Fail
+        CompletionDecision::Fail
     }
 }
--- a/crates/relay/src/sharing.rs
+++ b/crates/relay/src/connection_shares.rs
@@ -10,13 +10,13 @@
 use gs_types::prelude::*;
 
 use crate::entry::ServerEntry;
-use crate::portion::is_scarce;
-use crate::portion::portion;
+use crate::fan_out_vms::FAN_OUT_FRACTION;
+use crate::fan_out_vms::choose_fan_out_vms;
+use crate::peer_vms::PeerVm;
+use crate::peer_vms::PeerVms;
 use crate::relay::Core;
-use crate::roster::PeerVm;
-use crate::roster::Roster;
-use crate::runners::RUNNERS_PART;
-use crate::runners::runners;
+use crate::subset::is_scarce;
+use crate::subset::server_subset;
 use crate::table::ServiceDecl;
 
 /// Connections to a server whose service no route names.
@@ -30,7 +30,7 @@
 
 /// Who shares the connections to servers with this VM.
 #[derive(Debug, Default)]
-pub(crate) struct Sharing {
+pub(crate) struct ConnectionShares {
     /// Services that are shards of a fan-out.
     shards: HashSet<ServiceName>,
     /// All services that a route names.
@@ -43,11 +43,11 @@
     /// The names of those that do.
     names: HashSet<VmId>,
     /// VMs that run fan-outs.
-    runners: Headcount,
+    fan_out_vms: Headcount,
     /// All VMs.
     all: Headcount,
     /// The servers that this VM uses of services that accept fewer connections than there are VMs.
-    portions: HashMap<ServiceName, HashSet<ServerName>>,
+    subsets: HashMap<ServiceName, HashSet<ServerName>>,
     /// Services, other than shards, that accept fewer connections in all than there are VMs.
     scarce: HashSet<ServiceName>,
 }
@@ -58,7 +58,7 @@
     /// Those that are listed.
     listed: u32,
     /// Those that may be there, some that have just been added included.
-    at_most: u32,
+    vms_max: u32,
 }
 
 impl Default for Headcount {
@@ -72,7 +72,7 @@
         Self {
             // There are far fewer VMs than 2^32.
             listed: (listed as u32).max(1),
-            at_most: Roster::at_most(listed).max(1),
+            vms_max: PeerVms::vms_max(listed).max(1),
         }
     }
 
@@ -82,12 +82,12 @@
     /// held back for it. A whole part each held back left a third of what servers accept unused, and a
     /// second attempt was not made where the few connections to the other replica were busy.
     fn share_of(self, connections: f64) -> f64 {
-        let unlisted = self.at_most - self.listed;
+        let unlisted = self.vms_max - self.listed;
         (connections - f64::from(unlisted)) / f64::from(self.listed)
     }
 }
 
-impl Sharing {
+impl ConnectionShares {
     pub(crate) fn new(core: &Core) -> Self {
         let (mut routed, mut shards) = (HashSet::new(), HashSet::new());
         for route in core.table.iter().flat_map(|t| t.routes()) {
@@ -96,33 +96,33 @@
                 shards.extend(route.services().cloned());
             }
         }
-        if core.roster.is_empty() {
+        if core.peer_vms.is_empty() {
             return Self {
                 shards,
                 routed,
                 knows_vms: false,
                 runs: true,
                 names: HashSet::new(),
-                runners: Headcount::of(core.options.peers as usize),
+                fan_out_vms: Headcount::of(core.options.peers as usize),
                 all: Headcount::of(core.options.peers as usize),
-                portions: HashMap::new(),
+                subsets: HashMap::new(),
                 scarce: HashSet::new(),
             };
         }
         let declared = core.table.iter().flat_map(|t| t.services_of(&shards));
         let least = declared.map(|s| s.connections).min();
-        let runners = runners(&core.roster, least);
-        let names: HashSet<VmId> = runners.iter().map(|vm| vm.name.clone()).collect();
-        let (portions, scarce) = portions(core, routed.difference(&shards));
+        let fan_out_vms = choose_fan_out_vms(&core.peer_vms, least);
+        let names: HashSet<VmId> = fan_out_vms.iter().map(|vm| vm.name.clone()).collect();
+        let (subsets, scarce) = subsets(core, routed.difference(&shards));
         Self {
             shards,
             routed,
             knows_vms: true,
             runs: names.contains(&core.options.vm),
             names,
-            runners: Headcount::of(runners.len()),
-            all: Headcount::of(core.roster.vms().len()),
-            portions,
+            fan_out_vms: Headcount::of(fan_out_vms.len()),
+            all: Headcount::of(core.peer_vms.vms().len()),
+            subsets,
             scarce,
         }
     }
@@ -133,24 +133,32 @@
     }
 
     /// Whether a VM runs fan-outs.
-    pub(crate) fn is_runner(&self, vm: &PeerVm) -> bool {
+    pub(crate) fn is_fan_out_vm(&self, vm: &PeerVm) -> bool {
         !self.knows_vms || self.names.contains(&vm.name)
     }
 
     /// The VMs that send to the servers of a route.
-    pub(crate) fn sharers(&self, is_scatter: bool) -> u32 {
-        let head = if is_scatter { self.runners } else { self.all };
+    pub(crate) fn sending_vms(&self, is_scatter: bool) -> u32 {
+        let head = if is_scatter {
+            self.fan_out_vms
+        } else {
+            self.all
+        };
         head.listed
     }
 
     /// Whether this VM sends to a server while others of its service are there.
-    pub(crate) fn uses(&self, server: &ServerEntry) -> bool {
-        let portion = self.portions.get(&server.service);
-        portion.is_none_or(|names| names.contains(&server.name))
+    pub(crate) fn is_in_subset(&self, server: &ServerEntry) -> bool {
+        let subset = self.subsets.get(&server.service);
+        subset.is_none_or(|names| names.contains(&server.name))
     }
 
     /// The most connections to a server of a service.
-    pub(crate) fn most(&self, decl: Option<&ServiceDecl>, service: &ServiceName) -> Connections {
+    pub(crate) fn connections_max(
+        &self,
+        decl: Option<&ServiceDecl>,
+        service: &ServiceName,
+    ) -> Connections {
         let Some(limit) = decl.map(|s| f64::from(s.connections.0)) else {
             return UNDECLARED;
         };
@@ -159,7 +167,7 @@
         } else if !self.shards.contains(service) {
             self.all.share_of(limit)
         } else if self.runs {
-            self.runners.share_of(limit * self.runners_part())
+            self.fan_out_vms.share_of(limit * self.fan_out_fraction())
         } else {
             1.0
         };
@@ -170,7 +178,11 @@
     ///
     /// Where there are not enough for one each, a VM that keeps an idle one takes it from another, whose new
     /// connection the server resets under its request.
-    pub(crate) fn keeps(&self, decl: Option<&ServiceDecl>, service: &ServiceName) -> bool {
+    pub(crate) fn keeps_idle_connection(
+        &self,
+        decl: Option<&ServiceDecl>,
+        service: &ServiceName,
+    ) -> bool {
         if !self.knows_vms {
             return true;
         }
@@ -178,29 +190,31 @@
             return !self.scarce.contains(service);
         }
         // The servers of a shard leave few to the VMs that run no fan-outs.
-        let left = decl.map_or(0.0, |s| f64::from(s.connections.0) * (1.0 - RUNNERS_PART));
-        let others = self.all.listed.saturating_sub(self.runners.listed);
+        let left = decl.map_or(0.0, |s| {
+            f64::from(s.connections.0) * (1.0 - FAN_OUT_FRACTION)
+        });
+        let others = self.all.listed.saturating_sub(self.fan_out_vms.listed);
         self.runs || f64::from(others) <= left
     }
 
     /// This VM's part of the extra attempts that a service allows all VMs besides.
-    pub(crate) fn slack_part(&self, service: &ServiceName) -> f64 {
-        let all = f64::from(self.all.at_most.max(1));
+    pub(crate) fn slack_share(&self, service: &ServiceName) -> f64 {
+        let all = f64::from(self.all.vms_max.max(1));
         if !self.shards.contains(service) {
             return 1.0 / all;
         }
         if self.runs {
-            self.runners_part() / f64::from(self.runners.at_most.max(1))
+            self.fan_out_fraction() / f64::from(self.fan_out_vms.vms_max.max(1))
         } else {
-            (1.0 - RUNNERS_PART) / all
+            (1.0 - FAN_OUT_FRACTION) / all
         }
     }
 
-    fn runners_part(&self) -> f64 {
-        if self.runners == self.all {
+    fn fan_out_fraction(&self) -> f64 {
+        if self.fan_out_vms == self.all {
             1.0
         } else {
-            RUNNERS_PART
+            FAN_OUT_FRACTION
         }
     }
 
@@ -209,7 +223,7 @@
     /// The servers of a new cut of an index register before routes name them. All VMs connected to them then
     /// are more than they accept, and each connection takes a slot for a moment; those that will run fan-outs
     /// are enough.
-    pub(crate) fn warm(&self, service: &ServiceName, is_near: bool) -> Connections {
+    pub(crate) fn connections_min(&self, service: &ServiceName, is_near: bool) -> Connections {
         let is_for_runners = self.shards.contains(service) || !self.routed.contains(service);
         let is_idle = !self.knows_vms || (is_for_runners && !self.runs);
         Connections(match is_near {
@@ -222,14 +236,14 @@
 
 /// The servers that this VM uses of each of these services that has too few connections for all VMs, and the
 /// services whose servers have too few together.
-fn portions<'a>(
+fn subsets<'a>(
     core: &Core,
     services: impl Iterator<Item = &'a ServiceName>,
 ) -> (
     HashMap<ServiceName, HashSet<ServerName>>,
     HashSet<ServiceName>,
 ) {
-    let (mut portions, mut scarce) = (HashMap::new(), HashSet::new());
+    let (mut subsets, mut scarce) = (HashMap::new(), HashSet::new());
     for service in services {
         let Some(decl) = core.table.as_ref().and_then(|t| t.service(service)) else {
             continue;
@@ -237,13 +251,13 @@
         let views = core.servers.of(service).iter();
         let views = views.filter_map(|key| core.servers.get(*key));
         let open: Vec<&ServerEntry> = views.filter(|v| v.is_open()).map(|v| &*v.entry).collect();
-        let vms = core.roster.vms();
+        let vms = core.peer_vms.vms();
         if is_scarce(vms.len(), open.len(), decl.connections) {
             scarce.insert(service.clone());
         }
-        if let Some(names) = portion(&core.options.vm, vms, &open, decl.connections) {
-            portions.insert(service.clone(), names);
+        if let Some(names) = server_subset(&core.options.vm, vms, &open, decl.connections) {
+            subsets.insert(service.clone(), names);
         }
     }
-    (portions, scarce)
+    (subsets, scarce)
 }
--- a/crates/relay/src/suspects.rs
+++ b/crates/relay/src/crash_suspects.rs
@@ -13,11 +13,11 @@
 use smallvec::SmallVec;
 
 use crate::servers::ServerKey;
-use crate::shard_breaks::ShardBreaks;
+use crate::shard_crashes::ShardCrashes;
 
 /// Broken attempts of one request, none answered, after which it is refused: two may be the bad luck of
 /// connections that a server loses; a route allows no more than a few.
-pub(crate) const BREAKS_MAX: u32 = 3;
+pub(crate) const CRASHES_MAX: u32 = 3;
 
 /// The fewest servers that it must have broken: one server may be broken by itself.
 pub(crate) const SERVERS_MIN: usize = 2;
@@ -26,7 +26,7 @@
 const QUARANTINE: Duration = Duration::from_secs(30);
 
 /// How long breaks are remembered; callers send again within their deadline of some seconds.
-pub(crate) const REMEMBER: Duration = Duration::from_secs(20);
+pub(crate) const CRASH_RETENTION: Duration = Duration::from_secs(20);
 
 /// The most requests remembered, so that a storm of breaks does not grow without bound.
 pub(crate) const SUSPECTS_MAX: usize = 4096;
@@ -41,21 +41,25 @@
 
 /// Requests that broke connections, and those that are refused for it.
 #[derive(Debug, Default)]
-pub(crate) struct Suspects {
+pub(crate) struct CrashSuspects {
     suspects: HashMap<Fingerprint, Suspect>,
-    shards: ShardBreaks,
+    shards: ShardCrashes,
     refused: HashMap<Fingerprint, Instant>,
     swept_at: Option<Instant>,
 }
 
-impl Suspects {
+impl CrashSuspects {
     /// Whether anything is held against any request, so that fingerprints are worth their time.
-    pub(crate) fn is_calm(&self) -> bool {
+    pub(crate) fn is_empty(&self) -> bool {
         self.suspects.is_empty() && self.shards.is_empty() && self.refused.is_empty()
     }
 
     /// How long a request is still refused; `None` if it is not.
-    pub(crate) fn refused_for(&mut self, now: Instant, request: Fingerprint) -> Option<Duration> {
+    pub(crate) fn quarantined_for(
+        &mut self,
+        now: Instant,
+        request: Fingerprint,
+    ) -> Option<Duration> {
         self.sweep(now);
         self.refused.retain(|_, until| *until > now);
         let until = self.refused.get(&request)?;
@@ -63,7 +67,7 @@
     }
 
     /// A server of a service broke while it had the request, in this run of its own.
-    pub(crate) fn broke(
+    pub(crate) fn note_crash(
         &mut self,
         now: Instant,
         request: Fingerprint,
@@ -72,7 +76,7 @@
     ) {
         self.sweep(now);
         self.count(now, request, server.0);
-        self.shards.broke(now, request, service, server);
+        self.shards.note_crash(now, request, service, server);
     }
 
     fn count(&mut self, now: Instant, request: Fingerprint, server: ServerKey) {
@@ -85,7 +89,7 @@
             last: now,
         };
         let s = self.suspects.entry(request).or_insert(fresh);
-        if now.saturating_duration_since(s.last) >= REMEMBER {
+        if now.saturating_duration_since(s.last) >= CRASH_RETENTION {
             s.breaks = 0;
             s.servers.clear();
         }
@@ -99,42 +103,47 @@
     /// Forgets old breaks now and then: while anything is held, each request costs the time of a fingerprint.
     fn sweep(&mut self, now: Instant) {
         let last = *self.swept_at.get_or_insert(now);
-        if now.saturating_duration_since(last) < REMEMBER {
+        if now.saturating_duration_since(last) < CRASH_RETENTION {
             return;
         }
         self.swept_at = Some(now);
         self.suspects
-            .retain(|_, s| now.saturating_duration_since(s.last) < REMEMBER);
+            .retain(|_, s| now.saturating_duration_since(s.last) < CRASH_RETENTION);
         self.shards.forget_old(now);
     }
 
     /// Refuses a request if it has broken enough; `true` if it was not refused before.
     ///
     /// If a server answered it, only what it broke of a single shard counts.
-    pub(crate) fn convict(&mut self, now: Instant, request: Fingerprint, survived: bool) -> bool {
-        let is_proved = |s: &Suspect| s.breaks >= BREAKS_MAX && s.servers.len() >= SERVERS_MIN;
+    pub(crate) fn quarantine_if_proved(
+        &mut self,
+        now: Instant,
+        request: Fingerprint,
+        survived: bool,
+    ) -> bool {
+        let is_proved = |s: &Suspect| s.breaks >= CRASHES_MAX && s.servers.len() >= SERVERS_MIN;
         let of_all = !survived && self.suspects.get(&request).is_some_and(is_proved);
         if !of_all && !self.shards.is_proved(now, request) {
             return false;
         }
         self.suspects.remove(&request);
         self.shards.forget(request);
-        self.refuse(now, request)
+        self.quarantine(now, request)
     }
 
     /// A server of a service ran the request and lived.
-    pub(crate) fn answered(&mut self, request: Fingerprint, service: &ServiceName) {
+    pub(crate) fn note_survived(&mut self, request: Fingerprint, service: &ServiceName) {
         self.suspects.remove(&request);
-        self.shards.answered(request, service);
+        self.shards.note_survived(request, service);
     }
 
     /// A server ran the request and lived, it is not known which.
-    pub(crate) fn answered_somewhere(&mut self, request: Fingerprint) {
+    pub(crate) fn note_survived_somewhere(&mut self, request: Fingerprint) {
         self.suspects.remove(&request);
     }
 
     /// Refuses a request for a while; `true` if it was not refused before.
-    pub(crate) fn refuse(&mut self, now: Instant, request: Fingerprint) -> bool {
+    pub(crate) fn quarantine(&mut self, now: Instant, request: Fingerprint) -> bool {
         self.refused.insert(request, now + QUARANTINE).is_none()
     }
 }
--- a/crates/relay/src/handover.rs
+++ b/crates/relay/src/delegation.rs
@@ -16,14 +16,14 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::action::Action;
+use crate::active_request::ActiveRequest;
 use crate::entry::Availability;
 use crate::entry::ServerEntry;
+use crate::peer_vms::PeerVm;
+use crate::peer_vms::PeerVms;
 use crate::relay::Core;
-use crate::roster::PeerVm;
-use crate::roster::Roster;
 use crate::route::Route;
 use crate::route::Target;
-use crate::run::Run;
 use crate::servers::ServerKey;
 use crate::servers::Servers;
 
@@ -48,7 +48,7 @@
 
 /// Who asks for the parts of a route.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Plan {
+pub(crate) struct FanOutPlan {
     /// For each shard, the data centre where a peer asks for it; `None` where this VM does.
     shards: Vec<Option<DataCentre>>,
     /// The peers of each of these data centres.
@@ -60,7 +60,7 @@
     ///
     /// A repartition brings hundreds of servers in a moment; made anew for each of them, the plans would
     /// hold up a weak VM's requests.
-    pub(crate) fn plans_stale(&mut self, now: Instant) {
+    pub(crate) fn mark_plans_stale(&mut self, now: Instant) {
         self.are_plans_stale = true;
         let at = now + REPLAN_AFTER;
         self.replan_at = Some(self.replan_at.map_or(at, |planned| planned.min(at)));
@@ -73,13 +73,13 @@
     }
 
     /// Makes the plans anew if it is time, and connects to the peers that they name.
-    pub(crate) fn replan(&mut self, now: Instant, out: &mut Vec<Action>) {
+    pub(crate) fn rebuild_plans(&mut self, now: Instant, out: &mut Vec<Action>) {
         if self.replan_at.is_none_or(|at| at > now) {
             return;
         }
         self.replan_at = None;
         if std::mem::take(&mut self.are_plans_stale) {
-            self.share_out(out);
+            self.assign_connections(out);
             self.make_plans();
         }
         self.connect_peers(now, out);
@@ -98,7 +98,7 @@
                 "event=plan route={} version={} vms={} shards_elsewhere={} peers={}",
                 route.name,
                 table.version(),
-                self.roster.vms().len(),
+                self.peer_vms.vms().len(),
                 plan.shards.iter().flatten().count(),
                 plan.peers.len(),
             );
@@ -120,8 +120,8 @@
             is_one_away = true;
             out.push(Action::Connect {
                 server: Arc::clone(&view.entry),
-                warm: Connections(1),
-                most: PEER_CONNECTIONS,
+                connections_min: Connections(1),
+                connections_max: PEER_CONNECTIONS,
             });
         }
         if is_one_away {
@@ -130,7 +130,7 @@
     }
 
     /// Takes in the VMs that are there.
-    pub(crate) fn take_roster(&mut self, now: Instant, vms: Vec<PeerVm>, out: &mut Vec<Action>) {
+    pub(crate) fn on_vms(&mut self, now: Instant, vms: Vec<PeerVm>, out: &mut Vec<Action>) {
         let peers: Vec<ServerEntry> = vms
             .iter()
             .filter(|vm| vm.name != self.options.vm)
@@ -158,18 +158,18 @@
                 self.peers_known.insert(name);
             }
         }
-        self.roster = Roster::new(vms);
-        self.plans_stale(now);
+        self.peer_vms = PeerVms::new(vms);
+        self.mark_plans_stale(now);
     }
 
-    fn make_plan(&self, route: &Route) -> Plan {
+    fn make_plan(&self, route: &Route) -> FanOutPlan {
         let Target::Scatter(scatter) = &route.target else {
-            return Plan::default();
+            return FanOutPlan::default();
         };
-        if !self.sharing.runs_fan_outs() {
+        if !self.connection_shares.runs_fan_outs() {
             return self.plan_of_weak(scatter.shards.len());
         }
-        let mut plan = Plan::default();
+        let mut plan = FanOutPlan::default();
         for shard in &scatter.shards {
             let place = self.place_of(shard);
             if let Some(place) = &place
@@ -183,20 +183,20 @@
     }
 
     /// A weak VM leaves everything to the strong ones nearest to it.
-    fn plan_of_weak(&self, shards: usize) -> Plan {
+    fn plan_of_weak(&self, shards: usize) -> FanOutPlan {
         let strong = self
-            .roster
+            .peer_vms
             .vms()
             .iter()
-            .filter(|vm| self.sharing.is_runner(vm));
+            .filter(|vm| self.connection_shares.is_fan_out_vm(vm));
         let near = strong.filter(|vm| vm.region == self.options.region);
         let places: BTreeSet<&DataCentre> = near.map(|vm| &vm.data_centre).collect();
         let mine = &self.options.data_centre;
         let nearest = places.get(mine).or_else(|| places.first());
         let Some(place) = nearest.copied().cloned() else {
-            return Plan::default();
+            return FanOutPlan::default();
         };
-        Plan {
+        FanOutPlan {
             peers: [(place.clone(), self.strong_in(&place))].into(),
             shards: vec![Some(place); shards],
         }
@@ -226,28 +226,32 @@
 
     /// The strong VMs of a data centre, this one aside.
     fn strong_in(&self, place: &DataCentre) -> Vec<ServerName> {
-        let vms = self.roster.vms().iter();
+        let vms = self.peer_vms.vms().iter();
         let there = vms.filter(|vm| vm.data_centre == *place && vm.name != self.options.vm);
-        let strong = there.filter(|vm| self.sharing.is_runner(vm));
+        let strong = there.filter(|vm| self.connection_shares.is_fan_out_vm(vm));
         strong.filter_map(peer_name).collect()
     }
 
     /// Whether a shard of a route is left to a peer.
-    pub(crate) fn is_elsewhere(&self, route: &Route, shard: usize) -> bool {
+    pub(crate) fn is_delegated(&self, route: &Route, shard: usize) -> bool {
         let plan = self.plans.get(&route.name);
         plan.is_some_and(|p| p.shards.get(shard).is_some_and(Option::is_some))
     }
 
     /// The bundles of a request that is about to begin.
-    pub(crate) fn bundles_for(&mut self, now: Instant, run: &Run) -> Vec<(ServerKey, Vec<usize>)> {
-        if run.hops >= HOPS_MAX || !run.route.is_scatter() || now >= run.objective_at {
+    pub(crate) fn bundles_for(
+        &mut self,
+        now: Instant,
+        request: &ActiveRequest,
+    ) -> Vec<(ServerKey, Vec<usize>)> {
+        if request.hops >= HOPS_MAX || !request.route.is_scatter() || now >= request.objective_at {
             return Vec::new();
         }
-        let Some(plan) = self.plans.get(&run.route.name) else {
+        let Some(plan) = self.plans.get(&request.route.name) else {
             return Vec::new();
         };
         let mut by_place: HashMap<&DataCentre, Vec<usize>> = HashMap::new();
-        for (at, part) in run.parts.iter().enumerate() {
+        for (at, part) in request.parts.iter().enumerate() {
             if let Some(Some(place)) = plan.shards.get(usize::from(part.shard)) {
                 by_place.entry(place).or_default().push(at);
             }
@@ -282,7 +286,7 @@
         let is_usable = view.is_open()
             && view.is_connected()
             && view.has_connection()
-            && view.rests_until(now).is_none();
+            && view.backoff_until(now).is_none();
         let cost = (view.outstanding.len(), rng.random());
         if is_usable && best.is_none_or(|(_, least)| cost < least) {
             best = Some((key, cost));
--- a/crates/relay/src/transit.rs
+++ b/crates/relay/src/delegation_times.rs
@@ -19,9 +19,9 @@
 /// Nothing is added for what varies: a page that is a little late still meets the margin that is kept for
 /// the answer's own way, while what is added is taken from the peer's time for every page.
 #[derive(Debug, Default)]
-pub(crate) struct Transits(HashMap<DataCentre, f64>);
+pub(crate) struct DelegationTimes(HashMap<DataCentre, f64>);
 
-impl Transits {
+impl DelegationTimes {
     /// A page came from there after `took`, for `held` of which the peer had the request.
     pub(crate) fn observe(&mut self, from: &DataCentre, took: Duration, held: Duration) {
         let secs = took.saturating_sub(held).as_secs_f64();
@@ -34,7 +34,7 @@
     }
 
     /// The time on the way there and back, where the least seen is `way`.
-    pub(crate) fn to(&self, data_centre: &DataCentre, way: Duration) -> Duration {
+    pub(crate) fn round_trip(&self, data_centre: &DataCentre, way: Duration) -> Duration {
         let mean = self.0.get(data_centre).copied();
         mean.map_or(way.mul_f64(FIRST_FACTOR), Duration::from_secs_f64)
     }
--- a/crates/relay/src/dispatch.rs
+++ b/crates/relay/src/dispatch.rs
@@ -6,18 +6,18 @@
 
 use gs_types::prelude::*;
 
+use crate::abandon::AbandonReason;
 use crate::action::Action;
 use crate::action::Dispatch;
+use crate::active_request::ActiveRequest;
+use crate::active_request::PartState;
 use crate::attempt::Attempt;
+use crate::attempt::AttemptKey;
+use crate::attempt::AttemptState;
 use crate::attempt::Cause;
-use crate::attempt::Doing;
-use crate::attempt::RunId;
-use crate::gave_up::GaveUp;
-use crate::placement::Place;
-use crate::placement::Scene;
+use crate::placement::Placement;
+use crate::placement::PlacementContext;
 use crate::relay::Core;
-use crate::run::PartState;
-use crate::run::Run;
 use crate::servers::ServerKey;
 
 /// The most attempts at one part, those that never left included.
@@ -25,55 +25,70 @@
 
 /// How many objectives a part of a fan-out may take before its connection is given up: a server that
 /// went dark would else hold each connection to the end of the caller's patience.
-const GIVE_UP_OBJECTIVES: u32 = 4;
+const ATTEMPT_TIMEOUT_OBJECTIVES: u32 = 4;
 
 /// The least time before an attempt is given up; longer than two usual pauses.
-const GIVE_UP_MIN: Duration = Duration::from_millis(500);
+const ATTEMPT_TIMEOUT_MIN: Duration = Duration::from_millis(500);
 
 impl Core {
     /// Makes an attempt at a part if a server is free and the budget allows it.
     pub(crate) fn try_part(
         &mut self,
         now: Instant,
-        run: &mut Run,
+        request: &mut ActiveRequest,
         at: usize,
         cause: Cause,
         out: &mut Vec<Action>,
     ) {
-        if run.parts[at].attempts.len() >= ATTEMPTS_MAX || now >= run.answer_by {
-            self.give_up(run, at, GaveUp::UsedUp);
+        if request.parts[at].attempts.len() >= ATTEMPTS_MAX || now >= request.answer_by {
+            self.abandon_part(request, at, AbandonReason::UsedUp);
             return;
         }
-        match self.scene(now, run).place(&run.parts[at]) {
-            Place::Now(server, _) => {
-                if cause != Cause::First && !self.take_extra(now, run, at, false) {
-                    self.give_up(run, at, GaveUp::Budget);
+        match self
+            .placement_context(now, request)
+            .choose_server(&request.parts[at])
+        {
+            Placement::Now(server, _) => {
+                if cause != Cause::First && !self.take_extra(now, request, at, false) {
+                    self.abandon_part(request, at, AbandonReason::Budget);
                     return;
                 }
-                self.send(now, run, at, server, cause, out);
+                self.send(now, request, at, server, cause, out);
             }
-            Place::Wait => self.queue(run, at, cause),
-            Place::Nowhere(_) => self.give_up(run, at, GaveUp::NoServer),
+            Placement::Wait => self.enqueue(request, at, cause),
+            Placement::Nowhere(_) => self.abandon_part(request, at, AbandonReason::NoServer),
         }
     }
 
     /// What a placement for this request is made from.
-    pub(crate) fn scene(&self, now: Instant, run: &Run) -> Scene<'_> {
-        Scene {
+    pub(crate) fn placement_context(
+        &self,
+        now: Instant,
+        request: &ActiveRequest,
+    ) -> PlacementContext<'_> {
+        PlacementContext {
             now,
             servers: &self.servers,
-            times: &self.times[&run.route.name],
-            ways: &self.ways,
+            times: &self.times[&request.route.name],
+            round_trips: &self.round_trips,
             data_centre: &self.options.data_centre,
-            servers_max: run.route.servers_max,
-            objective: run.route.objective,
-            sharers: self.sharing.sharers(run.route.is_scatter()),
+            servers_max: request.route.servers_max,
+            objective: request.route.objective,
+            sending_vms: self
+                .connection_shares
+                .sending_vms(request.route.is_scatter()),
         }
     }
 
     /// Takes an extra attempt out of the service's budget.
-    pub(crate) fn take_extra(&mut self, now: Instant, run: &Run, at: usize, hedge: bool) -> bool {
-        let service = run.parts[at].service.clone();
+    pub(crate) fn take_extra(
+        &mut self,
+        now: Instant,
+        request: &ActiveRequest,
+        at: usize,
+        hedge: bool,
+    ) -> bool {
+        let service = request.parts[at].service.clone();
         let taken = self.service(&service).extra.take(now, hedge);
         if !taken {
             self.counters.extra_refused += 1;
@@ -82,34 +97,40 @@
     }
 
     /// Gives a part up.
-    pub(crate) fn give_up(&mut self, run: &mut Run, at: usize, why: GaveUp) {
-        run.parts[at].state = PartState::Missing;
-        run.parts[at].gave_up = Some(why);
-        run.missing += 1;
+    pub(crate) fn abandon_part(
+        &mut self,
+        request: &mut ActiveRequest,
+        at: usize,
+        why: AbandonReason,
+    ) {
+        request.parts[at].state = PartState::Missing;
+        request.parts[at].abandon_reason = Some(why);
+        request.missing += 1;
     }
 
     /// Hands an attempt over to the shell.
     pub(crate) fn send(
         &mut self,
         now: Instant,
-        run: &mut Run,
+        request: &mut ActiveRequest,
         at: usize,
         server: ServerKey,
         cause: Cause,
         out: &mut Vec<Action>,
     ) {
-        let left = run.left(now);
-        let give_up = if run.route.is_scatter() {
-            (run.route.objective * GIVE_UP_OBJECTIVES)
-                .max(GIVE_UP_MIN)
+        let left = request.left(now);
+        let attempt_timeout = if request.route.is_scatter() {
+            (request.route.objective * ATTEMPT_TIMEOUT_OBJECTIVES)
+                .max(ATTEMPT_TIMEOUT_MIN)
                 .min(left)
         } else {
             left
         };
-        let keep = run.route.is_scatter() || self.keeps_connections(&run.parts[at].service);
-        let part = &mut run.parts[at];
-        let id = RunId {
-            lookup: run.seq,
+        let keep_connection =
+            request.route.is_scatter() || self.keeps_connections(&request.parts[at].service);
+        let part = &mut request.parts[at];
+        let id = AttemptKey {
+            lookup: request.seq,
             // The counts are bounded far below these types' ranges.
             part: at as u16,
             attempt: part.attempts.len() as u16,
@@ -118,7 +139,7 @@
         part.attempts.push(Attempt {
             server,
             at: now,
-            doing: Doing::Live,
+            state: AttemptState::Live,
             cause,
             rounds: self.servers.get(server).map_or(0.0, |v| v.rounds(now, 0.0)),
             ended: None,
@@ -129,36 +150,36 @@
         view.begun(now, id);
         let is_near = view.entry.data_centre == self.options.data_centre;
         out.push(Action::Send(Dispatch {
-            run: id,
+            attempt: id,
             server: Arc::clone(&view.entry),
-            id: Arc::clone(&run.req.id),
-            content: Arc::clone(&run.req.content),
-            time_left: run.patience.saturating_sub(now - run.arrived),
-            give_up,
-            once: run.is_once(),
-            keep,
-            hand_over: None,
+            id: Arc::clone(&request.req.id),
+            content: Arc::clone(&request.req.content),
+            time_left: request.caller_timeout.saturating_sub(now - request.arrived),
+            attempt_timeout,
+            once: request.is_once(),
+            keep_connection,
+            delegation: None,
         }));
-        self.count(run, cause);
-        if !run.is_once() {
-            let delay = self.times[&run.route.name].delay(is_near);
-            self.arm(run, now + delay);
+        self.count(request, cause);
+        if !request.is_once() {
+            let delay = self.times[&request.route.name].delay(is_near);
+            self.arm(request, now + delay);
         }
-        self.arm(run, run.objective_at.max(now));
+        self.arm(request, request.objective_at.max(now));
     }
 
     fn keeps_connections(&self, service: &ServiceName) -> bool {
         let decl = self.table.as_ref().and_then(|t| t.service(service));
-        self.sharing.keeps(decl, service)
+        self.connection_shares.keeps_idle_connection(decl, service)
     }
 
-    fn count(&mut self, run: &mut Run, cause: Cause) {
+    fn count(&mut self, request: &mut ActiveRequest, cause: Cause) {
         self.counters.attempts += 1;
         match cause {
             Cause::First => return,
             Cause::Hedge => self.counters.hedges += 1,
             Cause::Retry => self.counters.retries += 1,
         }
-        run.extra += 1;
+        request.extra += 1;
     }
 }
--- a/crates/relay/src/event.rs
+++ b/crates/relay/src/event.rs
@@ -5,12 +5,12 @@
 
 use gs_types::prelude::*;
 
-use crate::attempt::RunId;
+use crate::attempt::AttemptKey;
 use crate::entry::ServerEntry;
 use crate::options::RelayOptions;
+use crate::peer_vms::PeerVm;
 use crate::reply::AttemptEnd;
 use crate::request::CallerRequest;
-use crate::roster::PeerVm;
 use crate::table::RouteTable;
 
 /// A caller's request, with the number that the shell gave it.
@@ -21,12 +21,12 @@
     /// The request.
     pub req: CallerRequest,
     /// Set if another VM asks for parts.
-    pub handed: Option<Handed>,
+    pub delegated: Option<DelegatedParts>,
 }
 
 /// What a VM that asks for parts says of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Handed {
+pub struct DelegatedParts {
     /// The route by its content there; the request is run under no other.
     pub route: Fingerprint,
     /// The time in which the page must leave to be in time.
@@ -34,7 +34,7 @@
     /// The time in which it must leave to be of any use.
     pub latest: Duration,
     /// The fewest parts that are of use in time; with fewer the page waits.
-    pub least: usize,
+    pub parts_wanted: usize,
     /// The shards wanted, by their number in the route.
     pub shards: Vec<u16>,
     /// VMs that the request has passed.
@@ -51,9 +51,9 @@
     /// A server is gone from the register.
     ServerGone(ServerName),
     /// Whether the register, from which routes and servers are known, is in reach.
-    Reach(bool),
+    RegisterReachable(bool),
     /// The VMs that are there, this one included.
-    Roster(Vec<PeerVm>),
+    Vms(Vec<PeerVm>),
     /// A connection to a server or a peer opened, after this time.
     Opened(ServerName, Duration),
     /// A connection to a server or a peer closed.
@@ -65,9 +65,9 @@
     /// A caller's request arrived.
     Arrive(Arrival),
     /// An attempt ended; each [`crate::Action::Send`] gets exactly one, also after a cancel.
-    Ended(RunId, AttemptEnd),
+    Ended(AttemptKey, AttemptEnd),
     /// The caller of this request hung up.
-    Gone(LookupSeq),
+    CallerDisconnected(LookupSeq),
     /// Everything that had come by now was told; requests whose attempts have ended are looked at.
     CaughtUp,
     /// A timer asked for by [`crate::Action::Wake`] is due.
--- a/crates/relay/src/runners.rs
+++ b/crates/relay/src/fan_out_vms.rs
@@ -7,12 +7,12 @@
 
 use gs_types::prelude::*;
 
-use crate::roster::PeerVm;
-use crate::roster::Roster;
+use crate::peer_vms::PeerVm;
+use crate::peer_vms::PeerVms;
 
 /// The part of a shard's connections that the VMs which run fan-outs share where there are others; the rest
 /// is for those when their peers are away.
-pub(crate) const RUNNERS_PART: f64 = 0.8;
+pub(crate) const FAN_OUT_FRACTION: f64 = 0.8;
 
 /// The fewest connections to a server that are of use to a VM that runs fan-outs: with one, each pause of a
 /// server holds up whatever comes after.
@@ -25,9 +25,12 @@
 ///
 /// Strong VMs only, and of those no more than the connections allow, from each data centre its part. Every VM
 /// works the same out from the same list.
-pub(crate) fn runners(roster: &Roster, connections: Option<Connections>) -> Vec<&PeerVm> {
+pub(crate) fn choose_fan_out_vms(
+    peer_vms: &PeerVms,
+    connections: Option<Connections>,
+) -> Vec<&PeerVm> {
     let mut by_place: HashMap<&DataCentre, Vec<&PeerVm>> = HashMap::new();
-    for vm in roster.vms().iter().filter(|vm| roster.is_strong(vm)) {
+    for vm in peer_vms.vms().iter().filter(|vm| peer_vms.is_strong(vm)) {
         by_place.entry(&vm.data_centre).or_default().push(vm);
     }
     let strong: usize = by_place.values().map(Vec::len).sum();
@@ -45,5 +48,5 @@
 
 /// The most VMs that have enough connections each.
 fn most(connections: Connections) -> f64 {
-    f64::from(connections.0) * RUNNERS_PART / CONNECTIONS_EACH
+    f64::from(connections.0) * FAN_OUT_FRACTION / CONNECTIONS_EACH
 }
--- a/crates/relay/src/leases.rs
+++ b/crates/relay/src/leases.rs
@@ -23,11 +23,11 @@
 
 /// How much longer each further VM, in the order of their names, waits before it removes an announcement, so
 /// that one removal is one call and not one from every VM.
-const TURN: Duration = Duration::from_secs(10);
+const REMOVAL_STAGGER: Duration = Duration::from_secs(10);
 
 /// How often a VM among so many renews its announcement, `least` at the most.
 #[must_use]
-pub fn renew_every(least: Duration, vms: usize) -> Duration {
+pub fn renewal_interval(least: Duration, vms: usize) -> Duration {
     RENEW_PER_VM.mul_f64(vms as f64).max(least)
 }
 
@@ -42,9 +42,9 @@
 
 /// What a look at the list shows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Look {
+pub struct LeaseCheck {
     /// VMs whose lease is over.
-    pub gone: Vec<VmId>,
+    pub expired: Vec<VmId>,
     /// Those of them whose announcement this VM is to remove, if it is still at this revision.
     pub remove: Vec<Listed>,
 }
@@ -75,12 +75,12 @@
     }
 
     /// Takes in the list as it is now; `me` never counts as gone.
-    pub fn look(&mut self, now: Instant, me: &VmId, listed: &[Listed]) -> Look {
+    pub fn check(&mut self, now: Instant, me: &VmId, listed: &[Listed]) -> LeaseCheck {
         let is_gap = |at: Instant| now.saturating_duration_since(at) > GAP_MAX;
         if self.looked.replace(now).is_none_or(is_gap) {
             self.seen.clear();
         }
-        let lease = renew_every(self.renew_least, listed.len()).mul_f64(MISSED);
+        let lease = renewal_interval(self.renew_least, listed.len()).mul_f64(MISSED);
         let mut seen = HashMap::with_capacity(listed.len());
         for l in listed {
             let before = self.seen.get(&l.vm).filter(|s| s.revision == l.revision);
@@ -95,12 +95,12 @@
         let is_gone = |l: &&Listed| l.vm != *me && age(l) >= lease;
         let live_before = listed.iter().filter(|l| !is_gone(l) && l.vm < *me);
         let turn = u32::try_from(live_before.count()).unwrap_or(u32::MAX);
-        let wait = lease.saturating_add(TURN.saturating_mul(turn));
+        let wait = lease.saturating_add(REMOVAL_STAGGER.saturating_mul(turn));
         let gone: Vec<&Listed> = listed.iter().filter(is_gone).collect();
         let due = gone.iter().filter(|l| age(l) >= wait);
-        Look {
+        LeaseCheck {
             remove: due.map(|l| (*l).clone()).collect(),
-            gone: gone.iter().map(|l| l.vm.clone()).collect(),
+            expired: gone.iter().map(|l| l.vm.clone()).collect(),
         }
     }
 }
--- a/crates/relay/src/outcome.rs
+++ b/crates/relay/src/outcome.rs
@@ -6,10 +6,10 @@
 use gs_types::prelude::*;
 use smallvec::SmallVec;
 
-use crate::asked::Asked;
-use crate::gave_up::GivenUp;
+use crate::abandon::AbandonCounts;
+use crate::attempt_log::AttemptRecord;
+use crate::possible_servers::PossibleServers;
 use crate::reply::ServerAnswer;
-use crate::trail::Step;
 
 /// A shard whose part is not on a page.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -17,7 +17,7 @@
     /// Its number in the route.
     pub shard: u16,
     /// The servers that may have run the part in vain.
-    pub asked: Asked,
+    pub possible_servers: PossibleServers,
 }
 
 /// A page merged from the parts of a fan-out.
@@ -74,7 +74,7 @@
 
 /// The end of a request with what an engineer wants to know of it.
 #[derive(Clone, Debug)]
-pub struct Ending {
+pub struct RequestReport {
     /// What the caller gets.
     pub outcome: Outcome,
     /// How long it took.
@@ -84,7 +84,7 @@
     /// Parts that were in, and parts asked for.
     pub parts: (usize, usize),
     /// Parts that were given up, by reason.
-    pub given_up: GivenUp,
+    pub abandoned: AbandonCounts,
     /// Attempts made beyond the first of each part.
     pub extra: u32,
     /// The route, if one took it.
@@ -92,5 +92,5 @@
     /// The version of the routes in force; `None` before the first.
     pub version: Option<ConfVersion>,
     /// The attempts that tell why it was not whole and on time; empty if it was.
-    pub trail: Vec<Step>,
+    pub attempt_log: Vec<AttemptRecord>,
 }
--- a/crates/relay/src/roster.rs
+++ b/crates/relay/src/peer_vms.rs
@@ -57,13 +57,13 @@
 
 /// The VMs that are there, this one included.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Roster {
+pub(crate) struct PeerVms {
     vms: Vec<PeerVm>,
     /// The strongest of each region, by cores and by link.
     best: HashMap<Region, Capacity>,
 }
 
-impl Roster {
+impl PeerVms {
     pub(crate) fn new(vms: Vec<PeerVm>) -> Self {
         let mut best: HashMap<Region, Capacity> = HashMap::new();
         for vm in &vms {
@@ -92,7 +92,7 @@
     }
 
     /// VMs that may be there at the same time, out of so many listed.
-    pub(crate) fn at_most(listed: usize) -> u32 {
+    pub(crate) fn vms_max(listed: usize) -> u32 {
         (listed as f64 * UNLISTED).ceil() as u32
     }
 }
--- a/crates/relay/src/placement.rs
+++ b/crates/relay/src/placement.rs
@@ -11,15 +11,15 @@
 use gs_types::prelude::*;
 use smallvec::SmallVec;
 
-use crate::asked::Asked;
+use crate::active_request::Part;
 use crate::attempt::Attempt;
 use crate::hedge::RouteTimes;
-use crate::run::Part;
+use crate::possible_servers::PossibleServers;
+use crate::round_trips::MinRoundTrips;
 use crate::server::ServerView;
 use crate::servers::ServerKey;
 use crate::servers::Servers;
 use crate::stall;
-use crate::ways::Ways;
 
 /// How much sooner a server in another data centre must be expected to answer, as the bytes of a
 /// part from there are paid for.
@@ -44,7 +44,7 @@
 
 /// Where an attempt can go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Place {
+pub(crate) enum Placement {
     /// To this server now, which is expected to answer after this time.
     Now(ServerKey, Duration),
     /// To the first server of the service that has a connection free.
@@ -54,42 +54,42 @@
 }
 
 /// What a placement is made from.
-pub(crate) struct Scene<'a> {
+pub(crate) struct PlacementContext<'a> {
     pub(crate) now: Instant,
     pub(crate) servers: &'a Servers,
     pub(crate) times: &'a RouteTimes,
-    pub(crate) ways: &'a Ways,
+    pub(crate) round_trips: &'a MinRoundTrips,
     pub(crate) data_centre: &'a DataCentre,
     /// The most servers that may run a part.
     pub(crate) servers_max: u16,
     /// The time within which an answer is on time.
     pub(crate) objective: Duration,
     /// The VMs that send to the same servers.
-    pub(crate) sharers: u32,
+    pub(crate) sending_vms: u32,
 }
 
-impl Scene<'_> {
+impl PlacementContext<'_> {
     /// Finds the server that is expected to answer first.
     ///
     /// A server that is left to other VMs is asked only if none of this VM's is left, and one that already failed
     /// the part only if no other is.
-    pub(crate) fn place(&self, part: &Part) -> Place {
+    pub(crate) fn choose_server(&self, part: &Part) -> Placement {
         let own = self.among(part, |view, tried| view.is_used && tried.is_none());
-        if !matches!(own, Place::Nowhere(_)) {
+        if !matches!(own, Placement::Nowhere(_)) {
             return own;
         }
         let fresh = self.among(part, |_, tried| tried.is_none());
-        if matches!(fresh, Place::Nowhere(_)) && !part.attempts.is_empty() {
+        if matches!(fresh, Placement::Nowhere(_)) && !part.attempts.is_empty() {
             return self.among(part, |_, tried| tried.is_some_and(|a| !a.is_live()));
         }
         fresh
     }
 
     /// Finds a server for a second attempt beside a slow one: untried and free.
-    pub(crate) fn place_hedge(&self, part: &Part) -> Option<(ServerKey, Duration)> {
+    pub(crate) fn choose_hedge_server(&self, part: &Part) -> Option<(ServerKey, Duration)> {
         match self.among(part, |view, tried| view.is_used && tried.is_none()) {
-            Place::Now(key, expected) => Some((key, expected)),
-            Place::Wait | Place::Nowhere(_) => None,
+            Placement::Now(key, expected) => Some((key, expected)),
+            Placement::Wait | Placement::Nowhere(_) => None,
         }
     }
 
@@ -102,24 +102,28 @@
     fn expected_behind(&self, view: &ServerView, waiting: f64) -> Duration {
         let work = self.times.work().mul_f64(view.slowness(self.now));
         let rounds = view.rounds(self.now, waiting);
-        self.ways.to(&view.entry.data_centre) + work.mul_f64(1.0 + rounds)
+        self.round_trips.round_trip(&view.entry.data_centre) + work.mul_f64(1.0 + rounds)
     }
 
     /// How long a part is expected to take in all if it is begun now; `None` without a server.
     ///
     /// Unlike a placement it looks beyond this VM's connections, at what waits for them.
-    pub(crate) fn outlook(&self, service: &ServiceName, waiting: usize) -> Option<Duration> {
+    pub(crate) fn expected_part_time(
+        &self,
+        service: &ServiceName,
+        waiting: usize,
+    ) -> Option<Duration> {
         let views = self
             .servers
             .of(service)
             .iter()
             .filter_map(|k| self.servers.get(*k));
         let open: SmallVec<[&ServerView; 4]> = views
-            .filter(|v| v.is_open() && v.rests_until(self.now).is_none())
+            .filter(|v| v.is_open() && v.backoff_until(self.now).is_none())
             .collect();
         let each = waiting as f64 / open.len().max(1) as f64;
         let of = |v: &&ServerView| {
-            let base = self.ways.to(&v.entry.data_centre);
+            let base = self.round_trips.round_trip(&v.entry.data_centre);
             let work = self
                 .times
                 .work()
@@ -129,11 +133,15 @@
         open.iter().map(of).min()
     }
 
-    fn among(&self, part: &Part, wanted: impl Fn(&ServerView, Option<&Attempt>) -> bool) -> Place {
+    fn among(
+        &self,
+        part: &Part,
+        wanted: impl Fn(&ServerView, Option<&Attempt>) -> bool,
+    ) -> Placement {
         let servers = self.servers.of(&part.service);
-        let may_all_have_run = part.elsewhere == Asked::Unknown;
+        let may_all_have_run = part.possible_servers == PossibleServers::Unknown;
         if may_all_have_run && servers.len() > usize::from(self.servers_max) {
-            return Place::Nowhere(None);
+            return Placement::Nowhere(None);
         }
         let ran = Ran::of(part, self.servers);
         let mut best: Option<(ServerKey, Duration, Duration)> = None;
@@ -148,7 +156,7 @@
             if !wanted(view, tried) || (is_new && ran.count() >= usize::from(self.servers_max)) {
                 continue;
             }
-            if let Some(until) = view.rests_until(self.now) {
+            if let Some(until) = view.backoff_until(self.now) {
                 back_at = Some(back_at.map_or(until, |b| b.min(until)));
                 continue;
             }
@@ -163,9 +171,9 @@
             }
         }
         match best {
-            Some((key, expected, _)) => Place::Now(key, expected),
-            None if must_wait => Place::Wait,
-            None => Place::Nowhere(back_at),
+            Some((key, expected, _)) => Placement::Now(key, expected),
+            None if must_wait => Placement::Wait,
+            None => Placement::Nowhere(back_at),
         }
     }
 
@@ -176,10 +184,10 @@
     fn window(&self, view: &ServerView) -> usize {
         let slots = f64::from(view.entry.slots.0.max(1));
         let work = self.times.work().mul_f64(view.slowness(self.now));
-        let way = self.ways.to(&view.entry.data_centre);
+        let way = self.round_trips.round_trip(&view.entry.data_centre);
         let time = self.objective.mul_f64(WINDOW_PART) + way;
         let runs = time.as_secs_f64() / work.as_secs_f64().max(1e-4);
-        (slots * runs / f64::from(self.sharers)).ceil() as usize
+        (slots * runs / f64::from(self.sending_vms)).ceil() as usize
     }
 
     fn penalty(&self, view: &ServerView, expected: Duration) -> Duration {
@@ -213,7 +221,7 @@
             let key = servers.find(name).map(|(key, _)| key);
             key.is_some_and(|key| here.contains(&key))
         };
-        let names = part.elsewhere.servers().iter();
+        let names = part.possible_servers.servers().iter();
         let elsewhere = names.filter(|name| !is_here(name)).collect();
         Self { here, elsewhere }
     }
--- a/crates/relay/src/asked.rs
+++ b/crates/relay/src/possible_servers.rs
@@ -5,7 +5,7 @@
 
 /// The servers that may have run a part for another VM.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum Asked {
+pub enum PossibleServers {
     /// None did.
     #[default]
     None,
@@ -15,7 +15,7 @@
     Unknown,
 }
 
-impl Asked {
+impl PossibleServers {
     /// Adds a server; `None` is one that is not known any more.
     pub(crate) fn add(&mut self, server: Option<ServerName>) {
         match (&mut *self, server) {
--- a/crates/relay/src/standstill.rs
+++ b/crates/relay/src/process_pause.rs
@@ -8,37 +8,37 @@
 use std::time::Instant;
 
 /// How late a wake-up is that shows a stand-still.
-const LATE: Duration = Duration::from_millis(50);
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(50);
 
 /// How long what fell due in a stand-still is left alone, in which the answers that came are read.
-const CATCH_UP: Duration = Duration::from_millis(20);
+const PAUSE_GRACE: Duration = Duration::from_millis(20);
 
 /// How long to go on reading after a wake-up at `now` that was due at `due`; `None` if it was on time.
 ///
 /// Use it where a timer and an answer race: after a stand-still both are there, and the timer is seen first.
 #[must_use]
-pub fn catch_up(due: Instant, now: Instant) -> Option<Duration> {
+pub fn pause_grace(due: Instant, now: Instant) -> Option<Duration> {
     let late = now.saturating_duration_since(due);
-    (late > LATE).then_some(CATCH_UP)
+    (late > PAUSE_THRESHOLD).then_some(PAUSE_GRACE)
 }
 
 /// A stand-still of this process.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Standstill {
+pub(crate) struct ProcessPause {
     /// When the process went on.
     over: Instant,
 }
 
-impl Standstill {
+impl ProcessPause {
     /// The stand-still that a wake-up at `now` shows that was asked for `asked`; `None` if it shows none.
-    pub(crate) fn shown_by(asked: Option<Instant>, now: Instant) -> Option<Self> {
-        catch_up(asked?, now).map(|_| Self { over: now })
+    pub(crate) fn detect(asked: Option<Instant>, now: Instant) -> Option<Self> {
+        pause_grace(asked?, now).map(|_| Self { over: now })
     }
 
     /// When something is due that was due at `at`: what fell due in the stand-still is put off a little.
-    pub(crate) fn put_off(&self, at: Instant) -> Instant {
+    pub(crate) fn postpone(&self, at: Instant) -> Instant {
         if at <= self.over {
-            self.over + CATCH_UP
+            self.over + PAUSE_GRACE
         } else {
             at
         }
--- a/crates/relay/src/queue.rs
+++ b/crates/relay/src/queue.rs
@@ -6,34 +6,34 @@
 use std::time::Instant;
 
 use crate::action::Action;
+use crate::active_request::ActiveRequest;
+use crate::active_request::PartState;
 use crate::attempt::Cause;
-use crate::placement::Place;
+use crate::placement::Placement;
 use crate::relay::Core;
 use crate::relay::Relay;
-use crate::run::PartState;
-use crate::run::Run;
-use crate::service::Waiter;
+use crate::service::QueuedPart;
 
 impl Core {
     /// Puts a part in its service's queue.
-    pub(crate) fn queue(&mut self, run: &mut Run, at: usize, cause: Cause) {
-        run.parts[at].state = PartState::Waiting(cause);
-        let waiter = waiter(run, at);
-        let service = run.parts[at].service.clone();
-        self.service(&service).waiting.insert(waiter);
+    pub(crate) fn enqueue(&mut self, request: &mut ActiveRequest, at: usize, cause: Cause) {
+        request.parts[at].state = PartState::Waiting(cause);
+        let queued_part = queued_part(request, at);
+        let service = request.parts[at].service.clone();
+        self.service(&service).waiting.insert(queued_part);
     }
 
     /// Takes a part out of its service's queue.
-    pub(crate) fn unqueue(&mut self, run: &Run, at: usize) {
-        if let Some(s) = self.services.get_mut(&run.parts[at].service) {
-            s.waiting.remove(&waiter(run, at));
+    pub(crate) fn dequeue(&mut self, request: &ActiveRequest, at: usize) {
+        if let Some(s) = self.services.get_mut(&request.parts[at].service) {
+            s.waiting.remove(&queued_part(request, at));
         }
     }
 }
 
 impl Relay {
     /// Places parts that wait for servers with a connection freed.
-    pub(crate) fn serve_queues(&mut self, now: Instant, out: &mut Vec<Action>) {
+    pub(crate) fn dispatch_waiting(&mut self, now: Instant, out: &mut Vec<Action>) {
         while let Some(service) = self.core.freed.pop() {
             while let Some(w) = self.first_waiting(&service) {
                 if !self.place_waiter(now, w, out) {
@@ -43,7 +43,7 @@
         }
     }
 
-    fn first_waiting(&self, service: &gs_types::prelude::ServiceName) -> Option<Waiter> {
+    fn first_waiting(&self, service: &gs_types::prelude::ServiceName) -> Option<QueuedPart> {
         let s = self.core.services.get(service)?;
         s.waiting.first().copied()
     }
@@ -52,29 +52,33 @@
     fn place_waiter(
         &mut self,
         now: Instant,
-        (_, seq, part): Waiter,
+        (_, seq, part): QueuedPart,
         out: &mut Vec<Action>,
     ) -> bool {
         let mut is_placed = true;
-        self.with(seq, |core, run| {
+        self.with(seq, |core, request| {
             let at = usize::from(part);
-            let PartState::Waiting(cause) = run.parts[at].state else {
-                core.unqueue(run, at);
+            let PartState::Waiting(cause) = request.parts[at].state else {
+                core.dequeue(request, at);
                 return false;
             };
-            if core.scene(now, run).place(&run.parts[at]) == Place::Wait {
+            if core
+                .placement_context(now, request)
+                .choose_server(&request.parts[at])
+                == Placement::Wait
+            {
                 is_placed = false;
                 return false;
             }
-            core.unqueue(run, at);
-            core.try_part(now, run, at, cause, out);
-            core.settle(now, run, out)
+            core.dequeue(request, at);
+            core.try_part(now, request, at, cause, out);
+            core.finish_if_done(now, request, out)
         });
         is_placed
     }
 }
 
-fn waiter(run: &Run, at: usize) -> Waiter {
+fn queued_part(request: &ActiveRequest, at: usize) -> QueuedPart {
     // A fan-out has far fewer than 2^16 shards.
-    (run.route.priority, run.seq, at as u16)
+    (request.route.priority, request.seq, at as u16)
 }
--- a/crates/relay/src/reach.rs
+++ b/crates/relay/src/register_reachability.rs
@@ -5,16 +5,16 @@
 
 /// How long after an outage a vanished entry may still be one that lapsed meanwhile. Those are missing from
 /// the first list after it; what vanishes later was taken away.
-const AFTERMATH: Duration = Duration::from_millis(1500);
+const LAPSE_WINDOW: Duration = Duration::from_millis(1500);
 
 /// Whether the register is in reach, and since when.
 #[derive(Debug)]
-pub(crate) struct Reach {
+pub(crate) struct RegisterReachability {
     is_in: bool,
     regained: Option<Instant>,
 }
 
-impl Reach {
+impl RegisterReachability {
     /// In reach, before anything else is known.
     pub(crate) fn new() -> Self {
         Self {
@@ -37,6 +37,6 @@
     /// Whether an entry that vanishes now may be that of a live server, lapsed in an outage.
     pub(crate) fn may_have_lapsed(&self, now: Instant) -> bool {
         let since = |at: Instant| now.saturating_duration_since(at);
-        !self.is_in || self.regained.is_some_and(|at| since(at) < AFTERMATH)
+        !self.is_in || self.regained.is_some_and(|at| since(at) < LAPSE_WINDOW)
     }
 }
--- a/crates/relay/src/listing.rs
+++ b/crates/relay/src/registration.rs
@@ -7,10 +7,10 @@
 use gs_types::prelude::*;
 
 use crate::action::Action;
+use crate::connection_shares::ConnectionShares;
 use crate::entry::Availability;
 use crate::entry::ServerEntry;
 use crate::relay::Core;
-use crate::sharing::Sharing;
 use crate::table::RouteTable;
 
 impl Core {
@@ -26,18 +26,18 @@
             return;
         }
         self.table = Some(table);
-        self.share_out(out);
-        self.plans_stale(now);
+        self.assign_connections(out);
+        self.mark_plans_stale(now);
     }
 
     /// Says anew how many connections to hold to each backend server.
-    pub(crate) fn share_out(&mut self, out: &mut Vec<Action>) {
-        self.sharing = Sharing::new(self);
+    pub(crate) fn assign_connections(&mut self, out: &mut Vec<Action>) {
+        self.connection_shares = ConnectionShares::new(self);
         let slack = self.options.extra_slack;
         for (name, service) in &mut self.services {
             service
                 .extra
-                .set_slack(slack * self.sharing.slack_part(name));
+                .set_slack(slack * self.connection_shares.slack_share(name));
         }
         let entries: Vec<_> = self.servers.all().map(|v| Arc::clone(&v.entry)).collect();
         for entry in entries {
@@ -51,7 +51,7 @@
     pub(crate) fn opened(&mut self, name: &ServerName, took: Duration) {
         if let Some(view) = self.servers.by_name_mut(name) {
             view.open += 1;
-            self.ways.observe(&view.entry.data_centre, took);
+            self.round_trips.observe(&view.entry.data_centre, took);
         }
     }
 
@@ -75,22 +75,27 @@
         self.missing.remove(&entry.name);
         self.servers.register(now, Arc::clone(&entry));
         self.connect(entry, out);
-        self.plans_stale(now);
+        self.mark_plans_stale(now);
     }
 
     /// Says how many connections to hold to a server, by the routes in force and its own word.
     fn connect(&mut self, entry: Arc<ServerEntry>, out: &mut Vec<Action>) {
         let limit = self.table.as_ref().and_then(|t| t.service(&entry.service));
-        let most = self.sharing.most(limit, &entry.service);
-        self.servers.set_connections(&entry.name, most);
+        let connections_max = self
+            .connection_shares
+            .connections_max(limit, &entry.service);
+        self.servers.set_connections(&entry.name, connections_max);
         self.freed.push(entry.service.clone());
         if entry.availability == Availability::Draining {
             out.push(Action::Disconnect(entry.name.clone()));
             return;
         }
         let is_near = entry.data_centre == self.options.data_centre;
-        let is_used = self.sharing.uses(&entry);
-        let warm = self.sharing.warm(&entry.service, is_near).min(most);
+        let is_used = self.connection_shares.is_in_subset(&entry);
+        let connections_min = self
+            .connection_shares
+            .connections_min(&entry.service, is_near)
+            .min(connections_max);
         let Some(view) = self.servers.by_name_mut(&entry.name) else {
             return;
         };
@@ -103,25 +108,30 @@
             return;
         }
         // Told again at each change of anything, the shell would open again what a server has just reset.
-        let told = Some((entry.addr, warm, most));
+        let told = Some((entry.addr, connections_min, connections_max));
         if view.told == told {
             return;
         }
         view.told = told;
         out.push(Action::Connect {
             server: entry,
-            warm,
-            most,
+            connections_min,
+            connections_max,
         });
     }
 
     /// A server is gone from the register: at once if it said that it leaves, else after a while.
-    pub(crate) fn missing(&mut self, now: Instant, name: ServerName, out: &mut Vec<Action>) {
+    pub(crate) fn on_entry_missing(
+        &mut self,
+        now: Instant,
+        name: ServerName,
+        out: &mut Vec<Action>,
+    ) {
         match self.servers.by_name(&name) {
             None => {}
             Some(view) if !view.is_open() => self.remove(&name, out),
             Some(_) => {
-                let may_be_back = self.reach.may_have_lapsed(now);
+                let may_be_back = self.register_reachability.may_have_lapsed(now);
                 let gone_at = now + self.options.absence(may_be_back);
                 self.missing.insert(name, gone_at);
             }
@@ -129,7 +139,7 @@
     }
 
     /// Drops the servers that have been missing for long enough.
-    pub(crate) fn drop_missing(&mut self, now: Instant, out: &mut Vec<Action>) {
+    pub(crate) fn remove_missing(&mut self, now: Instant, out: &mut Vec<Action>) {
         let is_due = |at: &Instant| *at <= now;
         let due = self.missing.iter().filter(|(_, at)| is_due(at));
         let names: Vec<ServerName> = due.map(|(name, _)| name.clone()).collect();
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -10,27 +10,27 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::action::Action;
-use crate::attempt::RunId;
-use crate::budget::ExtraWindow;
+use crate::active_request::ActiveRequest;
+use crate::attempt::AttemptKey;
+use crate::budget::ExtraAttemptBudget;
+use crate::connection_shares::ConnectionShares;
 use crate::counters::Counters;
+use crate::crash_suspects::CrashSuspects;
+use crate::delegation::FanOutPlan;
+use crate::delegation_times::DelegationTimes;
 use crate::event::Event;
-use crate::handover::Plan;
 use crate::hedge::RouteTimes;
 use crate::options::RelayOptions;
-use crate::reach::Reach;
-use crate::roster::Roster;
+use crate::peer_vms::PeerVms;
+use crate::process_pause::ProcessPause;
+use crate::register_reachability::RegisterReachability;
+use crate::round_trips::MinRoundTrips;
 use crate::route::Route;
-use crate::run::Run;
 use crate::server::ServerDump;
 use crate::servers::ServerKey;
 use crate::servers::Servers;
 use crate::service::Service;
-use crate::sharing::Sharing;
-use crate::standstill::Standstill;
-use crate::suspects::Suspects;
 use crate::table::RouteTable;
-use crate::transit::Transits;
-use crate::ways::Ways;
 
 /// All requests of one process as a state machine without I/O.
 ///
@@ -39,9 +39,9 @@
 #[derive(Debug)]
 pub struct Relay {
     pub(crate) core: Core,
-    pub(crate) runs: HashMap<LookupSeq, Box<Run>>,
+    pub(crate) requests: HashMap<LookupSeq, Box<ActiveRequest>>,
     /// Requests of which attempts have ended since they were last looked at.
-    pub(crate) unsettled: BTreeSet<LookupSeq>,
+    pub(crate) to_review: BTreeSet<LookupSeq>,
     woken_at: Option<Instant>,
 }
 
@@ -54,22 +54,22 @@
     pub(crate) services: HashMap<ServiceName, Service>,
     pub(crate) times: HashMap<LookupName, RouteTimes>,
     /// Attempts whose request has ended, with their server and the time at which they began.
-    pub(crate) orphans: HashMap<RunId, (ServerKey, Instant, LookupName)>,
+    pub(crate) orphans: HashMap<AttemptKey, (ServerKey, Instant, LookupName)>,
     pub(crate) timers: BTreeSet<(Instant, LookupSeq)>,
     /// Requests that crash servers.
-    pub(crate) suspects: Suspects,
+    pub(crate) suspects: CrashSuspects,
     /// Whether the register is in reach.
-    pub(crate) reach: Reach,
+    pub(crate) register_reachability: RegisterReachability,
     /// How far each data centre is.
-    pub(crate) ways: Ways,
+    pub(crate) round_trips: MinRoundTrips,
     /// How long hand-overs are on their way.
-    pub(crate) transits: Transits,
+    pub(crate) delegation_times: DelegationTimes,
     /// The VMs that are there.
-    pub(crate) roster: Roster,
+    pub(crate) peer_vms: PeerVms,
     /// Who shares the connections to servers with this VM.
-    pub(crate) sharing: Sharing,
+    pub(crate) connection_shares: ConnectionShares,
     /// Where the fan-outs of each route are run.
-    pub(crate) plans: HashMap<LookupName, Plan>,
+    pub(crate) plans: HashMap<LookupName, FanOutPlan>,
     /// Peers that are kept beside the servers.
     pub(crate) peers_known: BTreeSet<ServerName>,
     /// Peers that the plans name.
@@ -84,7 +84,7 @@
     pub(crate) freed: Vec<ServiceName>,
     pub(crate) in_flight: usize,
     /// The last time that this process stood still.
-    pub(crate) standstill: Option<Standstill>,
+    pub(crate) process_pause: Option<ProcessPause>,
     pub(crate) counters: Counters,
     pub(crate) rng: ChaCha8Rng,
 }
@@ -102,12 +102,12 @@
                 times: HashMap::new(),
                 orphans: HashMap::new(),
                 timers: BTreeSet::new(),
-                suspects: Suspects::default(),
-                reach: Reach::new(),
-                ways: Ways::default(),
-                transits: Transits::default(),
-                roster: Roster::default(),
-                sharing: Sharing::default(),
+                suspects: CrashSuspects::default(),
+                register_reachability: RegisterReachability::new(),
+                round_trips: MinRoundTrips::default(),
+                delegation_times: DelegationTimes::default(),
+                peer_vms: PeerVms::default(),
+                connection_shares: ConnectionShares::default(),
                 plans: HashMap::new(),
                 peers_known: BTreeSet::new(),
                 peers_wanted: BTreeSet::new(),
@@ -116,12 +116,12 @@
                 missing: HashMap::new(),
                 freed: Vec::new(),
                 in_flight: 0,
-                standstill: None,
+                process_pause: None,
                 counters: Counters::default(),
                 rng: ChaCha8Rng::seed_from_u64(seed),
             },
-            runs: HashMap::new(),
-            unsettled: BTreeSet::new(),
+            requests: HashMap::new(),
+            to_review: BTreeSet::new(),
             woken_at: None,
         }
     }
@@ -131,29 +131,31 @@
         match event {
             Event::Table(table) => self.core.take_table(now, table, out),
             Event::Server(entry) => self.core.register(now, entry, out),
-            Event::ServerGone(name) => self.core.missing(now, name, out),
+            Event::ServerGone(name) => self.core.on_entry_missing(now, name, out),
             Event::Quarantined(requests) => {
                 for request in requests {
-                    self.core.suspects.refuse(now, request);
+                    self.core.suspects.quarantine(now, request);
                 }
             }
-            Event::Reach(is_in) => self.core.reach.set(now, is_in),
-            Event::Roster(vms) => self.core.take_roster(now, vms, out),
+            Event::RegisterReachable(is_in) => self.core.register_reachability.set(now, is_in),
+            Event::Vms(vms) => self.core.on_vms(now, vms, out),
             Event::Opened(name, took) => self.core.opened(&name, took),
             Event::Closed(name) => self.core.closed(now, &name),
             Event::Options(options) => self.core.options = options,
             Event::Arrive(arrival) => {
-                if let Some(run) = self.core.arrive(now, arrival, out) {
-                    self.runs.insert(run.seq, run);
+                if let Some(request) = self.core.on_arrival(now, arrival, out) {
+                    self.requests.insert(request.seq, request);
                 }
-                self.core.in_flight = self.runs.len();
+                self.core.in_flight = self.requests.len();
             }
             Event::Ended(id, end) => self.ended(now, id, end, out),
-            Event::Gone(seq) => self.with(seq, |core, run| core.caller_gone(now, run, out)),
-            Event::CaughtUp => self.settle_all(now, out),
+            Event::CallerDisconnected(seq) => self.with(seq, |core, request| {
+                core.on_caller_disconnect(now, request, out)
+            }),
+            Event::CaughtUp => self.finish_done_requests(now, out),
             Event::Tick => self.tick(now, out),
         }
-        self.serve_queues(now, out);
+        self.dispatch_waiting(now, out);
         self.wake(now, out);
     }
 
@@ -166,7 +168,7 @@
     /// Requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> usize {
-        self.runs.len()
+        self.requests.len()
     }
 
     /// What is known of each server, for dumps.
@@ -182,13 +184,17 @@
     }
 
     /// Runs `f` on a request in flight; it tells whether the request has ended.
-    pub(crate) fn with(&mut self, seq: LookupSeq, f: impl FnOnce(&mut Core, &mut Run) -> bool) {
-        let Some(run) = self.runs.get_mut(&seq) else {
+    pub(crate) fn with(
+        &mut self,
+        seq: LookupSeq,
+        f: impl FnOnce(&mut Core, &mut ActiveRequest) -> bool,
+    ) {
+        let Some(request) = self.requests.get_mut(&seq) else {
             return;
         };
-        if f(&mut self.core, run) {
-            self.runs.remove(&seq);
-            self.core.in_flight = self.runs.len();
+        if f(&mut self.core, request) {
+            self.requests.remove(&seq);
+            self.core.in_flight = self.requests.len();
         }
     }
 
@@ -196,47 +202,47 @@
     ///
     /// Guards against a page that leaves with some of the answers that came together: after a stand-still of the
     /// process all are behind their objective, and the first ones would make the page up.
-    fn settle_all(&mut self, now: Instant, out: &mut Vec<Action>) {
-        for seq in std::mem::take(&mut self.unsettled) {
-            self.with(seq, |core, run| core.settle(now, run, out));
+    fn finish_done_requests(&mut self, now: Instant, out: &mut Vec<Action>) {
+        for seq in std::mem::take(&mut self.to_review) {
+            self.with(seq, |core, request| core.finish_if_done(now, request, out));
         }
     }
 
     fn tick(&mut self, now: Instant, out: &mut Vec<Action>) {
         let asked = self.woken_at.take();
-        if let Some(standstill) = Standstill::shown_by(asked, now) {
-            self.put_off(now, standstill);
+        if let Some(process_pause) = ProcessPause::detect(asked, now) {
+            self.postpone(now, process_pause);
         }
-        self.core.drop_missing(now, out);
-        self.core.replan(now, out);
+        self.core.remove_missing(now, out);
+        self.core.rebuild_plans(now, out);
         while let Some((at, seq)) = self.core.timers.first().copied() {
             if at > now {
                 break;
             }
             self.core.timers.remove(&(at, seq));
             let mut stalled = None;
-            self.with(seq, |core, run| {
-                run.timer = None;
-                stalled = core.look_at(now, run, out);
-                core.settle(now, run, out)
+            self.with(seq, |core, request| {
+                request.timer = None;
+                stalled = core.check_attempts(now, request, out);
+                core.finish_if_done(now, request, out)
             });
             if let Some(server) = stalled {
-                self.spare_others(now, server, out);
+                self.hedge_stalled_others(now, server, out);
             }
         }
     }
 
     /// Puts off what fell due in a stand-still of this process.
-    fn put_off(&mut self, now: Instant, standstill: Standstill) {
-        self.core.standstill = Some(standstill);
+    fn postpone(&mut self, now: Instant, process_pause: ProcessPause) {
+        self.core.process_pause = Some(process_pause);
         let due = self.core.timers.iter().take_while(|(at, _)| *at <= now);
         let due: Vec<LookupSeq> = due.map(|(_, seq)| *seq).collect();
         for seq in due {
-            self.with(seq, |core, run| {
-                core.disarm(run);
-                let at = standstill.put_off(now);
-                run.timer = Some(at);
-                core.timers.insert((at, run.seq));
+            self.with(seq, |core, request| {
+                core.disarm(request);
+                let at = process_pause.postpone(now);
+                request.timer = Some(at);
+                core.timers.insert((at, request.seq));
                 false
             });
         }
@@ -246,14 +252,14 @@
     ///
     /// A pause holds up everything sent to a server. The first attempt to outlast its delay tells of
     /// it; those sent later would each wait their own delay out in turn.
-    fn spare_others(&mut self, now: Instant, server: ServerKey, out: &mut Vec<Action>) {
+    fn hedge_stalled_others(&mut self, now: Instant, server: ServerKey, out: &mut Vec<Action>) {
         let Some(view) = self.core.servers.get(server) else {
             return;
         };
-        let waiting: Vec<RunId> = view.outstanding.iter().map(|(id, _)| *id).collect();
+        let waiting: Vec<AttemptKey> = view.outstanding.iter().map(|(id, _)| *id).collect();
         for id in waiting {
-            self.with(id.lookup, |core, run| {
-                core.spare(now, run, id.part, server, out);
+            self.with(id.lookup, |core, request| {
+                core.hedge_stalled(now, request, id.part, server, out);
                 false
             });
         }
@@ -277,10 +283,14 @@
     /// What the requests for a service share.
     pub(crate) fn service(&mut self, name: &ServiceName) -> &mut Service {
         let o = &self.options;
-        let share = o.extra_slack * self.sharing.slack_part(name);
-        self.services
-            .entry(name.clone())
-            .or_insert_with(|| Service::new(ExtraWindow::new(o.extra_window, o.extra_ratio, share)))
+        let share = o.extra_slack * self.connection_shares.slack_share(name);
+        self.services.entry(name.clone()).or_insert_with(|| {
+            Service::new(ExtraAttemptBudget::new(
+                o.extra_window,
+                o.extra_ratio,
+                share,
+            ))
+        })
     }
 
     /// What is learned of a route's attempts.
@@ -292,19 +302,19 @@
     }
 
     /// Sets the time at which a request is looked at next, if that is sooner than planned.
-    pub(crate) fn arm(&mut self, run: &mut Run, at: Instant) {
-        let at = at.min(run.answer_by);
-        if run.timer.is_some_and(|planned| planned <= at) {
+    pub(crate) fn arm(&mut self, request: &mut ActiveRequest, at: Instant) {
+        let at = at.min(request.answer_by);
+        if request.timer.is_some_and(|planned| planned <= at) {
             return;
         }
-        self.disarm(run);
-        run.timer = Some(at);
-        self.timers.insert((at, run.seq));
+        self.disarm(request);
+        request.timer = Some(at);
+        self.timers.insert((at, request.seq));
     }
 
-    pub(crate) fn disarm(&mut self, run: &mut Run) {
-        if let Some(at) = run.timer.take() {
-            self.timers.remove(&(at, run.seq));
+    pub(crate) fn disarm(&mut self, request: &mut ActiveRequest) {
+        if let Some(at) = request.timer.take() {
+            self.timers.remove(&(at, request.seq));
         }
     }
 }
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -31,7 +31,7 @@
     /// The caller's id of this request.
     pub id: Arc<str>,
     /// How long the caller waits; `None` if it does not say.
-    pub patience: Option<Duration>,
+    pub caller_timeout: Option<Duration>,
     /// What is handed on.
     pub content: Arc<OpaqueRequest>,
 }
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 use smallvec::SmallVec;
 
-use crate::attempt::RunId;
+use crate::attempt::AttemptKey;
 use crate::entry::Availability;
 use crate::entry::ServerEntry;
 use crate::reply::Load;
@@ -41,7 +41,7 @@
 const WARMING_FACTOR: f64 = 1.6;
 
 /// The first rest of a server that cannot be reached; doubled each time in a row.
-const REST: Duration = Duration::from_millis(150);
+const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(150);
 
 /// The most doublings of a rest, to 1.2 s: crashed servers come back after some seconds.
 const REST_DOUBLINGS: u32 = 3;
@@ -76,7 +76,7 @@
     /// Whether this VM sends to it while others of its service are there.
     pub(crate) is_used: bool,
     /// Attempts of this VM that have not ended, with the times at which they were handed over.
-    pub(crate) outstanding: SmallVec<[(RunId, Instant); 4]>,
+    pub(crate) outstanding: SmallVec<[(AttemptKey, Instant); 4]>,
     /// Connections of this VM that are open.
     pub(crate) open: u32,
     /// The most connections of this VM.
@@ -137,7 +137,7 @@
             service: self.entry.service.clone(),
             is_open: self.is_open(),
             is_used: self.is_used,
-            is_resting: self.rests_until(now).is_some(),
+            is_resting: self.backoff_until(now).is_some(),
             outstanding: self.outstanding.len(),
             slowness: self.slowness(now),
             failing: self.failing(now),
@@ -158,12 +158,12 @@
     }
 
     /// When its rest is over; `None` if it does not rest.
-    pub(crate) fn rests_until(&self, now: Instant) -> Option<Instant> {
+    pub(crate) fn backoff_until(&self, now: Instant) -> Option<Instant> {
         self.rest_until.filter(|until| *until > now)
     }
 
     /// Whether it could not be reached when last tried, or nothing came from it.
-    pub(crate) fn is_resting(&self) -> bool {
+    pub(crate) fn is_backing_off(&self) -> bool {
         self.rest_until.is_some()
     }
 
@@ -216,12 +216,12 @@
     }
 
     /// An attempt was handed over.
-    pub(crate) fn begun(&mut self, now: Instant, id: RunId) {
+    pub(crate) fn begun(&mut self, now: Instant, id: AttemptKey) {
         self.outstanding.push((id, now));
     }
 
     /// An attempt ended, however it did.
-    pub(crate) fn ended(&mut self, id: RunId) {
+    pub(crate) fn ended(&mut self, id: AttemptKey) {
         self.outstanding.retain(|(i, _)| *i != id);
     }
 
@@ -288,7 +288,7 @@
     /// asked anew for every part, either would cost each page that part's whole time.
     pub(crate) fn unreachable(&mut self, now: Instant) {
         self.note_failure(now, true);
-        let rest = REST * (1 << self.rests.min(REST_DOUBLINGS));
+        let rest = UNREACHABLE_BACKOFF * (1 << self.rests.min(REST_DOUBLINGS));
         self.rests = self.rests.saturating_add(1);
         self.rest_until = Some(now + rest);
     }
--- a/crates/relay/src/service.rs
+++ b/crates/relay/src/service.rs
@@ -4,20 +4,20 @@
 
 use gs_types::prelude::*;
 
-use crate::budget::ExtraWindow;
+use crate::budget::ExtraAttemptBudget;
 
 /// A part that waits for a connection: by rank, then by age.
-pub(crate) type Waiter = (u8, LookupSeq, u16);
+pub(crate) type QueuedPart = (u8, LookupSeq, u16);
 
 /// What the requests for one service share.
 #[derive(Debug)]
 pub(crate) struct Service {
-    pub(crate) extra: ExtraWindow,
-    pub(crate) waiting: BTreeSet<Waiter>,
+    pub(crate) extra: ExtraAttemptBudget,
+    pub(crate) waiting: BTreeSet<QueuedPart>,
 }
 
 impl Service {
-    pub(crate) fn new(extra: ExtraWindow) -> Self {
+    pub(crate) fn new(extra: ExtraAttemptBudget) -> Self {
         Self {
             extra,
             waiting: BTreeSet::new(),
--- a/crates/relay/src/shard_breaks.rs
+++ b/crates/relay/src/shard_crashes.rs
@@ -10,11 +10,11 @@
 use gs_types::prelude::*;
 use smallvec::SmallVec;
 
+use crate::crash_suspects::CRASH_RETENTION;
+use crate::crash_suspects::CRASHES_MAX;
+use crate::crash_suspects::SERVERS_MIN;
+use crate::crash_suspects::SUSPECTS_MAX;
 use crate::servers::ServerKey;
-use crate::suspects::BREAKS_MAX;
-use crate::suspects::REMEMBER;
-use crate::suspects::SERVERS_MIN;
-use crate::suspects::SUSPECTS_MAX;
 
 /// A server, in one run of its own.
 type ServerRun = (ServerKey, Option<Incarnation>);
@@ -33,23 +33,23 @@
         servers.sort_unstable();
         servers.dedup();
         let was_broken_again = servers.len() < self.runs.len();
-        was_broken_again && servers.len() >= SERVERS_MIN && self.runs.len() >= BREAKS_MAX as usize
+        was_broken_again && servers.len() >= SERVERS_MIN && self.runs.len() >= CRASHES_MAX as usize
     }
 }
 
 /// What requests broke, by shard.
 #[derive(Debug, Default)]
-pub(crate) struct ShardBreaks {
+pub(crate) struct ShardCrashes {
     requests: HashMap<Fingerprint, SmallVec<[Breaks; 1]>>,
 }
 
-impl ShardBreaks {
+impl ShardCrashes {
     pub(crate) fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
     /// A server of a service broke while it had the request.
-    pub(crate) fn broke(
+    pub(crate) fn note_crash(
         &mut self,
         now: Instant,
         request: Fingerprint,
@@ -80,7 +80,7 @@
     }
 
     /// A server of a service ran the request and lived.
-    pub(crate) fn answered(&mut self, request: Fingerprint, service: &ServiceName) {
+    pub(crate) fn note_survived(&mut self, request: Fingerprint, service: &ServiceName) {
         if let Some(shards) = self.requests.get_mut(&request) {
             shards.retain(|b| b.service != *service);
             if shards.is_empty() {
@@ -108,5 +108,5 @@
 }
 
 fn is_old(now: Instant, breaks: &Breaks) -> bool {
-    now.saturating_duration_since(breaks.last) >= REMEMBER
+    now.saturating_duration_since(breaks.last) >= CRASH_RETENTION
 }
--- a/crates/relay/src/portion.rs
+++ b/crates/relay/src/subset.rs
@@ -8,7 +8,7 @@
 use gs_types::prelude::*;
 
 use crate::entry::ServerEntry;
-use crate::roster::PeerVm;
+use crate::peer_vms::PeerVm;
 
 /// The part of what servers accept that is shared out; the rest is for VMs that are not listed yet, and for those
 /// whose servers are away.
@@ -23,7 +23,7 @@
 ///
 /// Every VM works the same out from the same lists. In the order of data centres on both sides, so that most of
 /// its servers are near.
-pub(crate) fn portion(
+pub(crate) fn server_subset(
     vm: &VmId,
     vms: &[PeerVm],
     servers: &[&ServerEntry],
--- a/crates/relay/tests/relay/connections.rs
+++ b/crates/relay/tests/relay/connections.rs
@@ -18,7 +18,7 @@
     let mut w = World::new(table(1, vec![page_route(&["old"], 0.5)]));
     let others = (2..=4).map(|n| vm(&format!("vm-{n}"), HERE, "hobart", 1.0));
     let me: Vec<PeerVm> = vec![vm("vm-1", HERE, "hobart", cores)];
-    w.tell(Event::Roster(me.into_iter().chain(others).collect()));
+    w.tell(Event::Vms(me.into_iter().chain(others).collect()));
     w.pass(ms(300));
     w
 }
--- a/crates/relay/tests/relay/handover.rs
+++ b/crates/relay/tests/relay/handover.rs
@@ -6,13 +6,13 @@
 
 use bytes::Bytes;
 use gs_relay::Arrival;
-use gs_relay::Asked;
 use gs_relay::AttemptEnd;
+use gs_relay::DelegatedParts;
 use gs_relay::Event;
-use gs_relay::Handed;
 use gs_relay::Missing;
 use gs_relay::Outcome;
 use gs_relay::Page;
+use gs_relay::PossibleServers;
 use gs_relay::RefuseReason;
 use gs_relay::Route;
 use gs_types::prelude::*;
@@ -52,7 +52,7 @@
         ))));
     }
     w.tell(opened("s0-near", 0));
-    w.tell(Event::Roster(vec![
+    w.tell(Event::Vms(vec![
         vm("vm-1", HERE, "hobart", 1.0),
         vm("vm-2", THERE, "launceston", 1.0),
         vm("vm-3", THERE, "launceston", 1.0),
@@ -67,17 +67,23 @@
     page_of(stamps, missing.map(|(n, names)| (n, asked(&names))))
 }
 
-pub fn asked<S: AsRef<str>>(names: &[S]) -> Asked {
+pub fn asked<S: AsRef<str>>(names: &[S]) -> PossibleServers {
     let names = names.iter().map(|n| n.as_ref().parse().expect("a name"));
-    Asked::Servers(names.collect())
+    PossibleServers::Servers(names.collect())
 }
 
-pub fn page_of(stamps: &[&'static str], missing: impl Iterator<Item = (u16, Asked)>) -> AttemptEnd {
+pub fn page_of(
+    stamps: &[&'static str],
+    missing: impl Iterator<Item = (u16, PossibleServers)>,
+) -> AttemptEnd {
     let stamps = stamps.iter().map(|s| Bytes::from_static(s.as_bytes()));
     let page = Page {
         stamps: stamps.collect(),
         missing: missing
-            .map(|(shard, asked)| Missing { shard, asked })
+            .map(|(shard, asked)| Missing {
+                shard,
+                possible_servers: asked,
+            })
             .collect(),
         body: Bytes::from_static(b"bbbbbbbbbbbbbbbb"),
     };
@@ -105,7 +111,7 @@
         w.end("vm-2", held(page(&["x", "y"], &[]), ms(30)));
     }
     w.ask("/page/x", ms(2500));
-    w.sent[0].hand_over.clone().expect("a bundle").on_time
+    w.sent[0].delegation.clone().expect("a bundle").on_time
 }
 
 /// A short lookup leaves out every shard that is elsewhere: its objective is not much longer than the way to
@@ -142,7 +148,7 @@
     w.tell(opened("vm-2", 16));
     let seq = w.ask("/page/x", ms(2500));
     assert_eq!(w.busy(), ["vm-2", "s0-near"]);
-    let over = w.sent[0].hand_over.clone().expect("a bundle");
+    let over = w.sent[0].delegation.clone().expect("a bundle");
     assert_eq!((over.shards, over.hops), (vec![1, 2], 1));
     // 150 ms, less the margin of 14 ms, and 1.15 times the way of 16 ms there and back.
     assert_eq!(over.on_time.as_micros(), 117_600);
@@ -240,14 +246,18 @@
         vm("vm-1", HERE, "hobart", 1.0),
         vm("vm-2", THERE, "launceston", 1.0),
     ];
-    w.tell(Event::Roster(vms));
+    w.tell(Event::Vms(vms));
     w.pass(ms(300));
     w.tell(opened("vm-2", 16));
     let seq = w.ask("/page/x", ms(2500));
     w.end("s0-near", good(b'a'));
     w.pass(ms(150));
     assert_eq!(shards_missing(whole_page(&w, seq)), [1, 2]);
-    assert!(w.sent[0].give_up <= ms(210), "{:?}", w.sent[0].give_up);
+    assert!(
+        w.sent[0].attempt_timeout <= ms(210),
+        "{:?}",
+        w.sent[0].attempt_timeout
+    );
     w.end("vm-2", AttemptEnd::Late(ms(202)));
     w.ask("/page/y", ms(2500));
     assert!(!w.busy().contains(&"vm-2"), "{:?}", w.busy());
@@ -256,7 +266,7 @@
 #[test]
 fn a_weak_vm_leaves_everything_to_a_strong_one_of_its_region() {
     let mut w = World::new(table(1, vec![route()])).with_pairs(&SHARDS);
-    w.tell(Event::Roster(vec![
+    w.tell(Event::Vms(vec![
         vm("vm-1", HERE, "hobart", 0.12),
         vm("vm-2", HERE, "hobart", 0.5),
         vm("vm-3", THERE, "launceston", 0.5),
@@ -271,7 +281,7 @@
 #[test]
 fn a_strong_vm_beside_replicas_asks_for_everything_itself() {
     let mut w = World::new(table(1, vec![route()])).with_pairs(&SHARDS);
-    w.tell(Event::Roster(vec![
+    w.tell(Event::Vms(vec![
         vm("vm-1", HERE, "hobart", 0.5),
         vm("vm-2", HERE, "hobart", 0.5),
     ]));
@@ -286,28 +296,28 @@
     let mut w = world();
     w.tell(opened("vm-2", 16));
     let seq = w.ask("/page/x", ms(2500));
-    w.tell(Event::Gone(seq));
-    let all: Vec<_> = w.sent.iter().map(|d| d.run).collect();
+    w.tell(Event::CallerDisconnected(seq));
+    let all: Vec<_> = w.sent.iter().map(|d| d.attempt).collect();
     assert_eq!(w.cancelled, all);
 }
 
-pub fn handed(route: &Route, shards: &[u16], hops: u8) -> Option<Handed> {
-    Some(Handed {
+pub fn handed(route: &Route, shards: &[u16], hops: u8) -> Option<DelegatedParts> {
+    Some(DelegatedParts {
         route: route.fingerprint(),
         on_time: ms(100),
         latest: ms(300),
-        least: 0,
+        parts_wanted: 0,
         shards: shards.to_vec(),
         hops,
     })
 }
 
-pub fn arrive(w: &mut World, handed: Option<Handed>) -> LookupSeq {
+pub fn arrive(w: &mut World, handed: Option<DelegatedParts>) -> LookupSeq {
     let seq = LookupSeq(900);
     w.tell(Event::Arrive(Arrival {
         seq,
         req: request("/page/x", seq, ms(2500)),
-        handed,
+        delegated: handed,
     }));
     seq
 }
@@ -322,7 +332,7 @@
     let p = whole_page(&w, seq);
     let missing = Missing {
         shard: 0,
-        asked: asked(&["s0-near", "s0-far"]),
+        possible_servers: asked(&["s0-near", "s0-far"]),
     };
     assert_eq!((p.stamps.len(), p.missing.as_slice()), (1, &[missing][..]));
 }
--- a/crates/relay/tests/relay/hedges.rs
+++ b/crates/relay/tests/relay/hedges.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use gs_relay::ExtraWindow;
+use gs_relay::ExtraAttemptBudget;
 
 use crate::world::World;
 use crate::world::good;
@@ -68,7 +68,7 @@
 
 #[test]
 fn a_window_forgets_what_has_left_it() {
-    let mut b = ExtraWindow::new(ms(10_000), 0.2, 1.0);
+    let mut b = ExtraAttemptBudget::new(ms(10_000), 0.2, 1.0);
     let start = Instant::now();
     assert!(b.take(start, false));
     assert!(!b.take(start + ms(9000), false));
@@ -77,7 +77,7 @@
 
 #[test]
 fn a_window_allows_its_share_of_the_requests_and_keeps_some_for_retries() {
-    let mut b = ExtraWindow::new(ms(10_000), 0.2, 0.0);
+    let mut b = ExtraAttemptBudget::new(ms(10_000), 0.2, 0.0);
     let now = Instant::now();
     for _ in 0..100 {
         b.request(now);
@@ -89,7 +89,7 @@
 
 #[test]
 fn what_was_given_back_can_be_taken_again() {
-    let mut b = ExtraWindow::new(ms(10_000), 0.0, 1.0);
+    let mut b = ExtraAttemptBudget::new(ms(10_000), 0.0, 1.0);
     let now = Instant::now();
     assert!(b.take(now, false));
     b.give_back();
--- a/crates/relay/tests/relay/leases.rs
+++ b/crates/relay/tests/relay/leases.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use gs_relay::LeaseCheck;
 use gs_relay::Leases;
 use gs_relay::Listed;
-use gs_relay::Look;
-use gs_relay::renew_every;
+use gs_relay::renewal_interval;
 use gs_types::prelude::*;
 
 /// How often a VM renews its announcement.
@@ -27,23 +27,27 @@
 }
 
 /// A VM's looks, ten seconds apart, from a start; `listed` gives the list by the seconds since.
-fn looks(me: &str, seconds: u64, listed: impl Fn(u64) -> Option<Vec<Listed>>) -> Vec<(u64, Look)> {
+fn looks(
+    me: &str,
+    seconds: u64,
+    listed: impl Fn(u64) -> Option<Vec<Listed>>,
+) -> Vec<(u64, LeaseCheck)> {
     let mut leases = Leases::new(RENEW);
     let start = Instant::now();
     let times = (0..seconds).step_by(LOOK_EVERY.as_secs() as usize);
     let seen = times.filter_map(|t| {
         let now = start + Duration::from_secs(t);
-        listed(t).map(|l| (t, leases.look(now, &id(me), &l)))
+        listed(t).map(|l| (t, leases.check(now, &id(me), &l)))
     });
     seen.collect()
 }
 
-fn first_gone(looks: &[(u64, Look)]) -> Option<u64> {
-    let found = looks.iter().find(|(_, l)| !l.gone.is_empty());
+fn first_gone(looks: &[(u64, LeaseCheck)]) -> Option<u64> {
+    let found = looks.iter().find(|(_, l)| !l.expired.is_empty());
     found.map(|(t, _)| *t)
 }
 
-fn first_removal(looks: &[(u64, Look)]) -> Option<u64> {
+fn first_removal(looks: &[(u64, LeaseCheck)]) -> Option<u64> {
     let found = looks.iter().find(|(_, l)| !l.remove.is_empty());
     found.map(|(t, _)| *t)
 }
@@ -65,7 +69,7 @@
     let seen = looks("vm-1", 400, with_one_lost);
     assert_eq!(first_gone(&seen), Some(270));
     let (_, look) = seen.last().expect("looks");
-    assert_eq!(look.gone, [id("vm-3")]);
+    assert_eq!(look.expired, [id("vm-3")]);
 }
 
 #[test]
@@ -112,11 +116,11 @@
     let seen = looks("vm-1", 400, listed);
     assert_eq!(first_gone(&seen), Some(210));
     let (_, look) = seen.last().expect("looks");
-    assert_eq!(look, &Look::default());
+    assert_eq!(look, &LeaseCheck::default());
 }
 
 #[test]
 fn a_large_fleet_renews_more_seldom() {
-    assert_eq!(renew_every(RENEW, 9), Duration::from_secs(60));
-    assert_eq!(renew_every(RENEW, 7_400), Duration::from_secs(1_480));
+    assert_eq!(renewal_interval(RENEW, 9), Duration::from_secs(60));
+    assert_eq!(renewal_interval(RENEW, 7_400), Duration::from_secs(1_480));
 }
--- a/crates/relay/tests/relay/left_out.rs
+++ b/crates/relay/tests/relay/left_out.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use gs_relay::Asked;
 use gs_relay::AttemptEnd;
+use gs_relay::DelegatedParts;
 use gs_relay::Event;
-use gs_relay::Handed;
+use gs_relay::PossibleServers;
 use rstest::rstest;
 
 use crate::handover::SHARDS;
@@ -46,7 +46,7 @@
             .iter()
             .position(|d| d.server.service.as_str() == "s1");
         if let Some(d) = at.and_then(|at| w.sent.remove(at)) {
-            w.tell(Event::Ended(d.run, AttemptEnd::Broken));
+            w.tell(Event::Ended(d.attempt, AttemptEnd::Broken));
         }
         w.pass(ms(100));
     }
@@ -61,9 +61,9 @@
 #[rstest]
 #[case::both(asked(&["s1-far", "s1-third"]), &["s1-far", "s1-third"])]
 #[case::one_of_them(asked(&["s1-far"]), &["s1-far", "s1-other"])]
-#[case::not_told(Asked::Unknown, &[])]
+#[case::not_told(PossibleServers::Unknown, &[])]
 fn a_part_runs_on_no_more_servers_than_its_route_allows_peers_included(
-    #[case] told: Asked,
+    #[case] told: PossibleServers,
     #[case] expected: &[&str],
 ) {
     let mut w = with_three_replicas();
@@ -71,7 +71,7 @@
     w.end("s0-near", good(b'a'));
     w.end(
         "vm-2",
-        page_of(&[], [(1, told), (2, Asked::None)].into_iter()),
+        page_of(&[], [(1, told), (2, PossibleServers::None)].into_iter()),
     );
     let here = asked_here(&mut w);
     let is_allowed = |name: &String| expected.contains(&name.as_str());
@@ -102,8 +102,18 @@
     w.end("s0-near", good(b'a'));
     w.pass(ms(101));
     let p = whole_page(&w, seq);
-    let told: Vec<_> = p.missing.iter().map(|m| (m.shard, &m.asked)).collect();
-    assert_eq!(told, [(1, &Asked::Unknown), (2, &Asked::Unknown)]);
+    let told: Vec<_> = p
+        .missing
+        .iter()
+        .map(|m| (m.shard, &m.possible_servers))
+        .collect();
+    assert_eq!(
+        told,
+        [
+            (1, &PossibleServers::Unknown),
+            (2, &PossibleServers::Unknown)
+        ]
+    );
 }
 
 /// A reader's page fails, and the 90 parts of it that were there are thrown away: a peer sent its page at the
@@ -112,7 +122,13 @@
 fn a_bundle_with_too_few_parts_waits_beyond_the_objective_and_leaves_with_the_first_enough() {
     let mut w = World::new(table(1, vec![route()])).with_pairs(&SHARDS);
     let all = handed(&route(), &[0, 1, 2], 1);
-    let seq = arrive(&mut w, all.map(|h| Handed { least: 2, ..h }));
+    let seq = arrive(
+        &mut w,
+        all.map(|h| DelegatedParts {
+            parts_wanted: 2,
+            ..h
+        }),
+    );
     w.end("s0-near", good(b'a'));
     w.pass(ms(160));
     assert!(w.ending(seq).is_none());
@@ -125,7 +141,13 @@
 fn a_bundle_with_too_few_parts_leaves_with_what_there_is_while_it_is_of_use() {
     let mut w = World::new(table(1, vec![route()])).with_pairs(&SHARDS);
     let all = handed(&route(), &[0, 1, 2], 1);
-    let seq = arrive(&mut w, all.map(|h| Handed { least: 2, ..h }));
+    let seq = arrive(
+        &mut w,
+        all.map(|h| DelegatedParts {
+            parts_wanted: 2,
+            ..h
+        }),
+    );
     w.end("s0-near", good(b'a'));
     w.pass(ms(299));
     assert!(w.ending(seq).is_none());
@@ -139,8 +161,8 @@
     let mut w = world();
     w.tell(opened("vm-2", 16));
     w.ask("/page/x", ms(2500));
-    let over = w.sent[0].hand_over.clone().expect("a bundle");
-    assert_eq!(over.least, 1);
+    let over = w.sent[0].delegation.clone().expect("a bundle");
+    assert_eq!(over.parts_wanted, 1);
     assert_eq!((over.latest - over.on_time), ms(200));
-    assert_eq!(w.sent[0].give_up, ms(150 - 14 + 200));
+    assert_eq!(w.sent[0].attempt_timeout, ms(150 - 14 + 200));
 }
--- a/crates/relay/tests/relay/once.rs
+++ b/crates/relay/tests/relay/once.rs
@@ -112,7 +112,7 @@
 fn a_caller_that_hangs_up_stops_its_work() {
     let mut w = world();
     let seq = w.ask("/one/x", ms(8000));
-    w.tell(Event::Gone(seq));
-    assert_eq!(w.cancelled, [w.sent[0].run]);
+    w.tell(Event::CallerDisconnected(seq));
+    assert_eq!(w.cancelled, [w.sent[0].attempt]);
     assert_eq!(w.relay.in_flight(), 0);
 }
--- a/crates/relay/tests/relay/overload.rs
+++ b/crates/relay/tests/relay/overload.rs
@@ -79,7 +79,7 @@
                 unreachable!("it is an answer");
             };
             w.tell(Event::Ended(
-                d.run,
+                d.attempt,
                 AttemptEnd::Answered(answer, Some(load)),
             ));
         }
@@ -107,7 +107,7 @@
     let until = w.now + ms(3000);
     servers.pass(&mut w, until);
     let ended: Vec<_> = w.ended.iter().map(|(_, e)| e).collect();
-    let is_page = |e: &&&gs_relay::Ending| matches!(e.outcome, Outcome::Page(_));
+    let is_page = |e: &&&gs_relay::RequestReport| matches!(e.outcome, Outcome::Page(_));
     let on_time = ended
         .iter()
         .filter(is_page)
--- a/crates/relay/tests/relay/pages.rs
+++ b/crates/relay/tests/relay/pages.rs
@@ -116,7 +116,7 @@
     let seq = w.ask("/page/x", ms(2500));
     let attempts = std::mem::take(&mut w.sent);
     w.now += ms(400);
-    let ends = attempts.iter().map(|d| Event::Ended(d.run, good(b'a')));
+    let ends = attempts.iter().map(|d| Event::Ended(d.attempt, good(b'a')));
     w.tell_together(ends);
     w.tell(Event::Tick);
     assert_eq!(page(&w, seq).missing.len(), 0);
--- a/crates/relay/tests/relay/portions.rs
+++ b/crates/relay/tests/relay/portions.rs
@@ -55,7 +55,7 @@
     for (name, place) in SERVERS {
         w.tell(Event::Server(Arc::new(entry(name, "desk", place))));
     }
-    w.tell(Event::Roster(fleet.to_vec()));
+    w.tell(Event::Vms(fleet.to_vec()));
     w.pass(ms(300));
     w
 }
@@ -94,7 +94,7 @@
     let vms = fleet(200);
     let mut w = world(&vms[..20], 7);
     assert_eq!(held(&w).len(), SERVERS.len());
-    w.tell(Event::Roster(vms));
+    w.tell(Event::Vms(vms));
     w.pass(ms(300));
     assert_eq!(held(&w).len(), 1);
 }
@@ -130,5 +130,5 @@
     let mut w = world(&fleet(vms), 1);
     assert_eq!(!held(&w).is_empty(), keeps);
     w.ask("/one/x", ms(2500));
-    assert_eq!(w.sent[0].keep, keeps);
+    assert_eq!(w.sent[0].keep_connection, keeps);
 }
--- a/crates/relay/tests/relay/register.rs
+++ b/crates/relay/tests/relay/register.rs
@@ -58,9 +58,9 @@
 #[test]
 fn a_server_that_vanished_in_an_outage_is_kept_until_it_can_be_back() {
     let mut w = world();
-    w.tell(Event::Reach(false));
+    w.tell(Event::RegisterReachable(false));
     w.pass(ms(4000));
-    w.tell(Event::Reach(true));
+    w.tell(Event::RegisterReachable(true));
     w.pass(ms(100));
     w.tell(gone("a"));
     w.pass(ms(2100));
@@ -76,9 +76,9 @@
 #[test]
 fn a_server_that_leaves_well_after_an_outage_is_not_waited_for() {
     let mut w = world();
-    w.tell(Event::Reach(false));
+    w.tell(Event::RegisterReachable(false));
     w.pass(ms(4000));
-    w.tell(Event::Reach(true));
+    w.tell(Event::RegisterReachable(true));
     w.pass(ms(1600));
     w.tell(gone("a"));
     w.pass(ms(1300));
--- a/crates/relay/tests/relay/runners.rs
+++ b/crates/relay/tests/relay/runners.rs
@@ -35,7 +35,7 @@
         .filter(|vm| vm.name.as_str() != "vm-1")
         .filter_map(|vm| vm.name.as_str().parse().ok())
         .collect();
-    w.tell(Event::Roster(vms));
+    w.tell(Event::Vms(vms));
     w.pass(ms(300));
     for name in peers {
         w.tell(Event::Opened(name, ms(1)));
@@ -50,10 +50,10 @@
     alone.target = Target::One([weighted("s0")].into_iter().collect());
     let routes = vec![page_route(&["s0", "s1"], 1.0), alone];
     let mut w = World::new(table(1, routes)).with_pairs(&["s0", "s1"]);
-    w.tell(Event::Roster(vms));
+    w.tell(Event::Vms(vms));
     w.pass(ms(300));
     w.ask("/one/x", ms(2500));
-    w.sent[0].keep
+    w.sent[0].keep_connection
 }
 
 fn weighted(service: &str) -> Weighted {
--- a/crates/relay/tests/relay/settle.rs
+++ b/crates/relay/tests/relay/settle.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use gs_relay::Settle;
+use gs_relay::CoalesceDelay;
 
 use crate::world::ms;
 
@@ -13,15 +13,15 @@
 
 /// Looks in a series of changes that lasts `series`, each look finding one at once.
 fn looks_in(series: Duration) -> usize {
-    let mut settle = Settle::new(DRAIN, false);
+    let mut settle = CoalesceDelay::new(DRAIN, false);
     let mut waited = Duration::from_secs(9);
     let mut at = Duration::ZERO;
     let mut looks = 0;
     while at < series {
         looks += 1;
-        settle.changed(waited, LATER);
+        settle.on_changes(waited, LATER);
         waited = Duration::ZERO;
-        at += settle.pause();
+        at += settle.delay();
     }
     looks
 }
@@ -36,30 +36,30 @@
 /// A VM that pauses longer than a leaving server goes on serving sends it work after that.
 #[test]
 fn a_pause_leaves_a_leaving_server_most_of_its_time() {
-    let mut settle = Settle::new(DRAIN, false);
+    let mut settle = CoalesceDelay::new(DRAIN, false);
     for _ in 0..10 {
-        settle.changed(Duration::ZERO, LATER);
-        assert!(settle.pause() <= DRAIN / 2, "{:?}", settle.pause());
+        settle.on_changes(Duration::ZERO, LATER);
+        assert!(settle.delay() <= DRAIN / 2, "{:?}", settle.delay());
     }
 }
 
 /// All VMs of a fleet that starts learn of all servers in the same moment and connect to them at once.
 #[test]
 fn a_fleet_that_starts_begins_with_short_pauses() {
-    let mut settle = Settle::new(DRAIN, true);
-    settle.changed(Duration::from_secs(3), ms(500));
-    assert!(settle.pause() <= ms(250), "{:?}", settle.pause());
+    let mut settle = CoalesceDelay::new(DRAIN, true);
+    settle.on_changes(Duration::from_secs(3), ms(500));
+    assert!(settle.delay() <= ms(250), "{:?}", settle.delay());
 }
 
 /// Guards against work sent to a server that left: a pause of the start, taken after the end of an outage.
 #[test]
 fn a_list_after_an_outage_is_followed_by_a_look_at_once() {
-    let mut settle = Settle::new(DRAIN, true);
+    let mut settle = CoalesceDelay::new(DRAIN, true);
     for at in [500, 1000, 2000, 4000] {
-        settle.changed(Duration::ZERO, ms(at));
+        settle.on_changes(Duration::ZERO, ms(at));
     }
-    settle.restart();
-    assert_eq!(settle.pause(), Duration::ZERO);
-    settle.changed(Duration::ZERO, LATER);
-    assert!(settle.pause() <= DRAIN.mul_f64(0.2), "{:?}", settle.pause());
+    settle.reset();
+    assert_eq!(settle.delay(), Duration::ZERO);
+    settle.on_changes(Duration::ZERO, LATER);
+    assert!(settle.delay() <= DRAIN.mul_f64(0.2), "{:?}", settle.delay());
 }
--- a/crates/relay/tests/relay/suspects.rs
+++ b/crates/relay/tests/relay/suspects.rs
@@ -110,7 +110,7 @@
     for server in ["s0-near", "s1-near", "s2-near"] {
         w.end(server, AttemptEnd::Broken);
     }
-    w.tell(Event::Gone(seq));
+    w.tell(Event::CallerDisconnected(seq));
     assert_eq!(w.quarantined, [w.fingerprint("/page/poison")]);
 }
 
--- a/crates/relay/tests/relay/windows.rs
+++ b/crates/relay/tests/relay/windows.rs
@@ -12,7 +12,7 @@
 fn one_of_seven() -> World {
     let mut w = World::learned();
     let names = (1..=7).map(|n| vm(&format!("vm-{n}"), HERE, "hobart", 1.0));
-    w.tell(Event::Roster(names.collect()));
+    w.tell(Event::Vms(names.collect()));
     w.pass(ms(300));
     w
 }
--- a/crates/relay/tests/relay/world.rs
+++ b/crates/relay/tests/relay/world.rs
@@ -10,12 +10,12 @@
 use gs_relay::Action;
 use gs_relay::Arrival;
 use gs_relay::AttemptEnd;
+use gs_relay::AttemptKey;
 use gs_relay::Availability;
 use gs_relay::CallerLimits;
 use gs_relay::CallerRequest;
 use gs_relay::Capacity;
 use gs_relay::Dispatch;
-use gs_relay::Ending;
 use gs_relay::Event;
 use gs_relay::Load;
 use gs_relay::OpaqueRequest;
@@ -23,9 +23,9 @@
 use gs_relay::Relay;
 use gs_relay::RelayOptions;
 use gs_relay::Repeat;
+use gs_relay::RequestReport;
 use gs_relay::Route;
 use gs_relay::RouteTable;
-use gs_relay::RunId;
 use gs_relay::Scatter;
 use gs_relay::ServerAnswer;
 use gs_relay::ServerEntry;
@@ -50,7 +50,7 @@
     /// Attempts handed over, oldest first; a test takes out those it answers.
     pub sent: VecDeque<Dispatch>,
     /// Attempts cancelled.
-    pub cancelled: Vec<RunId>,
+    pub cancelled: Vec<AttemptKey>,
     /// Servers and peers that connections were asked for to.
     pub connects: Vec<ServerName>,
     /// Connections to be held open to each, as last asked for.
@@ -58,7 +58,7 @@
     /// Requests that other VMs were told of.
     pub quarantined: Vec<Fingerprint>,
     /// Requests that have ended.
-    pub ended: Vec<(LookupSeq, Ending)>,
+    pub ended: Vec<(LookupSeq, RequestReport)>,
     wake_at: Option<Instant>,
     next: u64,
 }
@@ -199,7 +199,7 @@
         host: "front.example".into(),
         path: path.into(),
         id: format!("id-{seq}").into(),
-        patience: Some(patience),
+        caller_timeout: Some(patience),
         content: Arc::new(OpaqueRequest {
             method: Method::GET,
             target: path.into(),
@@ -227,7 +227,7 @@
             wake_at: None,
             next: 1,
         };
-        w.tell(Event::Roster(vec![vm("vm-1", HERE, "hobart", 1.0)]));
+        w.tell(Event::Vms(vec![vm("vm-1", HERE, "hobart", 1.0)]));
         w.tell(Event::Table(table));
         w.pass(ms(300));
         w
@@ -291,9 +291,13 @@
                     let at = self.now + after;
                     self.wake_at = Some(self.wake_at.map_or(at, |w| w.min(at)));
                 }
-                Action::Connect { server, warm, .. } => {
+                Action::Connect {
+                    server,
+                    connections_min,
+                    ..
+                } => {
                     self.connects.push(server.name.clone());
-                    self.warm.insert(server.name.clone(), warm.0);
+                    self.warm.insert(server.name.clone(), connections_min.0);
                 }
                 Action::Disconnect(name) => {
                     self.warm.remove(&name);
@@ -321,7 +325,7 @@
         self.tell(Event::Arrive(Arrival {
             seq,
             req,
-            handed: None,
+            delegated: None,
         }));
         seq
     }
@@ -341,7 +345,7 @@
             .sent
             .remove(at.expect("an attempt at the server"))
             .expect("it is there");
-        self.tell(Event::Ended(d.run, end));
+        self.tell(Event::Ended(d.attempt, end));
     }
 
     /// The servers of the attempts under way, in the order of their dispatch.
@@ -350,7 +354,7 @@
     }
 
     /// The end of a request.
-    pub fn ending(&self, seq: LookupSeq) -> Option<&Ending> {
+    pub fn ending(&self, seq: LookupSeq) -> Option<&RequestReport> {
         self.ended.iter().find(|(s, _)| *s == seq).map(|(_, e)| e)
     }
 }
