--- a/crates/relay/src/abandon.rs
+++ b/crates/relay/src/abandon.rs
@@ -1,11 +1,11 @@
-//! Why parts are given up.
+//! Reasons for which parts are abandoned, and their counts.
 
 use std::fmt;
 
 use smallvec::SmallVec;
 use strum::IntoEnumIterator;
 
-/// Why a part was given up.
+/// Why a part was abandoned.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, strum::Display, strum::EnumIter, strum::IntoStaticStr,
 )]
@@ -15,24 +15,24 @@
     UsedUp,
     /// A further attempt would exceed the budget of its service.
     Budget,
-    /// No server is left that may run it.
+    /// No server is left that may execute it.
     NoServer,
-    /// It may run once only, and may have run.
+    /// It may be executed only once, and may have been.
     Once,
-    /// The peer that was to ask for it had no room.
+    /// The peer that it was delegated to had no capacity.
     PeerFull,
-    /// Enough others are in.
+    /// Enough other parts are complete.
     Enough,
 }
 
-/// How many parts of a request were given up, by reason.
+/// Number of abandoned parts of a request by reason.
 ///
-/// Displays as `budget:4,no-server:1`, and as nothing without any.
+/// Displays as `budget:4,no-server:1`, and as an empty string if there are none.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AbandonCounts(SmallVec<[(AbandonReason, usize); 2]>);
 
 impl AbandonCounts {
-    /// Counts the reasons of these parts.
+    /// Counts the reasons of the given parts.
     pub(crate) fn of(parts: impl Iterator<Item = AbandonReason> + Clone) -> Self {
         let count = |reason| parts.clone().filter(|r| *r == reason).count();
         let counts = AbandonReason::iter().map(|reason| (reason, count(reason)));
--- a/crates/relay/src/action.rs
+++ b/crates/relay/src/action.rs
@@ -1,4 +1,4 @@
-//! What the relay asks its shell to do.
+//! Actions that the relay returns to the I/O driver (shell).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,68 +10,72 @@
 use crate::outcome::RequestReport;
 use crate::request::OpaqueRequest;
 
-/// An attempt to hand to a backend server.
+/// An attempt to send to a backend server or a peer.
 #[derive(Clone, Debug)]
 pub struct Dispatch {
-    /// Which attempt it is.
+    /// Key of the attempt.
     pub attempt: AttemptKey,
-    /// The server; nobody else may run it.
+    /// The server; no other may execute the attempt.
     pub server: Arc<ServerEntry>,
     /// The caller's id of the request.
     pub id: Arc<str>,
-    /// What is handed on.
+    /// The request as forwarded.
     pub content: Arc<OpaqueRequest>,
-    /// The time that the caller still waits; handed to the server.
+    /// How long the caller still waits; it is sent to the server.
     pub time_left: Duration,
-    /// When the attempt is given up; at most `time_left`.
+    /// Timeout of the attempt; at most `time_left`.
     pub attempt_timeout: Duration,
-    /// Whether it may run at most once, so that a connection that may be stale is not used.
+    /// Whether the request may be executed at most once, so that a connection that may be stale is
+    /// not used.
     pub once: bool,
-    /// Whether its connection is kept for later attempts.
+    /// Whether the connection is kept open for later attempts.
     pub keep_connection: bool,
-    /// Set if the server is another VM, which is to ask for parts.
+    /// Set if the server is a peer VM to which parts are delegated.
     pub delegation: Option<Delegation>,
 }
 
-/// What is said to a VM that is to ask for parts.
+/// What is sent to a peer VM that parts are delegated to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Delegation {
     /// The host that the caller named.
     pub host: Box<str>,
-    /// The route by its content; the peer runs the request under no other.
+    /// Fingerprint of the route's content; the peer does not run the request under a different
+    /// route.
     pub route: Fingerprint,
-    /// The time in which its page must leave there to be in time here.
+    /// The time within which the peer must send its page for it to arrive in time.
     pub on_time: Duration,
-    /// The time in which it must leave there to be of any use.
+    /// The time within which the peer must send its page for it to be of any use.
     pub latest: Duration,
     /// The fewest parts that are of use in time.
     pub parts_wanted: usize,
     /// The shards wanted, by their number in the route.
     pub shards: Vec<u16>,
-    /// VMs that the request has passed.
+    /// Number of VMs that the request has passed.
     pub hops: u8,
 }
 
-/// One output of the relay.
+/// An output of the relay.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Hand an attempt to a backend server.
+    /// Send an attempt to a backend server or a peer.
     Send(Dispatch),
     /// Stop an attempt; if it was sent, close its connection so that the server drops the work.
     Cancel(AttemptKey),
-    /// The final word to the caller of this request; sent once, and at once.
+    /// Send the final response to the caller of this request, without delay; returned once for each
+    /// request.
     Answer(LookupSeq, Box<RequestReport>),
-    /// Tell the other VMs that this request crashes servers.
+    /// Notify the other VMs that this request crashes servers.
     Quarantine(Fingerprint),
     /// Send [`crate::Event::Tick`] after this time at the latest.
     Wake(Duration),
-    /// Hold at most `most` connections to this server, and `warm` of them open.
+    /// Hold at most `connections_max` connections to this server, and keep `connections_min` of
+    /// them open.
     Connect {
         /// The server.
         server: Arc<ServerEntry>,
-        /// Connections to hold open.
+        /// The number of connections to keep open.
         connections_min: Connections,
-        /// The most connections.
+        /// The largest number of connections.
         connections_max: Connections,
     },
     /// Close every connection to this server as it becomes idle.
--- a/crates/relay/src/active_request.rs
+++ b/crates/relay/src/active_request.rs
@@ -1,4 +1,4 @@
-//! The state of one request in flight.
+//! State of a request in flight and of its parts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,32 +19,32 @@
 use crate::route::Repeat;
 use crate::route::Route;
 
-/// What one part of a request is doing.
+/// State of one part of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PartState {
     /// Waits for a connection.
     Waiting(Cause),
-    /// A peer asks for it.
+    /// Delegated to a peer.
     Bundled,
-    /// An attempt is under way.
+    /// An attempt is in flight.
     Running,
-    /// Its answer is in.
-    Whole,
-    /// Given up.
-    Missing,
+    /// Its answer has arrived.
+    Complete,
+    /// No further attempt is made.
+    Abandoned,
 }
 
-/// One part of a request: a shard of a fan-out, or the whole of any other.
+/// One part of a request: a shard of a fan-out, or the complete request otherwise.
 #[derive(Clone, Debug)]
 pub(crate) struct Part {
-    /// Its number among the route's shards; 0 where there is but one part.
+    /// Its number among the route's shards; 0 if there is only one part.
     pub(crate) shard: u16,
     pub(crate) service: ServiceName,
     pub(crate) state: PartState,
     pub(crate) attempts: SmallVec<[Attempt; 2]>,
-    /// The servers that may have run it for a peer.
+    /// The servers that may have executed it for a peer.
     pub(crate) possible_servers: PossibleServers,
-    /// Why it was given up, if it was.
+    /// Why it was abandoned, if it was.
     pub(crate) abandon_reason: Option<AbandonReason>,
     /// The answer that counts, or the last failure that a server answered with.
     pub(crate) answer: Option<Box<ServerAnswer>>,
@@ -63,47 +63,47 @@
         }
     }
 
-    pub(crate) fn has_live(&self) -> bool {
-        self.attempts.iter().any(Attempt::is_live)
+    pub(crate) fn has_attempt_in_flight(&self) -> bool {
+        self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// Whether it is neither whole nor given up.
+    /// Returns whether it is neither complete nor abandoned.
     pub(crate) fn is_open(&self) -> bool {
-        !matches!(self.state, PartState::Whole | PartState::Missing)
+        !matches!(self.state, PartState::Complete | PartState::Abandoned)
     }
 }
 
-/// One request in flight.
+/// A request in flight.
 #[derive(Debug)]
 pub(crate) struct ActiveRequest {
     pub(crate) seq: LookupSeq,
     pub(crate) req: CallerRequest,
     pub(crate) route: Arc<Route>,
     pub(crate) arrived: Instant,
-    /// When an answer that is to come within the objective must leave.
+    /// When an answer must be sent to meet the objective.
     pub(crate) objective_at: Instant,
-    /// When its final word leaves at the latest.
+    /// When the final response must be sent at the latest.
     pub(crate) answer_by: Instant,
-    /// How long the caller and the route give it.
+    /// How long the caller waits, limited by the route's timeout.
     pub(crate) caller_timeout: Duration,
-    /// The shards wanted, if another VM asks for parts.
-    pub(crate) only: Option<Vec<u16>>,
-    /// VMs that it has passed.
+    /// The shards wanted, if another VM has delegated parts.
+    pub(crate) shards_wanted: Option<Vec<u16>>,
+    /// Number of VMs that it has passed.
     pub(crate) hops: u8,
     /// The fewest parts that make an answer.
     pub(crate) parts_min: usize,
-    /// The fewest parts that are of use to whoever asks.
+    /// The fewest parts that are of use to the caller or the delegating VM.
     pub(crate) parts_wanted: usize,
-    /// Parts that peers ask for.
+    /// Parts delegated to peers.
     pub(crate) bundles: SmallVec<[Bundle; 2]>,
     pub(crate) parts: Vec<Part>,
-    pub(crate) whole: usize,
-    pub(crate) missing: usize,
+    pub(crate) complete: usize,
+    pub(crate) abandoned: usize,
     pub(crate) extra: u32,
-    /// Whether a server has run something of it and lived.
+    /// Whether a server has executed a part of it without crashing.
     pub(crate) survived: bool,
     pub(crate) timer: Option<Instant>,
-    /// When to come back, if a peer had no room for it.
+    /// When to retry, if a peer had no capacity for it.
     pub(crate) retry_after: Option<Duration>,
 }
 
@@ -112,8 +112,8 @@
         self.route.repeat == Repeat::Once
     }
 
-    /// Every attempt under way, at servers and at peers.
-    pub(crate) fn live_attempts(&self) -> Vec<(AttemptKey, Attempt)> {
+    /// Returns all attempts in flight, at servers and at peers.
+    pub(crate) fn attempts_in_flight(&self) -> Vec<(AttemptKey, Attempt)> {
         let bundles = self.bundles.iter().enumerate();
         let bundles = bundles.map(|(n, b)| (BUNDLE_PART_NUMBER, n, b.attempt));
         let parts = self.parts.iter().enumerate().flat_map(|(at, part)| {
@@ -121,7 +121,7 @@
             let attempts = part.attempts.iter().enumerate();
             attempts.map(move |(n, a)| (at as u16, n, *a))
         });
-        let live = bundles.chain(parts).filter(|(_, _, a)| a.is_live());
+        let live = bundles.chain(parts).filter(|(_, _, a)| a.is_in_flight());
         let named = live.map(|(part, n, a)| {
             let id = AttemptKey {
                 lookup: self.seq,
@@ -133,14 +133,14 @@
         named.collect()
     }
 
-    /// Whether any server has run something of it, or may have.
+    /// Returns whether a server has executed any part of it or may have.
     pub(crate) fn may_have_run(&self) -> bool {
         let attempts = self.parts.iter().flat_map(|p| &p.attempts);
         let bundles = self.bundles.iter().map(|b| &b.attempt);
         { attempts }.chain(bundles).any(Attempt::may_have_run)
     }
 
-    pub(crate) fn left(&self, now: Instant) -> Duration {
+    pub(crate) fn time_left(&self, now: Instant) -> Duration {
         self.answer_by.saturating_duration_since(now)
     }
 }
--- a/crates/relay/src/admission.rs
+++ b/crates/relay/src/admission.rs
@@ -1,8 +1,8 @@
-//! What is refused at arrival.
+//! Admission checks of an arriving request.
 //!
-//! The load it answers: so many servers lost that no page can come to its least coverage, or more
-//! requests than the servers can run. What is known to fail is refused at once, before anything of it
-//! runs, and told when to come back.
+//! They handle the loss of so many servers that no page can reach its minimum coverage, and more
+//! requests than the servers can execute. A request that is known to fail is refused immediately,
+//! before any server executes a part of it, with a time after which to retry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,36 +18,39 @@
 use crate::request::CallerRequest;
 use crate::route::Target;
 
-/// The least time to come back after a refusal: sooner, nothing can have changed.
+/// The shortest time after which a refused caller is to retry; nothing can have changed earlier.
 const RETRY_MIN: Duration = Duration::from_millis(50);
 
-/// The time to come back if it is not known when a server will be there again.
-const RETRY_USUAL: Duration = Duration::from_millis(500);
+/// The time after which to retry if it is not known when a server will be available again.
+const RETRY_DEFAULT: Duration = Duration::from_millis(500);
 
-/// Fan-outs in flight below which none is turned away for its expected time, so that estimates that have
-/// grown too large are corrected by what comes.
-const IN_FLIGHT_FREE: usize = 2;
+/// Requests in flight below which no fan-out is refused for its expected latency, so that an
+/// estimate that has grown too high is corrected by new samples.
+const UNCHECKED_IN_FLIGHT: usize = 2;
 
-/// How many times its expected time the last part that is needed takes: work varies by a third, and of many
-/// parts nearly all must be in.
-const SPREAD: f64 = 1.2;
+/// Ratio of the time of the last part that is needed to the expected time of a part: execution
+/// times vary by a third, and nearly all of many parts are needed.
+const LAST_PART_FACTOR: f64 = 1.2;
 
-/// The part of the time to the objective that each rank below the highest may be expected to take: where there
-/// is room for some only, it goes to those of the higher rank.
-const RANK_PART: f64 = 0.9;
+/// Fraction of the time to the objective that a request may be expected to take, raised to the
+/// power of its priority value: if only some requests can be on time, those of higher priority are
+/// admitted.
+const PRIORITY_FRACTION: f64 = 0.9;
 
-/// Ranks beyond this are all alike.
-const RANKS_MAX: u8 = 4;
+/// Largest priority value that is distinguished; greater values count as this one.
+const PRIORITY_MAX: u8 = 4;
 
-/// The bounds of the time to come back when there is no room: queues of this length empty within it.
-const ROOM_RETRY_MIN: Duration = Duration::from_millis(250);
-const ROOM_RETRY_MAX: Duration = Duration::from_millis(800);
+/// Bounds of the time after which to retry when a request is refused for its expected latency:
+/// queues of that length empty within it.
+const LATENCY_RETRY_MIN: Duration = Duration::from_millis(250);
+const LATENCY_RETRY_MAX: Duration = Duration::from_millis(800);
 
-/// By how much times to come back are spread, so that those refused together do not return together.
-const RETRY_SPREAD: f64 = 0.5;
+/// Largest fraction by which retry times are randomly extended, so that callers refused together do
+/// not return together.
+const RETRY_JITTER: f64 = 0.5;
 
 impl Core {
-    /// Refuses a request that crashes servers.
+    /// Refuses a request that is in quarantine because it crashes servers.
     pub(crate) fn check_quarantine(
         &mut self,
         now: Instant,
@@ -58,37 +61,42 @@
         }
         match self.suspects.quarantined_for(now, req.fingerprint()) {
             None => Ok(()),
-            Some(rest) => Err((RefuseReason::Quarantined, Some(rest))),
+            Some(remaining) => Err((RefuseReason::Quarantined, Some(remaining))),
         }
     }
 
-    /// Refuses a request if too much is in flight here to hold it.
+    /// Refuses a request if the maximum number of requests is in flight in this process.
     pub(crate) fn check_in_flight(&mut self) -> Result<(), (RefuseReason, Option<Duration>)> {
         if self.in_flight >= self.options.lookups_max {
-            return Err((RefuseReason::Overload, Some(self.spread(RETRY_USUAL))));
+            return Err((
+                RefuseReason::Overload,
+                Some(self.with_jitter(RETRY_DEFAULT)),
+            ));
         }
         Ok(())
     }
 
-    /// Refuses a request that cannot come to an answer, as too few of its parts have a server.
+    /// Refuses a request too few of whose parts have a server to give an answer.
     pub(crate) fn check_servers_reachable(
         &mut self,
         now: Instant,
         request: &ActiveRequest,
     ) -> Result<(), (RefuseReason, Option<Duration>)> {
-        let Some(back_at) = self.out_of_reach(now, request) else {
+        let Some(retry_at) = self.unreachable_until(now, request) else {
             return Ok(());
         };
-        let retry = back_at.map_or(RETRY_USUAL, |at| at.saturating_duration_since(now));
-        let retry = self.spread(retry.max(RETRY_MIN));
+        let retry = retry_at.map_or(RETRY_DEFAULT, |at| at.saturating_duration_since(now));
+        let retry = self.with_jitter(retry.max(RETRY_MIN));
         Err((RefuseReason::NoServer, Some(retry)))
     }
 
-    /// Refuses a fan-out too few of whose parts are expected in time, as the queues before them are long.
+    /// Refuses a fan-out too few of whose parts are expected in time because of the queues ahead of
+    /// them.
     ///
-    /// The load it answers: callers that come several times as often as the servers can serve, and come again.
-    /// Taken on, each page would be late, and make the next ones late; turned away at once, those that are
-    /// taken on are on time and the others may come back.
+    /// This handles callers that send several times as many requests as the servers can execute,
+    /// and retry. If all were admitted, each page would be late and would delay the following ones;
+    /// with the excess refused immediately, the admitted requests are on time and the other callers
+    /// can retry.
     pub(crate) fn check_expected_latency(
         &mut self,
         now: Instant,
@@ -97,31 +105,35 @@
         let Target::Scatter(scatter) = &request.route.target else {
             return Ok(());
         };
-        let is_part_of_one = request
-            .only
+        let is_partial = request
+            .shards_wanted
             .as_ref()
             .is_some_and(|o| o.len() < scatter.shards.len());
-        // Before anything is learned of a route, a guess must not turn its first callers away.
-        let is_learned = self.times(&request.route).is_learned();
-        if is_part_of_one || !is_learned || self.in_flight < IN_FLIGHT_FREE {
+        // The initial estimate of a route must not cause its first callers to be refused.
+        let is_learned = self.route_times(&request.route).is_learned();
+        if is_partial || !is_learned || self.in_flight < UNCHECKED_IN_FLIGHT {
             return Ok(());
         }
-        let Some(expected) = self.expected_page(now, request, &scatter.shards) else {
+        let Some(expected) = self.expected_page_time(now, request, &scatter.shards) else {
             return Ok(());
         };
-        let room = request.objective_at.saturating_duration_since(now);
-        let rank = u32::from(request.route.priority.min(RANKS_MAX));
-        if expected.mul_f64(SPREAD) <= room.mul_f64(RANK_PART.powi(rank as i32)) {
+        let time_left = request.objective_at.saturating_duration_since(now);
+        let priority = u32::from(request.route.priority.min(PRIORITY_MAX));
+        if expected.mul_f64(LAST_PART_FACTOR)
+            <= time_left.mul_f64(PRIORITY_FRACTION.powi(priority as i32))
+        {
             return Ok(());
         }
-        let retry = (expected - room.min(expected)).clamp(ROOM_RETRY_MIN, ROOM_RETRY_MAX);
-        Err((RefuseReason::Overload, Some(self.spread(retry))))
+        let retry =
+            (expected - time_left.min(expected)).clamp(LATENCY_RETRY_MIN, LATENCY_RETRY_MAX);
+        Err((RefuseReason::Overload, Some(self.with_jitter(retry))))
     }
 
-    /// When the last of the parts that make an answer is expected; `None` if nothing is known of them.
+    /// Returns the expected time of the last part needed for an answer; `None` if no part has an
+    /// estimate.
     ///
-    /// Shards that this VM leaves to others are taken to be like those that it asks itself.
-    fn expected_page(
+    /// Delegated shards are assumed to be like those that this VM queries itself.
+    fn expected_page_time(
         &self,
         now: Instant,
         request: &ActiveRequest,
@@ -145,27 +157,32 @@
         Some(*last)
     }
 
-    /// Whether too few parts have a server to come to an answer, and until when if that is known.
-    fn out_of_reach(&mut self, now: Instant, request: &ActiveRequest) -> Option<Option<Instant>> {
+    /// Returns `Some` if too few parts have a server to give an answer, with the time at which the
+    /// next one becomes available, if that is known.
+    fn unreachable_until(
+        &mut self,
+        now: Instant,
+        request: &ActiveRequest,
+    ) -> Option<Option<Instant>> {
         let route = Arc::clone(&request.route);
-        self.times(&route);
-        let mut reached = 0;
-        let mut back_at: Option<Instant> = None;
-        for part in self.parts_of(&route, request.only.as_deref()) {
+        self.route_times(&route);
+        let mut reachable = 0;
+        let mut retry_at: Option<Instant> = None;
+        for part in self.parts_of(&route, request.shards_wanted.as_deref()) {
             match self.placement_context(now, request).choose_server(&part) {
-                Placement::Now(..) | Placement::Wait => reached += 1,
-                Placement::Nowhere(until) => back_at = soonest(back_at, until),
+                Placement::Now(..) | Placement::Wait => reachable += 1,
+                Placement::Unavailable(available_at) => retry_at = earliest(retry_at, available_at),
             }
         }
-        (reached < request.parts_min).then_some(back_at)
+        (reachable < request.parts_min).then_some(retry_at)
     }
 
-    fn spread(&mut self, retry: Duration) -> Duration {
-        retry.mul_f64(1.0 + self.rng.random::<f64>() * RETRY_SPREAD)
+    fn with_jitter(&mut self, retry: Duration) -> Duration {
+        retry.mul_f64(1.0 + self.rng.random::<f64>() * RETRY_JITTER)
     }
 }
 
-fn soonest(a: Option<Instant>, b: Option<Instant>) -> Option<Instant> {
+fn earliest(a: Option<Instant>, b: Option<Instant>) -> Option<Instant> {
     match (a, b) {
         (Some(a), Some(b)) => Some(a.min(b)),
         (a, b) => a.or(b),
--- a/crates/relay/src/arrival.rs
+++ b/crates/relay/src/arrival.rs
@@ -1,4 +1,5 @@
-//! A request arrives: its route, its time, its parts.
+//! Handles the arrival of a request: finds its route, admits or refuses it, and sets its time
+//! limits.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,14 +23,15 @@
 use crate::route::Target;
 use crate::split;
 
-/// The part of a request's time that is kept for its final word to get to the caller.
-const LAST_WORD_PART: u32 = 20;
+/// Divisor of a request's timeout that gives the time reserved for the final response to reach the
+/// caller.
+const RESPONSE_MARGIN_DIVISOR: u32 = 20;
 
-/// The most time kept for it: two ways between regions.
-const LAST_WORD_MAX: Duration = Duration::from_millis(30);
+/// The longest time reserved for the final response: two one-way latencies between regions.
+const RESPONSE_MARGIN_MAX: Duration = Duration::from_millis(30);
 
 impl Core {
-    /// Takes a request on and begins it, or refuses it at once.
+    /// Admits a request and starts it, or refuses it immediately.
     pub(crate) fn on_arrival(
         &mut self,
         now: Instant,
@@ -42,7 +44,7 @@
             req,
             delegated,
         } = arrival;
-        let mut request = match self.take_on(now, seq, req, delegated) {
+        let mut request = match self.admit(now, seq, req, delegated) {
             Ok(request) => request,
             Err((reason, retry_after)) => {
                 self.refuse(seq, reason, retry_after, out);
@@ -56,48 +58,51 @@
             self.refuse(seq, reason, retry_after, out);
             return None;
         }
-        self.begin(now, &mut request, out);
+        self.start_request(now, &mut request, out);
         if self.finish_if_done(now, &mut request, out) {
             return None;
         }
         Some(request)
     }
 
-    fn take_on(
+    fn admit(
         &mut self,
         now: Instant,
         seq: LookupSeq,
         req: CallerRequest,
         delegated: Option<DelegatedParts>,
     ) -> Result<Box<ActiveRequest>, (RefuseReason, Option<Duration>)> {
-        let route = self.find(&req)?;
+        let route = self.find_route(&req)?;
         self.check_quarantine(now, &req)?;
         self.check_in_flight()?;
-        let mut request = self.prepare(now, seq, req, route);
+        let mut request = self.new_request(now, seq, req, route);
         let Some(delegated) = delegated else {
             return Ok(request);
         };
-        // Parts of two versions' shards must not meet on one page.
+        // A page must not combine parts of the shards of two route versions.
         if delegated.route != request.route.fingerprint() {
             return Err((RefuseReason::OtherRoute, None));
         }
         request.objective_at = (now + delegated.on_time).min(request.answer_by);
-        request.only = Some(delegated.shards);
+        request.shards_wanted = Some(delegated.shards);
         request.hops = delegated.hops;
         request.answer_by = request.answer_by.min(now + delegated.latest);
         request.parts_min = 0;
         request.parts_wanted = delegated
             .parts_wanted
-            .min(request.only.as_ref().map_or(0, Vec::len));
+            .min(request.shards_wanted.as_ref().map_or(0, Vec::len));
         Ok(request)
     }
 
-    fn find(&self, req: &CallerRequest) -> Result<Arc<Route>, (RefuseReason, Option<Duration>)> {
+    fn find_route(
+        &self,
+        req: &CallerRequest,
+    ) -> Result<Arc<Route>, (RefuseReason, Option<Duration>)> {
         let Some(table) = &self.table else {
-            let retry = if self.register_reachability.is_in() {
-                STARTING_RETRY
+            let retry = if self.register_reachability.is_reachable() {
+                STARTING_RETRY_AFTER
             } else {
-                OUTAGE_RETRY
+                OUTAGE_RETRY_AFTER
             };
             return Err((RefuseReason::NotReady, Some(retry)));
         };
@@ -105,7 +110,7 @@
         found.ok_or((RefuseReason::NoRoute, None))
     }
 
-    fn prepare(
+    fn new_request(
         &mut self,
         now: Instant,
         seq: LookupSeq,
@@ -115,13 +120,13 @@
         let caller_timeout = req
             .caller_timeout
             .map_or(route.timeout, |p| p.min(route.timeout));
-        let last_word = (caller_timeout / LAST_WORD_PART).min(LAST_WORD_MAX);
+        let response_margin = (caller_timeout / RESPONSE_MARGIN_DIVISOR).min(RESPONSE_MARGIN_MAX);
         let on_time = route.objective.saturating_sub(self.options.answer_margin);
-        let answer_by = now + caller_timeout.saturating_sub(last_word);
+        let answer_by = now + caller_timeout.saturating_sub(response_margin);
         Box::new(ActiveRequest {
             seq,
             req,
-            only: None,
+            shards_wanted: None,
             hops: 0,
             parts_min: route.parts_min(),
             parts_wanted: route.parts_min(),
@@ -132,8 +137,8 @@
             answer_by,
             caller_timeout,
             route,
-            whole: 0,
-            missing: 0,
+            complete: 0,
+            abandoned: 0,
             extra: 0,
             survived: false,
             timer: None,
@@ -141,11 +146,11 @@
         })
     }
 
-    /// The parts of a request on a route; with `only`, those of these shards.
-    pub(crate) fn parts_of(&mut self, route: &Route, only: Option<&[u16]>) -> Vec<Part> {
-        let shards = match &route.target {
-            Target::One(services) => {
-                let picked = split::pick(services, &mut self.rng);
+    /// Returns the parts of a request on a route, restricted to the given shards if there are any.
+    pub(crate) fn parts_of(&mut self, route: &Route, shards: Option<&[u16]>) -> Vec<Part> {
+        let services = match &route.target {
+            Target::One(weighted) => {
+                let picked = split::pick(weighted, &mut self.rng);
                 return picked
                     .map(|s| Part::new(0, s.clone()))
                     .into_iter()
@@ -153,11 +158,11 @@
             }
             Target::Scatter(s) => &s.shards,
         };
-        let all = shards.iter().enumerate();
+        let all = services.iter().enumerate();
         let parts = all.map(|(n, service)| Part::new(n as u16, service.clone()));
-        match only {
+        match shards {
             None => parts.collect(),
-            Some(only) => parts.filter(|p| only.contains(&p.shard)).collect(),
+            Some(shards) => parts.filter(|p| shards.contains(&p.shard)).collect(),
         }
     }
 
@@ -184,8 +189,9 @@
     }
 }
 
-/// When a VM that has just started is worth asking again; it has its routes within 100 ms.
-const STARTING_RETRY: Duration = Duration::from_millis(250);
+/// When to retry on a VM that has just started; it has its routes within 100 ms.
+const STARTING_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// When it is if the register is away; outages take seconds, and most callers ask only once more.
-const OUTAGE_RETRY: Duration = Duration::from_secs(3);
+/// When to retry on a VM without routes while the register is unreachable: outages last for
+/// seconds, and most callers retry only once.
+const OUTAGE_RETRY_AFTER: Duration = Duration::from_secs(3);
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -7,14 +7,14 @@
 
 use crate::servers::ServerKey;
 
-/// Names one attempt within this process.
+/// Identifies an attempt within this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptKey {
     /// The request.
     pub lookup: LookupSeq,
     /// The part of the request, from 0.
     pub part: u16,
-    /// 0 for the first attempt at the part.
+    /// Number of the attempt at the part, from 0.
     pub attempt: u16,
 }
 
@@ -28,44 +28,44 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Cause {
-    /// It is the first of its part.
+    /// It is the initial attempt at its part.
     First,
-    /// The one before is slow.
+    /// The previous attempt is slow.
     Hedge,
-    /// The one before failed or was refused.
+    /// The previous attempt failed or was refused.
     Retry,
 }
 
-/// What an attempt is doing.
+/// State of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptState {
-    /// Handed over; its server may be running it.
-    Live,
-    /// It ended and may have run.
-    Ran,
-    /// It ended and did not run.
+    /// It was dispatched, and its server may be executing it.
+    InFlight,
+    /// It ended and may have been executed.
+    MayHaveRun,
+    /// It ended and was not executed.
     NotRun,
 }
 
-/// One attempt at one part.
+/// An attempt at one part.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
     pub(crate) server: ServerKey,
-    pub(crate) at: Instant,
+    pub(crate) dispatched_at: Instant,
     pub(crate) state: AttemptState,
     pub(crate) cause: Cause,
-    /// Rounds of work that were before it at its server, as far as was known.
-    pub(crate) rounds: f64,
+    /// Rounds of work ahead of it in its server's queue when it was dispatched, as far as known.
+    pub(crate) rounds_ahead: f64,
     /// When and how it ended.
     pub(crate) ended: Option<(Instant, &'static str)>,
 }
 
 impl Attempt {
-    pub(crate) fn is_live(&self) -> bool {
-        self.state == AttemptState::Live
+    pub(crate) fn is_in_flight(&self) -> bool {
+        self.state == AttemptState::InFlight
     }
 
-    /// Whether its server has run it or may have.
+    /// Returns whether its server has executed it or may have.
     pub(crate) fn may_have_run(&self) -> bool {
         self.state != AttemptState::NotRun
     }
--- a/crates/relay/src/attempt_end.rs
+++ b/crates/relay/src/attempt_end.rs
@@ -1,4 +1,4 @@
-//! How attempts end, and what is learned from it.
+//! Handles the end of an attempt and updates what is known of its server and its request.
 
 use std::time::Instant;
 
@@ -18,25 +18,25 @@
 use crate::servers::ServerKey;
 
 impl Relay {
-    /// An attempt ended.
-    pub(crate) fn ended(
+    /// Handles the end of an attempt, of a request in flight or one that has ended.
+    pub(crate) fn on_ended(
         &mut self,
         now: Instant,
         id: AttemptKey,
         end: AttemptEnd,
         out: &mut Vec<Action>,
     ) {
-        if let Some((server, at, route)) = self.core.orphans.remove(&id) {
-            // Its request was late; how long it would have taken on an idle server is not known.
+        if let Some((server, begun, route)) = self.core.orphans.remove(&id) {
+            // Its request has ended; the queue ahead of the attempt is no longer known.
             self.core
-                .update_server_health(now, server, id, (at, 0.0), &route, &end);
+                .update_server_health(now, server, id, (begun, 0.0), &route, &end);
             return;
         }
         self.with(id.lookup, |core, request| {
             if id.part == BUNDLE_PART_NUMBER {
-                core.bundle_ended(now, request, id, end, out);
+                core.on_bundle_ended(now, request, id, end, out);
             } else {
-                core.attempt_ended(now, request, id, end, out);
+                core.on_attempt_ended(now, request, id, end, out);
             }
             false
         });
@@ -45,8 +45,8 @@
 }
 
 impl Core {
-    /// Takes in the end of an attempt of a request in flight.
-    fn attempt_ended(
+    /// Handles the end of an attempt of a request in flight.
+    fn on_attempt_ended(
         &mut self,
         now: Instant,
         request: &mut ActiveRequest,
@@ -54,8 +54,11 @@
         end: AttemptEnd,
         out: &mut Vec<Action>,
     ) {
-        let at = usize::from(id.part);
-        let Some(attempt) = request.parts[at].attempts.get_mut(usize::from(id.attempt)) else {
+        let index = usize::from(id.part);
+        let Some(attempt) = request.parts[index]
+            .attempts
+            .get_mut(usize::from(id.attempt))
+        else {
             log::error!("event=attempt-unknown attempt={id}");
             return;
         };
@@ -63,46 +66,46 @@
             AttemptEnd::Shed(_) | AttemptEnd::WrongServer | AttemptEnd::NotSent => {
                 AttemptState::NotRun
             }
-            _ => AttemptState::Ran,
+            _ => AttemptState::MayHaveRun,
         };
-        let rounds = attempt.rounds;
+        let rounds_ahead = attempt.rounds_ahead;
         attempt.ended = Some((now, (&end).into()));
-        let (server, begun, cause) = (attempt.server, attempt.at, attempt.cause);
+        let (server, begun, cause) = (attempt.server, attempt.dispatched_at, attempt.cause);
         let route = request.route.name.clone();
-        self.update_server_health(now, server, id, (begun, rounds), &route, &end);
-        self.update_suspicion(now, request, at, server, &end);
+        self.update_server_health(now, server, id, (begun, rounds_ahead), &route, &end);
+        self.update_suspicion(now, request, index, server, &end);
         if matches!(end, AttemptEnd::NotSent) && cause != Cause::First {
-            let service = request.parts[at].service.clone();
-            self.service(&service).extra.give_back();
+            let service = request.parts[index].service.clone();
+            self.service(&service).extra_budget.give_back();
         }
-        if !request.parts[at].is_open() {
+        if !request.parts[index].is_open() {
             return;
         }
         let is_good = matches!(&end, AttemptEnd::Answered(a, _) if a.is_good());
         if let AttemptEnd::Answered(answer, _) = end {
-            request.parts[at].answer = Some(answer);
+            request.parts[index].answer = Some(answer);
         }
         if is_good {
-            request.parts[at].state = PartState::Whole;
-            request.whole += 1;
+            request.parts[index].state = PartState::Complete;
+            request.complete += 1;
             if cause == Cause::Hedge {
                 self.counters.hedges_won += 1;
             }
             return;
         }
-        self.part_failed(now, request, at, id, out);
+        self.on_part_failed(now, request, index, id, out);
     }
 
-    /// Learns from how an attempt ended whether its request crashes servers.
+    /// Updates the suspicion that a request crashes servers after one of its attempts ended.
     fn update_suspicion(
         &mut self,
         now: Instant,
         request: &mut ActiveRequest,
-        at: usize,
+        index: usize,
         server: ServerKey,
         end: &AttemptEnd,
     ) {
-        let service = &request.parts[at].service;
+        let service = &request.parts[index].service;
         match end {
             AttemptEnd::Broken => {
                 let born = self.servers.get(server).and_then(|view| view.entry.born);
@@ -121,8 +124,8 @@
         }
     }
 
-    /// Servers that a peer asked ran the request and lived.
-    pub(crate) fn survived_elsewhere(&mut self, request: &mut ActiveRequest) {
+    /// Records that servers which a peer queried executed the request without crashing.
+    pub(crate) fn note_survived_at_peer(&mut self, request: &mut ActiveRequest) {
         request.survived = true;
         if !self.suspects.is_empty() {
             self.suspects
@@ -130,12 +133,13 @@
         }
     }
 
-    /// Refuses a request from now on that broke servers and was answered by none, or by none of a shard, as it
-    /// ends.
+    /// Quarantines a finished request that crashed servers and was answered by none, or by none of
+    /// a shard.
     ///
-    /// Guards against a search that is refused everywhere because some servers lost connections under it:
-    /// they do so at once, and the others answer only after their work. Decided at each break, it would be set
-    /// aside before those have had the time to.
+    /// Some servers may lose connections while they execute a harmless request. Such a loss is seen
+    /// immediately, whereas the other servers answer only after executing the request. A decision
+    /// at each broken connection would quarantine the request before they have had the time to
+    /// answer, and every VM would refuse it; the decision is therefore made when the request ends.
     pub(crate) fn quarantine_if_crashing(
         &mut self,
         now: Instant,
@@ -158,48 +162,51 @@
         }
     }
 
-    /// Decides what follows when an attempt at a part failed.
-    fn part_failed(
+    /// Retries or abandons a part after one of its attempts failed.
+    fn on_part_failed(
         &mut self,
         now: Instant,
         request: &mut ActiveRequest,
-        at: usize,
+        index: usize,
         id: AttemptKey,
         out: &mut Vec<Action>,
     ) {
-        if request.parts[at].has_live() || request.parts[at].state != PartState::Running {
+        if request.parts[index].has_attempt_in_flight()
+            || request.parts[index].state != PartState::Running
+        {
             return;
         }
-        let failed = &request.parts[at].attempts[usize::from(id.attempt)];
+        let failed = &request.parts[index].attempts[usize::from(id.attempt)];
         if request.is_once() && failed.may_have_run() {
-            self.abandon_part(request, at, AbandonReason::Once);
+            self.abandon_part(request, index, AbandonReason::Once);
             return;
         }
-        // An attempt that never reached a server is not counted there, so its repeat is no extra.
+        // An initial attempt that did not reach its server does not count there, so its repetition
+        // is no extra attempt.
         let cause = match failed.cause {
             Cause::First
-                if failed.state == AttemptState::NotRun && !self.was_heard(failed.server) =>
+                if failed.state == AttemptState::NotRun && !self.was_reachable(failed.server) =>
             {
                 Cause::First
             }
             _ => Cause::Retry,
         };
-        self.try_part(now, request, at, cause, out);
+        self.try_part(now, request, index, cause, out);
     }
 
-    /// Whether a server is known to take connections at present.
-    fn was_heard(&self, server: ServerKey) -> bool {
+    /// Returns whether a server is not known to be unreachable.
+    fn was_reachable(&self, server: ServerKey) -> bool {
         let view = self.servers.get(server);
-        view.is_some_and(|v| !v.is_backing_off())
+        view.is_some_and(|v| !v.was_unreachable())
     }
 
-    /// Learns from how an attempt ended at a server.
+    /// Updates the health and load of a server, and the times of the route, after an attempt ended.
     pub(crate) fn update_server_health(
         &mut self,
         now: Instant,
         server: ServerKey,
         id: AttemptKey,
-        (begun, rounds): (Instant, f64),
+        (begun, rounds_ahead): (Instant, f64),
         route: &LookupName,
         end: &AttemptEnd,
     ) {
@@ -207,43 +214,44 @@
         let Some(view) = self.servers.get_mut(server) else {
             return;
         };
-        view.ended(id);
+        view.on_ended(id);
         self.freed.push(view.entry.service.clone());
         match end {
             AttemptEnd::Answered(answer, load) => {
                 let is_near = view.entry.data_centre == self.options.data_centre;
                 self.round_trips.observe(&view.entry.data_centre, took);
-                let way = self.round_trips.round_trip(&view.entry.data_centre);
-                let times = self.times.get_mut(route);
-                let ratio = times.map_or(1.0, |t| t.observe(is_near, took, way, rounds));
-                view.answered(now, begun, ratio, *load, answer.is_good());
+                let round_trip = self.round_trips.round_trip(&view.entry.data_centre);
+                let times = self.route_times.get_mut(route);
+                let ratio =
+                    times.map_or(1.0, |t| t.observe(is_near, took, round_trip, rounds_ahead));
+                view.on_answered(now, begun, ratio, *load, answer.is_good());
             }
             AttemptEnd::Shed(load) => {
                 self.counters.sheds += 1;
-                view.shed(now, *load);
+                view.on_shed(now, *load);
             }
             AttemptEnd::WrongServer => {
                 log::info!("event=server-replaced server={}", view.entry.name);
-                view.is_gone = true;
+                view.is_removed = true;
             }
-            AttemptEnd::NotSent => view.unreachable(now),
+            AttemptEnd::NotSent => view.on_unreachable(now),
             AttemptEnd::Late(_) => {
                 self.counters.broken += 1;
                 if view.is_silent_since(begun) {
-                    view.unreachable(now);
+                    view.on_unreachable(now);
                 } else {
-                    view.broke(now);
+                    view.on_broken(now);
                 }
             }
             AttemptEnd::Broken | AttemptEnd::Garbled => {
                 self.counters.broken += 1;
-                view.broke(now);
+                view.on_broken(now);
             }
             AttemptEnd::Paged(..) | AttemptEnd::Overloaded(_) => {
-                view.answered(now, begun, 1.0, None, true);
+                view.on_answered(now, begun, 1.0, None, true);
             }
             AttemptEnd::Cancelled => {}
         }
-        self.servers.drop_if_done(server);
+        self.servers.drop_if_unused(server);
     }
 }
--- a/crates/relay/src/attempt_log.rs
+++ b/crates/relay/src/attempt_log.rs
@@ -1,4 +1,4 @@
-//! What became of the attempts of a request that went wrong, for whoever explains it afterwards.
+//! Records of the attempts that explain a failed, late or incomplete request, for the log.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,29 +11,30 @@
 use crate::attempt::Cause;
 use crate::servers::Servers;
 
-/// The most steps kept of one request; those of parts that were whole at the first attempt tell nothing.
+/// The most records of one request; parts that were complete after their initial attempt are
+/// skipped.
 const RECORDS_MAX: usize = 24;
 
-/// One attempt of a request, as a log line shows it.
+/// One attempt of a request, as logged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptRecord {
-    /// The shard, or 0 where there is but one part.
+    /// The shard, or 0 if there is only one part.
     pub shard: u16,
-    /// The service; for a bundle, the peers.
+    /// The service; for a bundle, that of the peers.
     pub service: ServiceName,
-    /// The server or peer; `None` if it is not known any more.
+    /// The server or peer; `None` if it is no longer known.
     pub server: Option<ServerName>,
     /// Why it was made.
     pub cause: Cause,
-    /// When it was made, after the request's arrival.
+    /// When it was made, relative to the request's arrival.
     pub at: Duration,
-    /// How long it took; `None` if it was under way when the request ended.
+    /// How long it took; `None` if it was in flight when the request ended.
     pub took: Option<Duration>,
     /// How it ended; `under-way` if it had not.
     pub end: &'static str,
 }
 
-/// The attempts that tell why a request ended as it did.
+/// Returns the attempts that explain how a request ended.
 pub(crate) fn attempt_log(request: &ActiveRequest, servers: &Servers) -> Vec<AttemptRecord> {
     let mut records = Vec::new();
     for b in &request.bundles {
@@ -52,7 +53,7 @@
         }
     }
     for part in &request.parts {
-        let is_plain = part.state == PartState::Whole && part.attempts.len() <= 1;
+        let is_plain = part.state == PartState::Complete && part.attempts.len() <= 1;
         if is_plain {
             continue;
         }
@@ -82,8 +83,10 @@
         service,
         server: servers.get(a.server).map(|v| v.entry.name.clone()),
         cause: a.cause,
-        at: a.at.saturating_duration_since(arrived),
-        took: a.ended.map(|(at, _)| at.saturating_duration_since(a.at)),
+        at: a.dispatched_at.saturating_duration_since(arrived),
+        took: a
+            .ended
+            .map(|(at, _)| at.saturating_duration_since(a.dispatched_at)),
         end: a.ended.map_or("under-way", |(_, how)| how),
     }
 }
--- a/crates/relay/src/budget.rs
+++ b/crates/relay/src/budget.rs
@@ -1,21 +1,21 @@
-//! How many extra attempts a service may get.
+//! Limits the extra attempts for a service.
 //!
-//! The load it answers: every server of a service slow or failing, when each part would be asked for
-//! twice and the repeats alone would keep the service down. The limit is a share of the requests for
-//! the service in a sliding window, the same at every VM, so that all VMs together keep it without
-//! telling each other anything, plus a few for a VM that has just started.
+//! If every server of a service is slow or failing, each part would be requested twice, and the
+//! repeats alone would keep the service overloaded. The limit is a fraction of the requests for the
+//! service in a sliding window, which is the same at every VM, so that all VMs together keep to it
+//! without coordination. A few more are allowed for a VM that has just started.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 use std::time::Instant;
 
-/// Buckets in a window; what is counted leaves it with this fineness.
+/// Number of buckets in a window, which is the resolution at which counts leave it.
 const BUCKETS: u32 = 20;
 
-/// The part of the budget that hedges leave to retries, as a hedge only saves time.
-const RETRY_RESERVE: f64 = 0.25;
+/// Fraction of the budget that hedges leave for retries, as a hedge only saves time.
+const RETRY_RESERVE_FRACTION: f64 = 0.25;
 
-/// The counts of a short span.
+/// Counts of one bucket.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     at: Instant,
@@ -35,7 +35,7 @@
 }
 
 impl ExtraAttemptBudget {
-    /// Allows `ratio` extra attempts a request in any window, and `slack` besides.
+    /// Allows `ratio` extra attempts per request in any window, plus `slack`.
     #[must_use]
     pub fn new(window: Duration, ratio: f64, slack: f64) -> Self {
         Self {
@@ -48,23 +48,23 @@
         }
     }
 
-    /// Changes the extra attempts allowed besides.
+    /// Changes the extra attempts allowed in addition to the ratio.
     pub fn set_slack(&mut self, slack: f64) {
         self.slack = slack;
     }
 
-    /// A request for the service arrived.
-    pub fn request(&mut self, now: Instant) {
+    /// Records a request for the service.
+    pub fn note_request(&mut self, now: Instant) {
         self.bucket(now).requests += 1;
         self.requests += 1;
     }
 
-    /// Takes an extra attempt out; `false` and nothing taken if there is none.
+    /// Takes one extra attempt from the budget; returns `false` if the budget is used up.
     pub fn take(&mut self, now: Instant, is_hedge: bool) -> bool {
         self.bucket(now);
         let allowed = self.allowed();
         let allowed = if is_hedge {
-            allowed * (1.0 - RETRY_RESERVE)
+            allowed * (1.0 - RETRY_RESERVE_FRACTION)
         } else {
             allowed
         };
@@ -76,7 +76,7 @@
         true
     }
 
-    /// Gives back what was taken just now for an attempt that was never sent.
+    /// Returns to the budget the extra attempt that was taken last, as it was never sent.
     pub fn give_back(&mut self) {
         if let Some(b) = self.buckets.back_mut()
             && b.extra > 0
@@ -86,9 +86,9 @@
         }
     }
 
-    /// The part of the budget that is used, from 0 on.
+    /// Returns the used fraction of the budget, from 0 upwards.
     #[must_use]
-    pub fn used(&self) -> f64 {
+    pub fn used_fraction(&self) -> f64 {
         f64::from(self.extra) / self.allowed().max(1.0)
     }
 
@@ -96,7 +96,7 @@
         f64::from(self.requests) * self.ratio + self.slack
     }
 
-    /// The bucket of now, after those that left the window are dropped.
+    /// Returns the current bucket, after dropping those that have left the window.
     fn bucket(&mut self, now: Instant) -> &mut Bucket {
         while let Some(b) = self.buckets.front()
             && b.at + self.window + self.window / BUCKETS <= now
--- a/crates/relay/src/bundle.rs
+++ b/crates/relay/src/bundle.rs
@@ -1,4 +1,4 @@
-//! Parts that another VM asks for: the life of a bundle.
+//! Bundles: batches of parts delegated to one peer, from their dispatch to their end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,43 +21,45 @@
 use crate::reply::AttemptEnd;
 use crate::servers::ServerKey;
 
-/// The part number of a bundle; a fan-out has far fewer parts.
+/// The part number that stands for a bundle; a fan-out has far fewer parts.
 pub(crate) const BUNDLE_PART_NUMBER: u16 = u16::MAX;
 
-/// How long after the objective a peer may still answer whose parts are not needed for an answer: it sends what
-/// it has in time for the objective, so one that has not answered then is out of reach.
+/// Wait after the objective for a peer whose parts are not needed for an answer: it sends the parts
+/// that it has in time for the objective, so one that has not answered by then is unreachable.
 const OPTIONAL_PEER_GRACE: Duration = Duration::from_millis(60);
 
-/// The same where its parts are needed: it waits for them, and a usual pause of a server is over by then.
+/// Wait after the objective for a peer whose parts are needed: it waits for them, and a usual stall
+/// of a server is over by then.
 const REQUIRED_PEER_GRACE: Duration = Duration::from_millis(200);
 
-/// Parts of a request that a peer asks for.
+/// Parts of a request that are delegated to one peer.
 #[derive(Debug)]
 pub(crate) struct Bundle {
     pub(crate) attempt: Attempt,
     /// The positions of the parts in the request.
     pub(crate) parts: Vec<usize>,
-    /// What the peer sent.
+    /// The page that the peer returned.
     pub(crate) page: Option<Box<Page>>,
 }
 
 impl Core {
-    /// Begins a request: parts that are best asked for elsewhere go there, the others are asked for here.
-    pub(crate) fn begin(
+    /// Starts a request: delegates the parts that are better queried by peers and dispatches the
+    /// others.
+    pub(crate) fn start_request(
         &mut self,
         now: Instant,
         request: &mut ActiveRequest,
         out: &mut Vec<Action>,
     ) {
         let route = Arc::clone(&request.route);
-        self.times(&route);
-        request.parts = self.parts_of(&route, request.only.as_deref());
+        self.route_times(&route);
+        request.parts = self.parts_of(&route, request.shards_wanted.as_deref());
         for (peer, parts) in self.bundles_for(now, request) {
             self.send_bundle(now, request, peer, parts, out);
         }
-        for at in 0..request.parts.len() {
-            if request.parts[at].state != PartState::Bundled {
-                self.start_part(now, request, at, out);
+        for index in 0..request.parts.len() {
+            if request.parts[index].state != PartState::Bundled {
+                self.start_part(now, request, index, out);
             }
         }
     }
@@ -66,12 +68,12 @@
         &mut self,
         now: Instant,
         request: &mut ActiveRequest,
-        at: usize,
+        index: usize,
         out: &mut Vec<Action>,
     ) {
-        let service = request.parts[at].service.clone();
-        self.service(&service).extra.request(now);
-        self.try_part(now, request, at, Cause::First, out);
+        let service = request.parts[index].service.clone();
+        self.service(&service).extra_budget.note_request(now);
+        self.try_part(now, request, index, Cause::First, out);
     }
 
     fn send_bundle(
@@ -91,13 +93,13 @@
         let Some(view) = self.servers.get_mut(peer) else {
             return;
         };
-        view.begun(now, id);
-        let place = &view.entry.data_centre;
-        let transit = self
+        view.on_dispatched(now, id);
+        let data_centre = &view.entry.data_centre;
+        let round_trip = self
             .delegation_times
-            .round_trip(place, self.round_trips.round_trip(place));
-        for at in &parts {
-            request.parts[*at].state = PartState::Bundled;
+            .round_trip(data_centre, self.round_trips.round_trip(data_centre));
+        for index in &parts {
+            request.parts[*index].state = PartState::Bundled;
         }
         let on_time = request.objective_at.saturating_duration_since(now);
         let others = request.parts.len() - parts.len();
@@ -107,7 +109,7 @@
         } else {
             OPTIONAL_PEER_GRACE
         };
-        let attempt_timeout = (on_time + grace).min(request.left(now));
+        let attempt_timeout = (on_time + grace).min(request.time_left(now));
         out.push(Action::Send(Dispatch {
             attempt: id,
             server: Arc::clone(&view.entry),
@@ -120,19 +122,22 @@
             delegation: Some(Delegation {
                 host: request.req.host.clone(),
                 route: request.route.fingerprint(),
-                on_time: on_time.saturating_sub(transit),
-                latest: attempt_timeout.saturating_sub(transit),
+                on_time: on_time.saturating_sub(round_trip),
+                latest: attempt_timeout.saturating_sub(round_trip),
                 parts_wanted,
-                shards: parts.iter().map(|at| request.parts[*at].shard).collect(),
+                shards: parts
+                    .iter()
+                    .map(|index| request.parts[*index].shard)
+                    .collect(),
                 hops: request.hops + 1,
             }),
         }));
         let attempt = Attempt {
             server: peer,
-            at: now,
-            state: AttemptState::Live,
+            dispatched_at: now,
+            state: AttemptState::InFlight,
             cause: Cause::First,
-            rounds: 0.0,
+            rounds_ahead: 0.0,
             ended: None,
         };
         request.bundles.push(Bundle {
@@ -144,8 +149,8 @@
         self.arm(request, request.objective_at);
     }
 
-    /// Takes in the end of a bundle.
-    pub(crate) fn bundle_ended(
+    /// Handles the end of a bundle.
+    pub(crate) fn on_bundle_ended(
         &mut self,
         now: Instant,
         request: &mut ActiveRequest,
@@ -161,53 +166,53 @@
             AttemptEnd::NotSent | AttemptEnd::Shed(_) | AttemptEnd::Overloaded(_) => {
                 AttemptState::NotRun
             }
-            _ => AttemptState::Ran,
+            _ => AttemptState::MayHaveRun,
         };
         bundle.attempt.ended = Some((now, (&end).into()));
-        let (server, begun) = (bundle.attempt.server, bundle.attempt.at);
+        let (server, begun) = (bundle.attempt.server, bundle.attempt.dispatched_at);
         let parts = bundle.parts.clone();
         let route = request.route.name.clone();
         if let AttemptEnd::Paged(_, Some(held)) = end {
-            self.note_transit(server, now - begun, held);
+            self.note_delegation_time(server, now - begun, held);
         }
         self.update_server_health(now, server, id, (begun, 0.0), &route, &end);
         match end {
-            AttemptEnd::Paged(page, _) if is_sound(request, &parts, &page) => {
-                self.take_page(now, request, usize::from(id.attempt), page, out);
+            AttemptEnd::Paged(page, _) if is_consistent(request, &parts, &page) => {
+                self.apply_page(now, request, usize::from(id.attempt), page, out);
             }
             AttemptEnd::Overloaded(retry) => {
-                // Whoever asks for the parts has no room for them; asked for here, they would only add to
-                // the load that they were refused for.
+                // The peer has no capacity for the parts. Querying the servers from here would only
+                // add to the load for which it refused them.
                 request.retry_after = Some(retry);
-                for at in parts {
-                    self.abandon_part(request, at, AbandonReason::PeerFull);
+                for index in parts {
+                    self.abandon_part(request, index, AbandonReason::PeerFull);
                 }
             }
-            // Nothing of it has reached a server.
+            // None of the parts has reached a server.
             AttemptEnd::NotSent | AttemptEnd::Shed(_) => {
                 self.counters.bundles_failed += 1;
-                for at in parts {
-                    self.start_part(now, request, at, out);
+                for index in parts {
+                    self.start_part(now, request, index, out);
                 }
             }
             _ => {
                 self.counters.bundles_failed += 1;
-                for at in parts {
-                    request.parts[at].possible_servers = PossibleServers::Unknown;
-                    self.try_part(now, request, at, Cause::Retry, out);
+                for index in parts {
+                    request.parts[index].possible_servers = PossibleServers::Unknown;
+                    self.try_part(now, request, index, Cause::Retry, out);
                 }
             }
         }
     }
 
-    fn note_transit(&mut self, peer: ServerKey, took: Duration, held: Duration) {
+    fn note_delegation_time(&mut self, peer: ServerKey, took: Duration, held: Duration) {
         if let Some(view) = self.servers.get(peer) {
             self.delegation_times
                 .observe(&view.entry.data_centre, took, held);
         }
     }
 
-    fn take_page(
+    fn apply_page(
         &mut self,
         now: Instant,
         request: &mut ActiveRequest,
@@ -216,34 +221,39 @@
         out: &mut Vec<Action>,
     ) {
         let mut missing = Vec::with_capacity(page.missing.len());
-        for at in request.bundles[n].parts.clone() {
-            let part = &mut request.parts[at];
+        for index in request.bundles[n].parts.clone() {
+            let part = &mut request.parts[index];
             if let Some(m) = page.missing.iter().find(|m| m.shard == part.shard) {
                 part.possible_servers = m.possible_servers.clone();
-                missing.push(at);
+                missing.push(index);
             } else {
-                part.state = PartState::Whole;
-                request.whole += 1;
+                part.state = PartState::Complete;
+                request.complete += 1;
             }
         }
         if !page.stamps.is_empty() {
-            self.survived_elsewhere(request);
+            self.note_survived_at_peer(request);
         }
         request.bundles[n].page = Some(page);
-        // The peer has waited for them; they are of use only below the least coverage.
-        let is_enough = request.whole >= request.parts_wanted;
-        for at in missing {
+        // The peer has already waited for them, so they are retried only if fewer than the wanted
+        // parts are complete.
+        let is_enough = request.complete >= request.parts_wanted;
+        for index in missing {
             if is_enough {
-                self.abandon_part(request, at, AbandonReason::Enough);
+                self.abandon_part(request, index, AbandonReason::Enough);
             } else {
-                self.try_part(now, request, at, Cause::Retry, out);
+                self.try_part(now, request, index, Cause::Retry, out);
             }
         }
     }
 }
 
-/// Whether a page tells of each part that was asked for, and of no other.
-fn is_sound(request: &ActiveRequest, parts: &[usize], page: &Page) -> bool {
-    let is_ours = |m: &Missing| parts.iter().any(|at| request.parts[*at].shard == m.shard);
+/// Returns whether a page accounts for each requested part and for no other.
+fn is_consistent(request: &ActiveRequest, parts: &[usize], page: &Page) -> bool {
+    let is_ours = |m: &Missing| {
+        parts
+            .iter()
+            .any(|index| request.parts[*index].shard == m.shard)
+    };
     page.stamps.len() + page.missing.len() == parts.len() && page.missing.iter().all(is_ours)
 }
--- a/crates/relay/src/coalesce_delay.rs
+++ b/crates/relay/src/coalesce_delay.rs
@@ -1,83 +1,86 @@
-//! How long a VM pauses between two looks at what has changed in the register.
+//! Delays the next poll of register changes, so that one call fetches several changes.
 //!
-//! The load it answers: hundreds of servers that register, leave or are replaced in a series, each a change
-//! that every VM of a fleet would fetch with a call of its own.
+//! Hundreds of servers register, leave or are replaced in a series, and every VM of a fleet would
+//! fetch each change with a call of its own.
 
 use std::time::Duration;
 
-/// The shortest pause after a look that brought something.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(200);
+/// The shortest delay after a poll that returned changes.
+const DELAY_MIN: Duration = Duration::from_millis(200);
 
-/// The part of the time that a leaving server goes on serving which a pause may take: together with the time
-/// for which a vanished server is kept it stays within that.
-const LONGEST_PART: f64 = 0.4;
+/// Fraction of the drain time of a leaving server that a delay may take: together with the time for
+/// which a server with a missing entry is kept, it stays within the drain time.
+const DELAY_MAX_FRACTION: f64 = 0.4;
 
-/// The part of the longest pause with which pauses begin. Changes come in series, as servers are replaced in
-/// turn or an index is cut anew; begun with a short pause, each series costs every VM a call more for each
-/// doubling.
-const BEGIN_PART: f64 = 0.5;
+/// Fraction of the longest delay with which delays begin. Changes come in series, when servers are
+/// replaced in turn or an index is repartitioned; with a short initial delay, each series would
+/// cost every VM one more call for each doubling.
+const INITIAL_DELAY_FRACTION: f64 = 0.5;
 
-/// The longest pause while a fleet starts for the first time: all servers register at once, and there are no
-/// callers yet. Pauses then begin with the shortest, as VMs that learn of all servers in the same moment
-/// connect to them in the same moment.
-const LONGEST_AT_START: Duration = Duration::from_millis(2500);
+/// The longest delay while a fleet starts for the first time: all servers register at once, and
+/// there are no callers yet. Delays then begin with the shortest one, as VMs that learn of all
+/// servers at the same moment also connect to them at the same moment.
+const START_DELAY_MAX: Duration = Duration::from_millis(2500);
 
-/// How long a start takes.
-const START_TIME: Duration = Duration::from_secs(8);
+/// How long the start of a fleet takes.
+const START_DURATION: Duration = Duration::from_secs(8);
 
-/// A look that waited so long before it brought something ends a series of changes.
+/// Changes that arrive after a wait of at least this length begin a new series.
 const QUIET_AFTER: Duration = Duration::from_secs(2);
 
-/// The pauses between looks that bring something: they double while a series of changes goes on.
+/// Delay between polls that return changes; it doubles while a series of changes continues.
 #[derive(Clone, Copy, Debug)]
 pub struct CoalesceDelay {
-    longest: Duration,
-    longest_at_start: Duration,
+    delay_max: Duration,
+    start_delay_max: Duration,
     delay: Duration,
 }
 
 impl CoalesceDelay {
-    /// The pauses of a process, by how long a leaving server goes on serving.
+    /// Creates the delay of a process from the time for which a leaving server continues to serve.
     #[must_use]
     pub fn new(drain: Duration, first_start: bool) -> Self {
-        let longest = drain.mul_f64(LONGEST_PART).max(SHORTEST_PAUSE);
+        let delay_max = drain.mul_f64(DELAY_MAX_FRACTION).max(DELAY_MIN);
         Self {
-            longest,
-            longest_at_start: if first_start {
-                LONGEST_AT_START
+            delay_max,
+            start_delay_max: if first_start {
+                START_DELAY_MAX
             } else {
-                longest
+                delay_max
             },
             delay: Duration::ZERO,
         }
     }
 
-    /// The pause before the next look.
+    /// Returns the delay before the next poll.
     #[must_use]
     pub fn delay(&self) -> Duration {
         self.delay
     }
 
-    /// Everything was listed, or a look brought nothing or a part of what there is: the next one follows at
-    /// once.
+    /// Resets the delay to zero after a complete listing, or a poll that returned nothing or only a
+    /// part of the changes.
     ///
-    /// Kept over an outage, a pause of before it would delay the first look after it, and a server that left
-    /// meanwhile would get work for that much longer.
+    /// A delay kept over an outage would postpone the first poll after it, and a server that left
+    /// meanwhile would receive requests for that much longer.
     pub fn reset(&mut self) {
         self.delay = Duration::ZERO;
     }
 
-    /// A look that waited so long brought something.
+    /// Updates the delay after a poll that waited for `waited` and returned changes.
     pub fn on_changes(&mut self, waited: Duration, since_start: Duration) {
-        let (begin, longest) = if since_start < START_TIME {
-            (SHORTEST_PAUSE, self.longest_at_start)
+        let (initial, delay_max) = if since_start < START_DURATION {
+            (DELAY_MIN, self.start_delay_max)
         } else {
-            (self.longest.mul_f64(BEGIN_PART), self.longest)
+            (
+                self.delay_max.mul_f64(INITIAL_DELAY_FRACTION),
+                self.delay_max,
+            )
         };
         self.delay = if waited >= QUIET_AFTER {
-            begin
+            initial
         } else {
-            (self.delay * 2).clamp(begin, longest)
+            (self.delay * 2).clamp(initial, delay_max)
         };
     }
 }
--- a/crates/relay/src/completion.rs
+++ b/crates/relay/src/completion.rs
@@ -1,62 +1,63 @@
-//! Whole or on time: when a fan-out's answer goes out.
+//! Decides when a fan-out returns its page: when it is complete, or at the objective.
 //!
-//! The load it answers: one shard in many pauses for longer than the objective, or has lost all of
-//! its replicas. A page earns by the square of its coverage while it is on time and next to nothing
-//! later, so the last parts are worth waiting for until the objective and not beyond it.
+//! Among many shards one often stalls for longer than the objective or has lost all its replicas.
+//! The value of a page is the square of its coverage while it is on time and next to nothing later,
+//! so waiting for the last parts pays until the objective and not beyond it.
 
 use std::time::Instant;
 
-/// What is known of a request's parts.
+/// Progress of a request's parts.
 #[derive(Clone, Copy, Debug)]
 pub struct Progress {
-    /// Parts asked for.
+    /// Number of parts requested.
     pub parts: usize,
-    /// Parts that are in.
-    pub whole: usize,
-    /// Parts given up.
-    pub missing: usize,
+    /// Number of parts with an answer.
+    pub complete: usize,
+    /// Number of parts abandoned.
+    pub abandoned: usize,
     /// The fewest parts that make an answer.
     pub parts_min: usize,
-    /// The fewest parts that are of use to whoever asks; with fewer it waits beyond the objective.
+    /// The fewest parts that are of use to the caller or the delegating VM; with fewer, the request
+    /// waits beyond the objective.
     pub parts_wanted: usize,
-    /// When an answer within the objective must leave.
+    /// When an answer must be sent to meet the objective.
     pub objective_at: Instant,
-    /// When the final word leaves at the latest.
+    /// When the final response must be sent at the latest.
     pub answer_by: Instant,
 }
 
-/// What is to be done with a request now.
+/// What to do with a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CompletionDecision {
-    /// More may come in time.
+    /// More parts may arrive in time.
     Wait,
-    /// Answer with what is in.
+    /// Answer with the parts that have arrived.
     Deliver,
-    /// It cannot come to an answer any more.
+    /// The request can no longer be answered.
     Fail,
 }
 
-/// Decides whether to wait, to answer or to fail.
+/// Decides whether a request waits, is answered or fails.
 ///
-/// Fails as soon as too many parts are given up, rather than when the time is up: whoever asked can
-/// then ask again while there is time. A peer, to which fewer parts than it wants are of little use but never
-/// none, then gets those that are in.
+/// A request fails as soon as too many parts are abandoned, not at its time limit, so that the
+/// caller still has time to retry. A delegating VM has little use for fewer parts than it wants,
+/// but some; it receives those that have arrived.
 #[must_use]
 pub fn decide_completion(now: Instant, p: &Progress) -> CompletionDecision {
-    let open = p.parts - p.whole - p.missing;
-    let can_come = p.whole + open;
+    let open = p.parts - p.complete - p.abandoned;
+    let can_come = p.complete + open;
     if can_come < p.parts_min {
         return CompletionDecision::Fail;
     }
     let is_all = open == 0 || can_come < p.parts_wanted;
-    let is_enough = p.whole >= p.parts_wanted && now >= p.objective_at;
+    let is_enough = p.complete >= p.parts_wanted && now >= p.objective_at;
     if is_all || is_enough {
         return CompletionDecision::Deliver;
     }
     if now < p.answer_by {
         return CompletionDecision::Wait;
     }
-    if p.whole >= p.parts_min {
+    if p.complete >= p.parts_min {
         CompletionDecision::Deliver
     } else {
         CompletionDecision::Fail
--- a/crates/relay/src/connection_shares.rs
+++ b/crates/relay/src/connection_shares.rs
@@ -1,8 +1,9 @@
-//! How many connections this VM holds to each backend server.
+//! Computes how many connections this VM holds to each backend server.
 //!
-//! The load it answers: a server accepts so many connections from everyone and resets what is beyond,
-//! so with tens of VMs and hundreds of servers not every VM can hold one to each. Those that run
-//! fan-outs share most of what the shards accept; all others keep to one, for when no peer is there.
+//! A server accepts a limited number of connections from all VMs together and resets those beyond
+//! it, so with tens of VMs and hundreds of servers not every VM can hold one to each. The VMs that
+//! run fan-outs share most of the connections that the shards accept; all others keep one, for when
+//! no peer is available.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -20,67 +21,70 @@
 use crate::table::ServiceDecl;
 
 /// Connections to a server whose service no route names.
-const UNDECLARED: Connections = Connections(1);
+const UNDECLARED_CONNECTIONS_MAX: Connections = Connections(1);
 
-/// Connections held open to each server in this VM's data centre, if its share allows.
-const WARM_NEAR: u32 = 2;
+/// Connections kept open to each server in this VM's data centre, if its share allows.
+const LOCAL_CONNECTIONS_MIN: u32 = 2;
 
-/// Connections held open to each server elsewhere.
-const WARM_FAR: u32 = 1;
+/// Connections kept open to each server in another data centre.
+const REMOTE_CONNECTIONS_MIN: u32 = 1;
 
-/// Who shares the connections to servers with this VM.
+/// This VM's shares of the connections to servers.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionShares {
     /// Services that are shards of a fan-out.
     shards: HashSet<ServiceName>,
     /// All services that a route names.
     routed: HashSet<ServiceName>,
-    /// Whether the VMs are known; before, each VM keeps to one connection to a server, as all of a
-    /// fleet that starts together would else open more than the servers accept.
+    /// Whether the VMs are known. Until then a VM keeps to one connection per server, because a
+    /// fleet that starts together would otherwise open more connections than the servers accept.
     knows_vms: bool,
     /// Whether this VM runs fan-outs.
-    runs: bool,
-    /// The names of those that do.
-    names: HashSet<VmId>,
-    /// VMs that run fan-outs.
-    fan_out_vms: Headcount,
-    /// All VMs.
-    all: Headcount,
-    /// The servers that this VM uses of services that accept fewer connections than there are VMs.
+    runs_fan_outs: bool,
+    /// The names of the VMs that run fan-outs.
+    fan_out_vm_names: HashSet<VmId>,
+    /// Number of VMs that run fan-outs.
+    fan_out_vms: VmCount,
+    /// Number of all VMs.
+    all_vms: VmCount,
+    /// The subset of servers that this VM uses, for services whose servers accept fewer connections
+    /// each than there are VMs.
     subsets: HashMap<ServiceName, HashSet<ServerName>>,
-    /// Services, other than shards, that accept fewer connections in all than there are VMs.
+    /// Services, other than shards, whose servers together accept fewer connections than there are
+    /// VMs.
     scarce: HashSet<ServiceName>,
 }
 
-/// How many VMs there are.
+/// A number of VMs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Headcount {
-    /// Those that are listed.
+struct VmCount {
+    /// VMs that are listed.
     listed: u32,
-    /// Those that may be there, some that have just been added included.
+    /// VMs that may exist, including some that have just been added.
     vms_max: u32,
 }
 
-impl Default for Headcount {
+impl Default for VmCount {
     fn default() -> Self {
         Self::of(1)
     }
 }
 
-impl Headcount {
+impl VmCount {
     fn of(listed: usize) -> Self {
         Self {
-            // There are far fewer VMs than 2^32.
+            // There are far fewer than 2^32 VMs.
             listed: (listed as u32).max(1),
             vms_max: PeerVms::vms_max(listed).max(1),
         }
     }
 
-    /// The part of so many connections that is each listed VM's.
+    /// Returns the share of the given connections that each listed VM gets.
     ///
-    /// One that is not listed yet keeps to a single connection until it knows the others, so no more is
-    /// held back for it. A whole part each held back left a third of what servers accept unused, and a
-    /// second attempt was not made where the few connections to the other replica were busy.
+    /// A VM that is not listed yet uses a single connection until it knows the others, so only one
+    /// is reserved for it. With a full share reserved for each, a third of the connections that
+    /// servers accept stayed unused, and no second attempt was made when the few connections to the
+    /// other replica were busy.
     fn share_of(self, connections: f64) -> f64 {
         let unlisted = self.vms_max - self.listed;
         (connections - f64::from(unlisted)) / f64::from(self.listed)
@@ -101,72 +105,73 @@
                 shards,
                 routed,
                 knows_vms: false,
-                runs: true,
-                names: HashSet::new(),
-                fan_out_vms: Headcount::of(core.options.peers as usize),
-                all: Headcount::of(core.options.peers as usize),
+                runs_fan_outs: true,
+                fan_out_vm_names: HashSet::new(),
+                fan_out_vms: VmCount::of(core.options.peers as usize),
+                all_vms: VmCount::of(core.options.peers as usize),
                 subsets: HashMap::new(),
                 scarce: HashSet::new(),
             };
         }
         let declared = core.table.iter().flat_map(|t| t.services_of(&shards));
-        let least = declared.map(|s| s.connections).min();
-        let fan_out_vms = choose_fan_out_vms(&core.peer_vms, least);
+        let connections = declared.map(|s| s.connections).min();
+        let fan_out_vms = choose_fan_out_vms(&core.peer_vms, connections);
         let names: HashSet<VmId> = fan_out_vms.iter().map(|vm| vm.name.clone()).collect();
         let (subsets, scarce) = subsets(core, routed.difference(&shards));
         Self {
             shards,
             routed,
             knows_vms: true,
-            runs: names.contains(&core.options.vm),
-            names,
-            fan_out_vms: Headcount::of(fan_out_vms.len()),
-            all: Headcount::of(core.peer_vms.vms().len()),
+            runs_fan_outs: names.contains(&core.options.vm),
+            fan_out_vm_names: names,
+            fan_out_vms: VmCount::of(fan_out_vms.len()),
+            all_vms: VmCount::of(core.peer_vms.vms().len()),
             subsets,
             scarce,
         }
     }
 
-    /// Whether this VM asks for parts by itself.
+    /// Returns whether this VM queries shards itself.
     pub(crate) fn runs_fan_outs(&self) -> bool {
-        self.runs
+        self.runs_fan_outs
     }
 
-    /// Whether a VM runs fan-outs.
+    /// Returns whether the given VM runs fan-outs.
     pub(crate) fn is_fan_out_vm(&self, vm: &PeerVm) -> bool {
-        !self.knows_vms || self.names.contains(&vm.name)
+        !self.knows_vms || self.fan_out_vm_names.contains(&vm.name)
     }
 
-    /// The VMs that send to the servers of a route.
+    /// Returns the number of VMs that send to the servers of a route.
     pub(crate) fn sending_vms(&self, is_scatter: bool) -> u32 {
-        let head = if is_scatter {
+        let count = if is_scatter {
             self.fan_out_vms
         } else {
-            self.all
+            self.all_vms
         };
-        head.listed
+        count.listed
     }
 
-    /// Whether this VM sends to a server while others of its service are there.
+    /// Returns whether a server is one that this VM prefers; the others of its service are used
+    /// only if no preferred one is available.
     pub(crate) fn is_in_subset(&self, server: &ServerEntry) -> bool {
         let subset = self.subsets.get(&server.service);
         subset.is_none_or(|names| names.contains(&server.name))
     }
 
-    /// The most connections to a server of a service.
+    /// Returns the most connections to hold to a server of a service.
     pub(crate) fn connections_max(
         &self,
         decl: Option<&ServiceDecl>,
         service: &ServiceName,
     ) -> Connections {
         let Some(limit) = decl.map(|s| f64::from(s.connections.0)) else {
-            return UNDECLARED;
+            return UNDECLARED_CONNECTIONS_MAX;
         };
         let share = if !self.knows_vms {
             1.0
         } else if !self.shards.contains(service) {
-            self.all.share_of(limit)
-        } else if self.runs {
+            self.all_vms.share_of(limit)
+        } else if self.runs_fan_outs {
             self.fan_out_vms.share_of(limit * self.fan_out_fraction())
         } else {
             1.0
@@ -174,10 +179,11 @@
         Connections((share as u32).max(1))
     }
 
-    /// Whether this VM keeps a connection to a server of a service once its request has ended.
+    /// Returns whether this VM keeps a connection to a server of a service after its request has
+    /// ended.
     ///
-    /// Where there are not enough for one each, a VM that keeps an idle one takes it from another, whose new
-    /// connection the server resets under its request.
+    /// If there are fewer connections than VMs, an idle connection of one VM takes the place of
+    /// another's: the server resets that one's new connection together with the request on it.
     pub(crate) fn keeps_idle_connection(
         &self,
         decl: Option<&ServiceDecl>,
@@ -189,53 +195,54 @@
         if !self.shards.contains(service) {
             return !self.scarce.contains(service);
         }
-        // The servers of a shard leave few to the VMs that run no fan-outs.
+        // The servers of a shard reserve few connections for the VMs that run no fan-outs.
         let left = decl.map_or(0.0, |s| {
             f64::from(s.connections.0) * (1.0 - FAN_OUT_FRACTION)
         });
-        let others = self.all.listed.saturating_sub(self.fan_out_vms.listed);
-        self.runs || f64::from(others) <= left
+        let others = self.all_vms.listed.saturating_sub(self.fan_out_vms.listed);
+        self.runs_fan_outs || f64::from(others) <= left
     }
 
-    /// This VM's part of the extra attempts that a service allows all VMs besides.
+    /// Returns this VM's share of the extra attempts that a service allows to all VMs in addition
+    /// to the ratio.
     pub(crate) fn slack_share(&self, service: &ServiceName) -> f64 {
-        let all = f64::from(self.all.vms_max.max(1));
+        let all_vms = f64::from(self.all_vms.vms_max.max(1));
         if !self.shards.contains(service) {
-            return 1.0 / all;
+            return 1.0 / all_vms;
         }
-        if self.runs {
+        if self.runs_fan_outs {
             self.fan_out_fraction() / f64::from(self.fan_out_vms.vms_max.max(1))
         } else {
-            (1.0 - FAN_OUT_FRACTION) / all
+            (1.0 - FAN_OUT_FRACTION) / all_vms
         }
     }
 
     fn fan_out_fraction(&self) -> f64 {
-        if self.fan_out_vms == self.all {
+        if self.fan_out_vms == self.all_vms {
             1.0
         } else {
             FAN_OUT_FRACTION
         }
     }
 
-    /// Connections to hold open to a server of a service.
+    /// Returns the number of connections to keep open to a server of a service.
     ///
-    /// The servers of a new cut of an index register before routes name them. All VMs connected to them then
-    /// are more than they accept, and each connection takes a slot for a moment; those that will run fan-outs
-    /// are enough.
+    /// The servers of a repartitioned index register before routes name them. Connections from all
+    /// VMs would then exceed what the servers accept, and each connection occupies a slot for a
+    /// moment; connections from the VMs that will run fan-outs are enough.
     pub(crate) fn connections_min(&self, service: &ServiceName, is_near: bool) -> Connections {
-        let is_for_runners = self.shards.contains(service) || !self.routed.contains(service);
-        let is_idle = !self.knows_vms || (is_for_runners && !self.runs);
+        let is_for_fan_outs = self.shards.contains(service) || !self.routed.contains(service);
+        let is_idle = !self.knows_vms || (is_for_fan_outs && !self.runs_fan_outs);
         Connections(match is_near {
             _ if is_idle || self.scarce.contains(service) => 0,
-            true => WARM_NEAR,
-            false => WARM_FAR,
+            true => LOCAL_CONNECTIONS_MIN,
+            false => REMOTE_CONNECTIONS_MIN,
         })
     }
 }
 
-/// The servers that this VM uses of each of these services that has too few connections for all VMs, and the
-/// services whose servers have too few together.
+/// Returns, for the services whose servers accept too few connections each for all VMs, the servers
+/// that this VM uses, and the set of services whose servers accept too few together.
 fn subsets<'a>(
     core: &Core,
     services: impl Iterator<Item = &'a ServiceName>,
--- a/crates/relay/src/counters.rs
+++ b/crates/relay/src/counters.rs
@@ -1,8 +1,8 @@
-//! Running totals, for metrics.
+//! Running totals for metrics.
 
 use serde::Serialize;
 
-/// What the relay counted since it started.
+/// Totals since the relay started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counters {
     /// Requests that arrived.
@@ -15,24 +15,24 @@
     pub late: u64,
     /// Pages without every shard.
     pub partial: u64,
-    /// Callers that hung up first.
+    /// Requests whose caller disconnected before the response.
     pub gone: u64,
-    /// Bundles of parts left to other VMs.
+    /// Bundles of parts delegated to other VMs.
     pub bundles: u64,
-    /// Bundles that came to nothing.
+    /// Bundles that failed.
     pub bundles_failed: u64,
     /// Attempts made.
     pub attempts: u64,
-    /// Attempts made beside a slow one.
+    /// Attempts made in parallel with a slow one.
     pub hedges: u64,
     /// Hedges that answered first.
     pub hedges_won: u64,
     /// Attempts made after one that failed.
     pub retries: u64,
-    /// Extra attempts wanted and not made, as the budget was used up.
+    /// Extra attempts not made because the budget was used up.
     pub extra_refused: u64,
     /// Attempts that servers refused for load.
     pub sheds: u64,
-    /// Attempts that broke, were spoilt or came too late.
+    /// Attempts that ended with a broken connection, a malformed answer or a timeout.
     pub broken: u64,
 }
--- a/crates/relay/src/delegation.rs
+++ b/crates/relay/src/delegation.rs
@@ -1,9 +1,9 @@
-//! Which VM asks for a part.
+//! Decides which VM queries the shards of a route.
 //!
-//! The load it answers: a shard without a replica in this VM's data centre, whose parts would each be
-//! paid for on their way from another one, and a weak VM, which takes longer to put 90 parts together
-//! than the objective allows. Such parts are left to a better placed VM, which asks for all of them and
-//! sends back one page.
+//! A shard may have no replica in this VM's data centre, so that traffic between data centres would
+//! be paid for each of its parts; and a weak VM takes longer to assemble a page of 90 parts than
+//! the objective allows. Such parts are delegated to a better placed VM, which queries all of them
+//! and returns one page.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -27,72 +27,72 @@
 use crate::servers::ServerKey;
 use crate::servers::Servers;
 
-/// The service under which peers are kept beside backend servers; no route leads to it.
-const PEERS: &str = "_peers";
+/// The service under which peers are kept in the list of backend servers; no route leads to it.
+const PEER_SERVICE: &str = "_peers";
 
-/// The most VMs between a caller and a server: a weak one, a strong one beside it, and one beside the
-/// replica.
+/// The most VMs between a caller and a server: a weak VM, a strong VM in the same data centre, and
+/// one in the data centre of the replica.
 const HOPS_MAX: u8 = 2;
 
-/// The fewest parts that are worth a bundle: a page of one costs as much as its part.
-const BUNDLE_MIN: usize = 2;
+/// The fewest parts that are delegated as a bundle: a page of one part costs as much as the part.
+const BUNDLE_PARTS_MIN: usize = 2;
 
-/// How long changes are gathered before the plans are made anew.
-const REPLAN_AFTER: Duration = Duration::from_millis(200);
+/// How long changes are collected before the plans are rebuilt.
+const REBUILD_DELAY: Duration = Duration::from_millis(200);
 
-/// When it is looked again whether all peers wanted are connected.
-const RECONNECT_AFTER: Duration = Duration::from_secs(1);
+/// Interval of the checks that all wanted peers are connected.
+const RECONNECT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The most connections to a peer: hand-overs under way at the same time.
-const PEER_CONNECTIONS: Connections = Connections(16);
+/// The most connections to a peer, which is also the most bundles in flight to it.
+const PEER_CONNECTIONS_MAX: Connections = Connections(16);
 
-/// Who asks for the parts of a route.
+/// Which VMs query the shards of a route.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FanOutPlan {
-    /// For each shard, the data centre where a peer asks for it; `None` where this VM does.
+    /// For each shard, the data centre whose VMs query it; `None` if this VM does.
     shards: Vec<Option<DataCentre>>,
-    /// The peers of each of these data centres.
+    /// The VMs to delegate to in each of these data centres.
     peers: HashMap<DataCentre, Vec<ServerName>>,
 }
 
 impl Core {
-    /// Notes that routes, servers or VMs have changed.
+    /// Schedules a rebuild of the plans after a change of routes, servers or VMs.
     ///
-    /// A repartition brings hundreds of servers in a moment; made anew for each of them, the plans would
-    /// hold up a weak VM's requests.
+    /// A repartition adds hundreds of servers at once. Rebuilding the plans for each of them would
+    /// delay the requests of a weak VM.
     pub(crate) fn mark_plans_stale(&mut self, now: Instant) {
         self.are_plans_stale = true;
-        let at = now + REPLAN_AFTER;
-        self.replan_at = Some(self.replan_at.map_or(at, |planned| planned.min(at)));
+        let at = now + REBUILD_DELAY;
+        self.rebuild_plans_at = Some(self.rebuild_plans_at.map_or(at, |planned| planned.min(at)));
     }
 
-    /// Notes that a peer that is wanted may no longer be connected.
-    pub(crate) fn peer_lost(&mut self, now: Instant) {
-        let at = now + RECONNECT_AFTER;
-        self.replan_at = Some(self.replan_at.map_or(at, |planned| planned.min(at)));
+    /// Schedules a check of the connections to the wanted peers, of which one may have been lost.
+    pub(crate) fn on_peer_connection_lost(&mut self, now: Instant) {
+        let at = now + RECONNECT_INTERVAL;
+        self.rebuild_plans_at = Some(self.rebuild_plans_at.map_or(at, |planned| planned.min(at)));
     }
 
-    /// Makes the plans anew if it is time, and connects to the peers that they name.
+    /// Rebuilds the plans if that is due, and connects to the peers that they name.
     pub(crate) fn rebuild_plans(&mut self, now: Instant, out: &mut Vec<Action>) {
-        if self.replan_at.is_none_or(|at| at > now) {
+        if self.rebuild_plans_at.is_none_or(|at| at > now) {
             return;
         }
-        self.replan_at = None;
+        self.rebuild_plans_at = None;
         if std::mem::take(&mut self.are_plans_stale) {
             self.assign_connections(out);
-            self.make_plans();
+            self.build_plans();
         }
         self.connect_peers(now, out);
     }
 
-    fn make_plans(&mut self) {
+    fn build_plans(&mut self) {
         let Some(table) = self.table.clone() else {
             return;
         };
         self.plans.clear();
         let mut peers: BTreeSet<ServerName> = BTreeSet::new();
         for route in table.routes().filter(|r| r.is_scatter()) {
-            let plan = self.make_plan(route);
+            let plan = self.build_plan(route);
             peers.extend(plan.peers.values().flatten().cloned());
             log::debug!(
                 "event=plan route={} version={} vms={} shards_elsewhere={} peers={}",
@@ -107,9 +107,10 @@
         self.peers_wanted = peers;
     }
 
-    /// Connects to the peers that are wanted and not connected, and looks again after a while.
+    /// Connects to the wanted peers that are not connected, and schedules the next check if there
+    /// are any.
     fn connect_peers(&mut self, now: Instant, out: &mut Vec<Action>) {
-        let mut is_one_away = false;
+        let mut is_any_unconnected = false;
         for name in &self.peers_wanted {
             let Some(view) = self.servers.by_name(name) else {
                 continue;
@@ -117,32 +118,32 @@
             if view.is_connected() {
                 continue;
             }
-            is_one_away = true;
+            is_any_unconnected = true;
             out.push(Action::Connect {
                 server: Arc::clone(&view.entry),
                 connections_min: Connections(1),
-                connections_max: PEER_CONNECTIONS,
+                connections_max: PEER_CONNECTIONS_MAX,
             });
         }
-        if is_one_away {
-            self.replan_at = Some(now + RECONNECT_AFTER);
+        if is_any_unconnected {
+            self.rebuild_plans_at = Some(now + RECONNECT_INTERVAL);
         }
     }
 
-    /// Takes in the VMs that are there.
+    /// Applies a new list of the announced VMs.
     pub(crate) fn on_vms(&mut self, now: Instant, vms: Vec<PeerVm>, out: &mut Vec<Action>) {
         let peers: Vec<ServerEntry> = vms
             .iter()
             .filter(|vm| vm.name != self.options.vm)
             .filter_map(peer_entry)
             .collect();
-        let gone: Vec<ServerName> = self
+        let removed: Vec<ServerName> = self
             .peers_known
             .iter()
             .filter(|name| !peers.iter().any(|p| p.name == **name))
             .cloned()
             .collect();
-        for name in gone {
+        for name in removed {
             self.peers_known.remove(&name);
             self.remove(&name, out);
         }
@@ -154,7 +155,7 @@
                 .is_some_and(|v| *v.entry == entry);
             if !is_same {
                 self.servers.register(now, Arc::new(entry));
-                self.servers.set_connections(&name, PEER_CONNECTIONS);
+                self.servers.set_connections(&name, PEER_CONNECTIONS_MAX);
                 self.peers_known.insert(name);
             }
         }
@@ -162,83 +163,88 @@
         self.mark_plans_stale(now);
     }
 
-    fn make_plan(&self, route: &Route) -> FanOutPlan {
+    fn build_plan(&self, route: &Route) -> FanOutPlan {
         let Target::Scatter(scatter) = &route.target else {
             return FanOutPlan::default();
         };
         if !self.connection_shares.runs_fan_outs() {
-            return self.plan_of_weak(scatter.shards.len());
+            return self.plan_for_weak_vm(scatter.shards.len());
         }
         let mut plan = FanOutPlan::default();
         for shard in &scatter.shards {
-            let place = self.place_of(shard);
-            if let Some(place) = &place
-                && !plan.peers.contains_key(place)
+            let data_centre = self.peer_data_centre(shard);
+            if let Some(data_centre) = &data_centre
+                && !plan.peers.contains_key(data_centre)
             {
-                plan.peers.insert(place.clone(), self.strong_in(place));
+                plan.peers
+                    .insert(data_centre.clone(), self.fan_out_vms_in(data_centre));
             }
-            plan.shards.push(place);
+            plan.shards.push(data_centre);
         }
         plan
     }
 
-    /// A weak VM leaves everything to the strong ones nearest to it.
-    fn plan_of_weak(&self, shards: usize) -> FanOutPlan {
+    /// Returns the plan of a weak VM, which delegates all shards to the fan-out VMs nearest to it.
+    fn plan_for_weak_vm(&self, shards: usize) -> FanOutPlan {
         let strong = self
             .peer_vms
             .vms()
             .iter()
             .filter(|vm| self.connection_shares.is_fan_out_vm(vm));
         let near = strong.filter(|vm| vm.region == self.options.region);
-        let places: BTreeSet<&DataCentre> = near.map(|vm| &vm.data_centre).collect();
+        let data_centres: BTreeSet<&DataCentre> = near.map(|vm| &vm.data_centre).collect();
         let mine = &self.options.data_centre;
-        let nearest = places.get(mine).or_else(|| places.first());
-        let Some(place) = nearest.copied().cloned() else {
+        let nearest = data_centres.get(mine).or_else(|| data_centres.first());
+        let Some(data_centre) = nearest.copied().cloned() else {
             return FanOutPlan::default();
         };
         FanOutPlan {
-            peers: [(place.clone(), self.strong_in(&place))].into(),
-            shards: vec![Some(place); shards],
+            peers: [(data_centre.clone(), self.fan_out_vms_in(&data_centre))].into(),
+            shards: vec![Some(data_centre); shards],
         }
     }
 
-    /// The data centre where a shard is best asked for; `None` if that is here.
-    fn place_of(&self, shard: &ServiceName) -> Option<DataCentre> {
+    /// Returns the data centre from which a shard is best queried; `None` if that is this VM's own.
+    fn peer_data_centre(&self, shard: &ServiceName) -> Option<DataCentre> {
         let views = self
             .servers
             .of(shard)
             .iter()
             .filter_map(|k| self.servers.get(*k));
-        let mut places: Vec<&DataCentre> = views
+        let mut data_centres: Vec<&DataCentre> = views
             .filter(|v| v.is_open())
             .map(|v| &v.entry.data_centre)
             .collect();
-        if places.contains(&&self.options.data_centre) {
+        if data_centres.contains(&&self.options.data_centre) {
             return None;
         }
-        places.retain(|place| !self.strong_in(place).is_empty());
-        // Those of the same region first; in the order of names, so that few peers get large bundles.
-        let is_far =
-            |place: &DataCentre| self.options.regions.get(place) != Some(&self.options.region);
-        places.sort_unstable_by_key(|place| (is_far(place), *place));
-        places.first().copied().cloned()
+        data_centres.retain(|data_centre| !self.fan_out_vms_in(data_centre).is_empty());
+        // Data centres of the same region first; then by name, so that few peers receive large
+        // bundles.
+        let is_other_region = |data_centre: &DataCentre| {
+            self.options.regions.get(data_centre) != Some(&self.options.region)
+        };
+        data_centres
+            .sort_unstable_by_key(|data_centre| (is_other_region(data_centre), *data_centre));
+        data_centres.first().copied().cloned()
     }
 
-    /// The strong VMs of a data centre, this one aside.
-    fn strong_in(&self, place: &DataCentre) -> Vec<ServerName> {
+    /// Returns the names of the VMs that run fan-outs in a data centre, without this one.
+    fn fan_out_vms_in(&self, data_centre: &DataCentre) -> Vec<ServerName> {
         let vms = self.peer_vms.vms().iter();
-        let there = vms.filter(|vm| vm.data_centre == *place && vm.name != self.options.vm);
+        let there = vms.filter(|vm| vm.data_centre == *data_centre && vm.name != self.options.vm);
         let strong = there.filter(|vm| self.connection_shares.is_fan_out_vm(vm));
         strong.filter_map(peer_name).collect()
     }
 
-    /// Whether a shard of a route is left to a peer.
+    /// Returns whether a shard of a route is delegated to a peer.
     pub(crate) fn is_delegated(&self, route: &Route, shard: usize) -> bool {
         let plan = self.plans.get(&route.name);
         plan.is_some_and(|p| p.shards.get(shard).is_some_and(Option::is_some))
     }
 
-    /// The bundles of a request that is about to begin.
+    /// Returns the bundles of a request that is about to start: each peer with the positions of its
+    /// parts.
     pub(crate) fn bundles_for(
         &mut self,
         now: Instant,
@@ -250,28 +256,28 @@
         let Some(plan) = self.plans.get(&request.route.name) else {
             return Vec::new();
         };
-        let mut by_place: HashMap<&DataCentre, Vec<usize>> = HashMap::new();
+        let mut by_data_centre: HashMap<&DataCentre, Vec<usize>> = HashMap::new();
         for (at, part) in request.parts.iter().enumerate() {
-            if let Some(Some(place)) = plan.shards.get(usize::from(part.shard)) {
-                by_place.entry(place).or_default().push(at);
+            if let Some(Some(data_centre)) = plan.shards.get(usize::from(part.shard)) {
+                by_data_centre.entry(data_centre).or_default().push(at);
             }
         }
         let mut bundles = Vec::new();
-        for (place, parts) in by_place {
-            let names = plan.peers.get(place).map_or(&[][..], |n| n);
-            if parts.len() >= BUNDLE_MIN
+        for (data_centre, parts) in by_data_centre {
+            let names = plan.peers.get(data_centre).map_or(&[][..], |n| n);
+            if parts.len() >= BUNDLE_PARTS_MIN
                 && let Some(peer) = choose_peer(now, &self.servers, names, &mut self.rng)
             {
                 bundles.push((peer, parts));
             }
         }
-        // A hash map's order is not the same in each run.
+        // The iteration order of a hash map differs between runs.
         bundles.sort_unstable_by(|a, b| a.1.cmp(&b.1));
         bundles
     }
 }
 
-/// The peer with the least bundles under way that can be reached.
+/// Returns the usable peer with the fewest bundles in flight; ties are broken at random.
 fn choose_peer(
     now: Instant,
     servers: &Servers,
@@ -295,7 +301,7 @@
     best.map(|(key, _)| key)
 }
 
-/// A peer's name among the servers.
+/// Returns the name of a peer in the list of servers.
 pub(crate) fn peer_name(vm: &PeerVm) -> Option<ServerName> {
     vm.name.as_str().parse().ok()
 }
@@ -303,10 +309,10 @@
 fn peer_entry(vm: &PeerVm) -> Option<ServerEntry> {
     Some(ServerEntry {
         name: peer_name(vm)?,
-        service: PEERS.parse().ok()?,
+        service: PEER_SERVICE.parse().ok()?,
         addr: vm.addr,
         data_centre: vm.data_centre.clone(),
-        slots: Slots(PEER_CONNECTIONS.0),
+        slots: Slots(PEER_CONNECTIONS_MAX.0),
         availability: Availability::Ready,
         warming: Duration::ZERO,
         born: None,
--- a/crates/relay/src/delegation_times.rs
+++ b/crates/relay/src/delegation_times.rs
@@ -1,28 +1,30 @@
-//! How long a hand-over to a peer and its page are on their way.
+//! Measures the mean network time of delegating parts to a peer and receiving its page.
 //!
-//! The load it answers: a short objective and a peer in another region. A peer that is told to answer too
-//! early sends a page without the parts that were about to come, so what the way takes is learned.
+//! With a short objective and a peer in another region, a peer whose time limit is too early
+//! returns a page without the parts that were about to arrive. The network time is therefore
+//! learned.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use gs_types::prelude::*;
 
-/// How much of a new sample goes into the mean (RFC 6298).
+/// Weight of a new sample in the mean (RFC 6298).
 const SAMPLE_WEIGHT: f64 = 1.0 / 8.0;
 
-/// How much longer than the least time seen a way is, before any hand-over was: links vary by a third.
-const FIRST_FACTOR: f64 = 1.15;
+/// Ratio of the network time to the least round-trip time before there are samples: links vary by a
+/// third.
+const INITIAL_FACTOR: f64 = 1.15;
 
-/// The mean time on the way to the peers of each data centre and back, in seconds.
+/// The mean network time to the peers of each data centre and back, in seconds.
 ///
-/// Nothing is added for what varies: a page that is a little late still meets the margin that is kept for
-/// the answer's own way, while what is added is taken from the peer's time for every page.
+/// Nothing is added for its variance: a page that is a little late is still covered by the margin
+/// for sending the answer, while any addition would shorten the peer's time for every page.
 #[derive(Debug, Default)]
 pub(crate) struct DelegationTimes(HashMap<DataCentre, f64>);
 
 impl DelegationTimes {
-    /// A page came from there after `took`, for `held` of which the peer had the request.
+    /// Records a page that arrived after `took`, of which the peer held the request for `held`.
     pub(crate) fn observe(&mut self, from: &DataCentre, took: Duration, held: Duration) {
         let secs = took.saturating_sub(held).as_secs_f64();
         match self.0.get_mut(from) {
@@ -33,9 +35,16 @@
         }
     }
 
-    /// The time on the way there and back, where the least seen is `way`.
-    pub(crate) fn round_trip(&self, data_centre: &DataCentre, way: Duration) -> Duration {
+    /// Returns the network time there and back, given the least round-trip time.
+    pub(crate) fn round_trip(
+        &self,
+        data_centre: &DataCentre,
+        round_trip_min: Duration,
+    ) -> Duration {
         let mean = self.0.get(data_centre).copied();
-        mean.map_or(way.mul_f64(FIRST_FACTOR), Duration::from_secs_f64)
+        mean.map_or(
+            round_trip_min.mul_f64(INITIAL_FACTOR),
+            Duration::from_secs_f64,
+        )
     }
 }
--- a/crates/relay/src/dispatch.rs
+++ b/crates/relay/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Hands attempts over.
+//! Dispatches attempts to servers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,47 +20,48 @@
 use crate::relay::Core;
 use crate::servers::ServerKey;
 
-/// The most attempts at one part, those that never left included.
+/// The most attempts at one part, including those that were never sent.
 const ATTEMPTS_MAX: usize = 12;
 
-/// How many objectives a part of a fan-out may take before its connection is given up: a server that
-/// went dark would else hold each connection to the end of the caller's patience.
+/// Timeout of an attempt at a part of a fan-out, as a multiple of the objective: an unresponsive
+/// server would otherwise hold each connection until the caller's timeout.
 const ATTEMPT_TIMEOUT_OBJECTIVES: u32 = 4;
 
-/// The least time before an attempt is given up; longer than two usual pauses.
+/// The shortest timeout of an attempt; longer than two usual stalls.
 const ATTEMPT_TIMEOUT_MIN: Duration = Duration::from_millis(500);
 
 impl Core {
-    /// Makes an attempt at a part if a server is free and the budget allows it.
+    /// Makes an attempt at a part if a server is available and the budget allows it; otherwise
+    /// queues or abandons the part.
     pub(crate) fn try_part(
         &mut self,
         now: Instant,
         request: &mut ActiveRequest,
-        at: usize,
+        index: usize,
         cause: Cause,
         out: &mut Vec<Action>,
     ) {
-        if request.parts[at].attempts.len() >= ATTEMPTS_MAX || now >= request.answer_by {
-            self.abandon_part(request, at, AbandonReason::UsedUp);
+        if request.parts[index].attempts.len() >= ATTEMPTS_MAX || now >= request.answer_by {
+            self.abandon_part(request, index, AbandonReason::UsedUp);
             return;
         }
         match self
             .placement_context(now, request)
-            .choose_server(&request.parts[at])
+            .choose_server(&request.parts[index])
         {
             Placement::Now(server, _) => {
-                if cause != Cause::First && !self.take_extra(now, request, at, false) {
-                    self.abandon_part(request, at, AbandonReason::Budget);
+                if cause != Cause::First && !self.take_extra_attempt(now, request, index, false) {
+                    self.abandon_part(request, index, AbandonReason::Budget);
                     return;
                 }
-                self.send(now, request, at, server, cause, out);
+                self.send(now, request, index, server, cause, out);
             }
-            Placement::Wait => self.enqueue(request, at, cause),
-            Placement::Nowhere(_) => self.abandon_part(request, at, AbandonReason::NoServer),
+            Placement::Wait => self.enqueue(request, index, cause),
+            Placement::Unavailable(_) => self.abandon_part(request, index, AbandonReason::NoServer),
         }
     }
 
-    /// What a placement for this request is made from.
+    /// Returns the input for choosing a server for this request.
     pub(crate) fn placement_context(
         &self,
         now: Instant,
@@ -69,7 +70,7 @@
         PlacementContext {
             now,
             servers: &self.servers,
-            times: &self.times[&request.route.name],
+            route_times: &self.route_times[&request.route.name],
             round_trips: &self.round_trips,
             data_centre: &self.options.data_centre,
             servers_max: request.route.servers_max,
@@ -80,74 +81,77 @@
         }
     }
 
-    /// Takes an extra attempt out of the service's budget.
-    pub(crate) fn take_extra(
+    /// Takes an extra attempt from the service's budget; returns `false` if it is used up.
+    pub(crate) fn take_extra_attempt(
         &mut self,
         now: Instant,
         request: &ActiveRequest,
-        at: usize,
-        hedge: bool,
+        index: usize,
+        is_hedge: bool,
     ) -> bool {
-        let service = request.parts[at].service.clone();
-        let taken = self.service(&service).extra.take(now, hedge);
-        if !taken {
+        let service = request.parts[index].service.clone();
+        let is_taken = self.service(&service).extra_budget.take(now, is_hedge);
+        if !is_taken {
             self.counters.extra_refused += 1;
         }
-        taken
+        is_taken
     }
 
-    /// Gives a part up.
+    /// Abandons a part for the given reason.
     pub(crate) fn abandon_part(
         &mut self,
         request: &mut ActiveRequest,
-        at: usize,
-        why: AbandonReason,
+        index: usize,
+        reason: AbandonReason,
     ) {
-        request.parts[at].state = PartState::Missing;
-        request.parts[at].abandon_reason = Some(why);
-        request.missing += 1;
+        request.parts[index].state = PartState::Abandoned;
+        request.parts[index].abandon_reason = Some(reason);
+        request.abandoned += 1;
     }
 
-    /// Hands an attempt over to the shell.
+    /// Dispatches an attempt through the I/O driver and schedules the checks of it.
     pub(crate) fn send(
         &mut self,
         now: Instant,
         request: &mut ActiveRequest,
-        at: usize,
+        index: usize,
         server: ServerKey,
         cause: Cause,
         out: &mut Vec<Action>,
     ) {
-        let left = request.left(now);
+        let time_left = request.time_left(now);
         let attempt_timeout = if request.route.is_scatter() {
             (request.route.objective * ATTEMPT_TIMEOUT_OBJECTIVES)
                 .max(ATTEMPT_TIMEOUT_MIN)
-                .min(left)
+                .min(time_left)
         } else {
-            left
+            time_left
         };
         let keep_connection =
-            request.route.is_scatter() || self.keeps_connections(&request.parts[at].service);
-        let part = &mut request.parts[at];
+            request.route.is_scatter() || self.keeps_idle_connection(&request.parts[index].service);
+        let part = &mut request.parts[index];
         let id = AttemptKey {
             lookup: request.seq,
-            // The counts are bounded far below these types' ranges.
-            part: at as u16,
+            // The counts are bounded far below the ranges of these types.
+            part: index as u16,
             attempt: part.attempts.len() as u16,
         };
         part.state = PartState::Running;
         part.attempts.push(Attempt {
             server,
-            at: now,
-            state: AttemptState::Live,
+            dispatched_at: now,
+            state: AttemptState::InFlight,
             cause,
-            rounds: self.servers.get(server).map_or(0.0, |v| v.rounds(now, 0.0)),
+            rounds_ahead: self
+                .servers
+                .get(server)
+                .map_or(0.0, |v| v.rounds_ahead(now, 0.0)),
             ended: None,
         });
         let Some(view) = self.servers.get_mut(server) else {
             return;
         };
-        view.begun(now, id);
+        view.on_dispatched(now, id);
         let is_near = view.entry.data_centre == self.options.data_centre;
         out.push(Action::Send(Dispatch {
             attempt: id,
@@ -160,20 +164,20 @@
             keep_connection,
             delegation: None,
         }));
-        self.count(request, cause);
+        self.count_attempt(request, cause);
         if !request.is_once() {
-            let delay = self.times[&request.route.name].delay(is_near);
+            let delay = self.route_times[&request.route.name].delay(is_near);
             self.arm(request, now + delay);
         }
         self.arm(request, request.objective_at.max(now));
     }
 
-    fn keeps_connections(&self, service: &ServiceName) -> bool {
+    fn keeps_idle_connection(&self, service: &ServiceName) -> bool {
         let decl = self.table.as_ref().and_then(|t| t.service(service));
         self.connection_shares.keeps_idle_connection(decl, service)
     }
 
-    fn count(&mut self, request: &mut ActiveRequest, cause: Cause) {
+    fn count_attempt(&mut self, request: &mut ActiveRequest, cause: Cause) {
         self.counters.attempts += 1;
         match cause {
             Cause::First => return,
--- a/crates/relay/src/entry.rs
+++ b/crates/relay/src/entry.rs
@@ -1,4 +1,4 @@
-//! A backend server as it registers itself.
+//! Register entry of a backend server.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,14 +7,14 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Whether a server takes work, by its own word.
+/// Whether a server accepts work, as reported by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, Serialize, Deserialize)]
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub enum Availability {
-    /// It takes work.
+    /// It accepts work.
     Ready,
-    /// It finishes what it has and leaves.
+    /// It completes the requests that it has and leaves.
     Draining,
 }
 
@@ -26,16 +26,16 @@
     pub name: ServerName,
     /// The service that it belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// Address at which it listens.
     pub addr: SocketAddr,
-    /// Where it stands.
+    /// The data centre that it runs in.
     pub data_centre: DataCentre,
-    /// Requests that it runs at the same time.
+    /// Number of requests that it executes concurrently.
     pub slots: Slots,
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub availability: Availability,
-    /// How much longer it is slow after its start, as of when it said so.
+    /// Remaining time for which it is slow after its start, as of when it reported it.
     pub warming: Duration,
-    /// Its start; tells two runs under the same name apart. `None` if it does not say.
+    /// Its start, which distinguishes incarnations of the same name. `None` if it is not reported.
     pub born: Option<Incarnation>,
 }
--- a/crates/relay/src/event.rs
+++ b/crates/relay/src/event.rs
@@ -1,4 +1,4 @@
-//! What the relay is told.
+//! Events that the relay processes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,50 +13,51 @@
 use crate::request::CallerRequest;
 use crate::table::RouteTable;
 
-/// A caller's request, with the number that the shell gave it.
+/// A caller's request, with the number that the I/O driver (shell) assigned to it.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     /// The number, unique in this process.
     pub seq: LookupSeq,
     /// The request.
     pub req: CallerRequest,
-    /// Set if another VM asks for parts.
+    /// Set if a peer VM has delegated parts to this one.
     pub delegated: Option<DelegatedParts>,
 }
 
-/// What a VM that asks for parts says of them.
+/// Parts that a peer VM has delegated to this one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DelegatedParts {
-    /// The route by its content there; the request is run under no other.
+    /// Fingerprint of the route's content at the peer; the request is not run under a different
+    /// route.
     pub route: Fingerprint,
-    /// The time in which the page must leave to be in time.
+    /// The time within which the page must be sent to be in time.
     pub on_time: Duration,
-    /// The time in which it must leave to be of any use.
+    /// The time within which the page must be sent to be of any use.
     pub latest: Duration,
-    /// The fewest parts that are of use in time; with fewer the page waits.
+    /// The fewest parts that are of use in time; with fewer, the page waits.
     pub parts_wanted: usize,
     /// The shards wanted, by their number in the route.
     pub shards: Vec<u16>,
-    /// VMs that the request has passed.
+    /// Number of VMs that the request has passed.
     pub hops: u8,
 }
 
-/// One input of the relay.
+/// An input of the relay.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A version of the routes is in force from now on; an older one is ignored.
     Table(Arc<RouteTable>),
-    /// A server registered itself, or said something new of itself.
+    /// A server registered itself or renewed its entry with changes.
     Server(Arc<ServerEntry>),
-    /// A server is gone from the register.
+    /// A server's entry is no longer in the register.
     ServerGone(ServerName),
-    /// Whether the register, from which routes and servers are known, is in reach.
+    /// Whether the register, the source of routes and servers, is reachable.
     RegisterReachable(bool),
-    /// The VMs that are there, this one included.
+    /// The announced VMs, this one included.
     Vms(Vec<PeerVm>),
-    /// A connection to a server or a peer opened, after this time.
+    /// A connection to a server or a peer was opened, and how long that took.
     Opened(ServerName, Duration),
-    /// A connection to a server or a peer closed.
+    /// A connection to a server or a peer was closed.
     Closed(ServerName),
     /// Other settings are in force from now on.
     Options(RelayOptions),
@@ -64,12 +65,14 @@
     Quarantined(Vec<Fingerprint>),
     /// A caller's request arrived.
     Arrive(Arrival),
-    /// An attempt ended; each [`crate::Action::Send`] gets exactly one, also after a cancel.
+    /// An attempt ended; each [`crate::Action::Send`] is followed by exactly one, also after a
+    /// cancel.
     Ended(AttemptKey, AttemptEnd),
-    /// The caller of this request hung up.
+    /// The caller of this request disconnected.
     CallerDisconnected(LookupSeq),
-    /// Everything that had come by now was told; requests whose attempts have ended are looked at.
+    /// All events that have arrived so far were passed in; requests whose attempts have ended are
+    /// checked for completion.
     CaughtUp,
-    /// A timer asked for by [`crate::Action::Wake`] is due.
+    /// A timer requested by [`crate::Action::Wake`] expired.
     Tick,
 }
--- a/crates/relay/src/finish.rs
+++ b/crates/relay/src/finish.rs
@@ -1,4 +1,4 @@
-//! How requests end.
+//! Finishes requests: sends the final response and releases what they held.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -26,11 +26,11 @@
 use crate::reply::ServerAnswer;
 use crate::route::Target;
 
-/// When a request that no server took is worth sending again: a server's queue empties in that time.
-const BUSY_RETRY: Duration = Duration::from_millis(100);
+/// When to retry a request that no server accepted: a server's queue empties in that time.
+const BUSY_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 impl Core {
-    /// The caller hung up: nothing of its request is worth running any more.
+    /// Stops a request whose caller disconnected, as its result is no longer needed.
     pub(crate) fn on_caller_disconnect(
         &mut self,
         now: Instant,
@@ -39,13 +39,13 @@
     ) -> bool {
         self.counters.gone += 1;
         self.quarantine_if_crashing(now, request, out);
-        let live = request.live_attempts();
+        let live = request.attempts_in_flight();
         out.extend(live.into_iter().map(|(id, _)| Action::Cancel(id)));
         self.release(request);
         true
     }
 
-    /// Answers a request if it has come to its end; `true` if it has.
+    /// Answers a request if it is done; returns `true` if it is.
     pub(crate) fn finish_if_done(
         &mut self,
         now: Instant,
@@ -54,8 +54,8 @@
     ) -> bool {
         let progress = Progress {
             parts: request.parts.len(),
-            whole: request.whole,
-            missing: request.missing,
+            complete: request.complete,
+            abandoned: request.abandoned,
             parts_min: request.parts_min,
             parts_wanted: request.parts_wanted,
             objective_at: self.postpone(request.objective_at),
@@ -74,7 +74,7 @@
         self.process_pause.map_or(at, |s| s.postpone(at))
     }
 
-    /// Gives a request's caller its only answer.
+    /// Sends the only response to a request's caller.
     pub(crate) fn answer(
         &mut self,
         now: Instant,
@@ -101,7 +101,7 @@
             outcome,
             took,
             objective: request.route.objective,
-            parts: (request.whole, request.parts.len()),
+            parts: (request.complete, request.parts.len()),
             abandoned: AbandonCounts::of(request.parts.iter().filter_map(|p| p.abandon_reason)),
             extra: request.extra,
         };
@@ -114,17 +114,17 @@
             let answer = request.parts.iter_mut().find_map(|p| p.answer.take());
             return answer.map_or(Outcome::Failed(FailReason::Failed), Outcome::Relayed);
         };
-        let is_whole = |p: &&Part| p.state == PartState::Whole;
+        let is_complete = |p: &&Part| p.state == PartState::Complete;
         let answers = request
             .parts
             .iter()
-            .filter(is_whole)
+            .filter(is_complete)
             .filter_map(|p| p.answer.as_ref());
         let pages = request.bundles.iter().filter_map(|b| b.page.as_ref());
         let own = answers.clone().filter_map(|a| a.stamp.clone());
         let others = pages.clone().flat_map(|p| p.stamps.iter().cloned());
         let bodies = answers.map(|a| &a.body).chain(pages.map(|p| &p.body));
-        let missing = request.parts.iter().filter(|p| !is_whole(p));
+        let missing = request.parts.iter().filter(|p| !is_complete(p));
         Outcome::Page(Box::new(Page {
             stamps: own.chain(others).collect(),
             missing: missing.map(|p| self.missing_part(p)).collect(),
@@ -132,7 +132,7 @@
         }))
     }
 
-    /// What is said of a part that is not in, to a peer that asked for it.
+    /// Describes a part without an answer to the peer that requested it.
     fn missing_part(&self, part: &Part) -> Missing {
         let mut possible_servers = part.possible_servers.clone();
         if part.state == PartState::Bundled {
@@ -158,24 +158,26 @@
         }
     }
 
-    /// Forgets a request; its attempts under way are left to end, so that connections stay usable.
+    /// Releases what a request held. Its attempts in flight continue, so that their connections
+    /// stay usable.
     fn release(&mut self, request: &mut ActiveRequest) {
         self.disarm(request);
-        for at in 0..request.parts.len() {
-            if matches!(request.parts[at].state, PartState::Waiting(_)) {
-                self.dequeue(request, at);
+        for index in 0..request.parts.len() {
+            if matches!(request.parts[index].state, PartState::Waiting(_)) {
+                self.dequeue(request, index);
             }
         }
-        for (id, a) in request.live_attempts() {
+        for (id, a) in request.attempts_in_flight() {
             self.orphans
-                .insert(id, (a.server, a.at, request.route.name.clone()));
+                .insert(id, (a.server, a.dispatched_at, request.route.name.clone()));
         }
     }
 }
 
-/// The end of a request without a success.
+/// Returns the outcome of a request without a success.
 ///
-/// A server's own failure is handed on as it is. Where nothing ran, the refusal may say so.
+/// A server's own failure is forwarded unchanged. If nothing was executed, the request is refused,
+/// which allows the caller to retry.
 fn fail(now: Instant, request: &mut ActiveRequest) -> Outcome {
     let failures = request.parts.iter_mut().filter_map(|p| p.answer.take());
     if !request.route.is_scatter()
@@ -184,7 +186,7 @@
         return Outcome::Relayed(answer);
     }
     if !request.may_have_run() {
-        let retry = request.retry_after.unwrap_or(BUSY_RETRY);
+        let retry = request.retry_after.unwrap_or(BUSY_RETRY_AFTER);
         return Outcome::Refused(RefuseReason::Overload, Some(retry));
     }
     if now >= request.answer_by {
@@ -193,10 +195,10 @@
     Outcome::Failed(FailReason::Failed)
 }
 
-/// Whether a server's failure may be handed on as it is.
+/// Returns whether a server's failure may be forwarded unchanged.
 ///
-/// Guards against a promise that nobody can keep: these statuses say that the request has not run and
-/// never will, and this server has run it. A success without a stamp is no answer at all.
+/// The listed statuses state that the request was not executed and never will be, which is not true
+/// as this server has executed it. A success without a stamp does not count as an answer.
 fn may_pass_on(answer: &ServerAnswer) -> bool {
     let promises = [
         StatusCode::REQUEST_TIMEOUT,
--- a/crates/relay/src/hedge.rs
+++ b/crates/relay/src/hedge.rs
@@ -1,8 +1,8 @@
-//! When a slow attempt is made a second time elsewhere.
+//! Decides after which delay a slow attempt is hedged on another server.
 //!
-//! The load it answers: with 20 shards on one server each, two fan-outs in three meet a pause of
-//! 200 ms somewhere, which is longer than the objective. The delay is learned by route and distance,
-//! so that about one attempt in ten is made twice, half of what the budget allows.
+//! With 20 shards on one server each, two of three fan-outs encounter a stall of 200 ms somewhere,
+//! which is longer than the objective. The delay is learned for each route and distance, so that
+//! about one attempt in ten is hedged, which is half of what the budget allows.
 
 use std::time::Duration;
 
@@ -10,56 +10,59 @@
 use gs_limit::HedgePolicy;
 use gs_limit::LearnedDelay;
 
-/// How much of a new sample goes into a route's mean time of work.
+/// Weight of a new sample in a route's mean execution time.
 const WORK_WEIGHT: f64 = 0.02;
 
-/// The most that one sample may count against the mean, so that a pause does not pass for work.
+/// Upper bound of a sample, as a multiple of the mean, so that a stall does not count as execution
+/// time.
 const WORK_SAMPLE_MAX: f64 = 4.0;
 
-/// Samples after which the mean is more than a guess: those of one page or a few.
-const LEARNED: u32 = 20;
+/// Number of samples after which the mean replaces the initial estimate: those of one page or a
+/// few.
+const LEARNED_SAMPLES_MIN: u32 = 20;
 
-/// The part of the objective that an attempt is first expected to take, before any was seen.
-const FIRST_WORK: f64 = 0.1;
+/// Fraction of the objective that an attempt is expected to take before there are samples.
+const INITIAL_WORK_FRACTION: f64 = 0.1;
 
-/// The part of the objective that an attempt may take before it is hedged, if most are faster: what is
-/// left is enough for a second one, and fewer of those that are slow by then would still come by
-/// themselves.
-const LATEST_PART: f64 = 0.3;
+/// Fraction of the objective before which no attempt is hedged, also if most are faster: the rest
+/// of the objective is enough for a second attempt, and fewer of the attempts that are still in
+/// flight by then would be answered without one.
+const HEDGE_DELAY_MIN_FRACTION: f64 = 0.3;
 
-/// What is learned of one route's attempts.
+/// Hedge delays and mean execution time of a route's attempts.
 #[derive(Debug)]
 pub(crate) struct RouteTimes {
     delays: LearnedDelay,
     work_secs: f64,
     samples: u32,
-    latest: Duration,
+    delay_min: Duration,
 }
 
 impl RouteTimes {
     pub(crate) fn new(objective: Duration, quantile: f64) -> Self {
         Self {
             delays: LearnedDelay::new(quantile),
-            work_secs: objective.as_secs_f64() * FIRST_WORK,
+            work_secs: objective.as_secs_f64() * INITIAL_WORK_FRACTION,
             samples: 0,
-            latest: objective.mul_f64(LATEST_PART),
+            delay_min: objective.mul_f64(HEDGE_DELAY_MIN_FRACTION),
         }
     }
 
-    /// An attempt took this long, of which `way` was the way, with `rounds` of work before it; gives how many
-    /// times longer than the mean that is.
+    /// Records an attempt that took `took`, of which `round_trip` was network latency, with
+    /// `rounds_ahead` rounds of work queued ahead of it, and returns the ratio of its execution
+    /// time to the mean.
     ///
-    /// What others' work took is not counted: else a queue would pass for slow work, and what is expected of
-    /// the next attempt would count the same queue twice.
+    /// The time in the server's queue is not counted. Otherwise a queue would count as slow
+    /// execution, and the expected time of the next attempt would include the same queue twice.
     pub(crate) fn observe(
         &mut self,
         is_near: bool,
         took: Duration,
-        way: Duration,
-        rounds: f64,
+        round_trip: Duration,
+        rounds_ahead: f64,
     ) -> f64 {
         self.delays.observe(distance(is_near), took);
-        let work = took.saturating_sub(way).as_secs_f64().max(1e-4) / (1.0 + rounds);
+        let work = took.saturating_sub(round_trip).as_secs_f64().max(1e-4) / (1.0 + rounds_ahead);
         let ratio = work / self.work_secs;
         let sample = work.min(self.work_secs * WORK_SAMPLE_MAX);
         self.samples = self.samples.saturating_add(1);
@@ -68,20 +71,20 @@
         ratio
     }
 
-    /// Whether enough was seen for the mean to be more than a guess.
+    /// Returns whether there are enough samples for the mean to replace the initial estimate.
     pub(crate) fn is_learned(&self) -> bool {
-        self.samples >= LEARNED
+        self.samples >= LEARNED_SAMPLES_MIN
     }
 
-    /// The mean time of an attempt beyond the way to its server.
+    /// Returns the mean time of an attempt without network latency and queue.
     pub(crate) fn work(&self) -> Duration {
         Duration::from_secs_f64(self.work_secs)
     }
 
-    /// The time after which an attempt is hedged.
+    /// Returns the time after which an attempt is hedged.
     pub(crate) fn delay(&self, is_near: bool) -> Duration {
         let learned = self.delays.delay(distance(is_near));
-        learned.map_or(self.latest, |d| d.max(self.latest))
+        learned.map_or(self.delay_min, |d| d.max(self.delay_min))
     }
 }
 
--- a/crates/relay/src/leases.rs
+++ b/crates/relay/src/leases.rs
@@ -1,8 +1,8 @@
-//! Which of the VMs that are announced still live.
+//! Decides which announced VMs have expired.
 //!
-//! The load it answers: VMs that lose power or are taken away without a word, day after day. Each one left
-//! in the list would take its part of the servers' connections and of the extra attempts with it, and after
-//! some weeks nothing would be left for those that live.
+//! VMs lose power or are removed without notice regularly. If their announcements stayed in the
+//! list, each would take its share of the servers' connections and of the extra attempts, and after
+//! some weeks nothing would be left for the live VMs.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,51 +10,57 @@
 
 use gs_types::prelude::*;
 
-/// The time between two renewals for each VM that is listed, so that all of them together make five writes a
-/// second at the most.
-const RENEW_PER_VM: Duration = Duration::from_millis(200);
+/// Interval of renewals per listed VM, so that all VMs together make at most five writes per
+/// second.
+const RENEWAL_INTERVAL_PER_VM: Duration = Duration::from_millis(200);
 
-/// Renewals missed before a VM counts as gone: an outage of the platform may swallow one or two.
-const MISSED: f64 = 3.5;
+/// Length of a lease in renewal intervals: an outage of the platform may cause one or two renewals
+/// to be missed.
+const LEASE_INTERVALS: f64 = 3.5;
 
-/// The time between two looks beyond which what lies between is not counted: the platform was away, or this
-/// process stood still, and the others may have renewed or been kept from it.
-const GAP_MAX: Duration = Duration::from_secs(30);
+/// The longest interval between two checks over which leases count. After a longer one the platform
+/// was unreachable or this process was paused, and the other VMs may have renewed or may have been
+/// unable to.
+const CHECK_GAP_MAX: Duration = Duration::from_secs(30);
 
-/// How much longer each further VM, in the order of their names, waits before it removes an announcement, so
-/// that one removal is one call and not one from every VM.
+/// Additional delay of each further VM, in the order of names, before it removes an announcement,
+/// so that normally one VM makes the call instead of all.
 const REMOVAL_STAGGER: Duration = Duration::from_secs(10);
 
-/// How often a VM among so many renews its announcement, `least` at the most.
+/// Returns the interval at which each of the given number of VMs renews its announcement; at least
+/// `interval_min`.
 #[must_use]
-pub fn renewal_interval(least: Duration, vms: usize) -> Duration {
-    RENEW_PER_VM.mul_f64(vms as f64).max(least)
+pub fn renewal_interval(interval_min: Duration, vms: usize) -> Duration {
+    RENEWAL_INTERVAL_PER_VM
+        .mul_f64(vms as f64)
+        .max(interval_min)
 }
 
-/// An announcement as it was listed.
+/// An announcement as listed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Listed {
     /// The VM.
     pub vm: VmId,
-    /// Changes with each renewal.
+    /// Revision that changes with each renewal.
     pub revision: u64,
 }
 
-/// What a look at the list shows.
+/// Result of checking the list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaseCheck {
-    /// VMs whose lease is over.
+    /// VMs whose lease has expired.
     pub expired: Vec<VmId>,
-    /// Those of them whose announcement this VM is to remove, if it is still at this revision.
+    /// Those of them whose announcement this VM is to remove, provided that it still has this
+    /// revision.
     pub remove: Vec<Listed>,
 }
 
-/// When the announcement of each VM changed last, as far as this VM has seen.
+/// When the announcement of each VM last changed, as seen by this VM.
 #[derive(Debug)]
 pub struct Leases {
-    renew_least: Duration,
+    renewal_min: Duration,
     seen: HashMap<VmId, Seen>,
-    looked: Option<Instant>,
+    checked_at: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -64,23 +70,24 @@
 }
 
 impl Leases {
-    /// Starts without having seen any; VMs renew every `renew_least`, or less often if they are many.
+    /// Creates the state without any announcements; VMs renew every `renewal_min`, or less often if
+    /// there are many.
     #[must_use]
-    pub fn new(renew_least: Duration) -> Self {
+    pub fn new(renewal_min: Duration) -> Self {
         Self {
-            renew_least,
+            renewal_min,
             seen: HashMap::new(),
-            looked: None,
+            checked_at: None,
         }
     }
 
-    /// Takes in the list as it is now; `me` never counts as gone.
+    /// Checks the current list; `me` never counts as expired.
     pub fn check(&mut self, now: Instant, me: &VmId, listed: &[Listed]) -> LeaseCheck {
-        let is_gap = |at: Instant| now.saturating_duration_since(at) > GAP_MAX;
-        if self.looked.replace(now).is_none_or(is_gap) {
+        let is_gap = |at: Instant| now.saturating_duration_since(at) > CHECK_GAP_MAX;
+        if self.checked_at.replace(now).is_none_or(is_gap) {
             self.seen.clear();
         }
-        let lease = renewal_interval(self.renew_least, listed.len()).mul_f64(MISSED);
+        let lease = renewal_interval(self.renewal_min, listed.len()).mul_f64(LEASE_INTERVALS);
         let mut seen = HashMap::with_capacity(listed.len());
         for l in listed {
             let before = self.seen.get(&l.vm).filter(|s| s.revision == l.revision);
@@ -92,15 +99,15 @@
         }
         self.seen = seen;
         let age = |l: &Listed| now.saturating_duration_since(self.seen[&l.vm].at);
-        let is_gone = |l: &&Listed| l.vm != *me && age(l) >= lease;
-        let live_before = listed.iter().filter(|l| !is_gone(l) && l.vm < *me);
-        let turn = u32::try_from(live_before.count()).unwrap_or(u32::MAX);
-        let wait = lease.saturating_add(REMOVAL_STAGGER.saturating_mul(turn));
-        let gone: Vec<&Listed> = listed.iter().filter(is_gone).collect();
-        let due = gone.iter().filter(|l| age(l) >= wait);
+        let is_expired = |l: &&Listed| l.vm != *me && age(l) >= lease;
+        let live_before = listed.iter().filter(|l| !is_expired(l) && l.vm < *me);
+        let position = u32::try_from(live_before.count()).unwrap_or(u32::MAX);
+        let wait = lease.saturating_add(REMOVAL_STAGGER.saturating_mul(position));
+        let expired: Vec<&Listed> = listed.iter().filter(is_expired).collect();
+        let due = expired.iter().filter(|l| age(l) >= wait);
         LeaseCheck {
             remove: due.map(|l| (*l).clone()).collect(),
-            expired: gone.iter().map(|l| l.vm.clone()).collect(),
+            expired: expired.iter().map(|l| l.vm.clone()).collect(),
         }
     }
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,9 +1,10 @@
-//! Relayed lookups: opaque requests on routes, sent to one server or to one server of each shard.
+//! Relays opaque requests on routes to one server of a service, or to one server of each shard.
 //!
-//! [`Relay`] is a plain state machine: [`Event`]s in, [`Action`]s out, `now` passed in, no I/O. What
-//! it decides stands in one file each: where an attempt goes (`placement`), when it is made a second
-//! time (`hedge`), how many extra attempts there are (`budget`), when a page is good enough
-//! (`verdict`) and what is refused at arrival (`admission`).
+//! [`Relay`] is a state machine without I/O: it processes [`Event`]s and returns [`Action`]s, and
+//! the current time is passed in. Each policy has its own module: `placement` chooses the server of
+//! an attempt, `hedge` the delay before a hedged attempt, `budget` limits extra attempts,
+//! `completion` decides when a page is returned and `admission` which requests are refused on
+//! arrival.
 
 mod abandon;
 mod action;
--- a/crates/relay/src/merge.rs
+++ b/crates/relay/src/merge.rs
@@ -3,10 +3,10 @@
 use bytes::Bytes;
 use bytes::BytesMut;
 
-/// The width of a record, in bytes; what is left over at the end of a part is no record.
+/// The width of a record in bytes; a shorter remainder at the end of a part is ignored.
 pub const RECORD_BYTES: usize = 16;
 
-/// The greatest `page` records of all parts, greatest first; equal records all count.
+/// Returns the `page` greatest records of all parts in descending order; equal records are all kept.
 ///
 /// ```
 /// use bytes::Bytes;
@@ -23,7 +23,7 @@
         all.extend(part.as_chunks::<RECORD_BYTES>().0);
     }
     if page < all.len() {
-        // Only the page needs an order; the rest is split off in linear time first.
+        // Only the page has to be sorted; the other records are split off in linear time first.
         all.select_nth_unstable_by(page, |a, b| b.cmp(a));
         all.truncate(page);
     }
--- a/crates/relay/src/outcome.rs
+++ b/crates/relay/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What a caller gets back.
+//! Outcomes of a request, and the report on it.
 
 use std::time::Duration;
 
@@ -11,86 +11,86 @@
 use crate::possible_servers::PossibleServers;
 use crate::reply::ServerAnswer;
 
-/// A shard whose part is not on a page.
+/// A shard whose part is missing from a page.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Missing {
     /// Its number in the route.
     pub shard: u16,
-    /// The servers that may have run the part in vain.
+    /// The servers that may have executed the part without success.
     pub possible_servers: PossibleServers,
 }
 
 /// A page merged from the parts of a fan-out.
 #[derive(Clone, Debug)]
 pub struct Page {
-    /// The stamps of the parts that are in.
+    /// The stamps of the parts on the page.
     pub stamps: SmallVec<[Bytes; 32]>,
-    /// Shards whose part is not in.
+    /// Shards whose part is missing.
     pub missing: SmallVec<[Missing; 4]>,
-    /// The greatest records, greatest first.
+    /// The greatest records, in descending order.
     pub body: Bytes,
 }
 
-/// Why a request was refused before any server ran it.
+/// Why a request was refused before any server executed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum RefuseReason {
-    /// No routes are known here yet.
+    /// This VM has no routes yet.
     NotReady,
-    /// No route takes it.
+    /// No route matches it.
     NoRoute,
-    /// It cannot be served in time as things stand.
+    /// It cannot be served in time at the current load.
     Overload,
     /// Too few of its shards, or no server of its service, can be reached.
     NoServer,
-    /// The route is another here than at the VM that asks for parts.
+    /// The route differs from that of the VM that delegated the parts.
     OtherRoute,
-    /// It crashed servers, and is set aside for a while.
+    /// It crashed servers and is in quarantine.
     Quarantined,
 }
 
-/// Why a request failed of which a server may have run something.
+/// Why a request failed that a server may have executed in part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum FailReason {
-    /// Its time was up.
+    /// Its time was over.
     Late,
     /// Too many of its attempts failed.
     Failed,
 }
 
-/// The end of a request.
+/// The outcome of a request.
 #[derive(Clone, Debug)]
 pub enum Outcome {
-    /// A server's answer, handed on unchanged.
+    /// A server's answer, forwarded unchanged.
     Relayed(Box<ServerAnswer>),
     /// A page.
     Page(Box<Page>),
-    /// Refused; no server ran it or ever will.
+    /// Refused; no server has executed it or ever will.
     Refused(RefuseReason, Option<Duration>),
-    /// Failed; a server may have run it.
+    /// Failed; a server may have executed it.
     Failed(FailReason),
 }
 
-/// The end of a request with what an engineer wants to know of it.
+/// The outcome of a request with figures for the log.
 #[derive(Clone, Debug)]
 pub struct RequestReport {
-    /// What the caller gets.
+    /// What the caller receives.
     pub outcome: Outcome,
     /// How long it took.
     pub took: Duration,
     /// The objective of its route; zero if it had none.
     pub objective: Duration,
-    /// Parts that were in, and parts asked for.
+    /// Number of complete parts, and of all parts requested.
     pub parts: (usize, usize),
-    /// Parts that were given up, by reason.
+    /// Abandoned parts by reason.
     pub abandoned: AbandonCounts,
-    /// Attempts made beyond the first of each part.
+    /// Attempts made in addition to the initial one of each part.
     pub extra: u32,
-    /// The route, if one took it.
+    /// The matching route, if there is one.
     pub route: Option<LookupName>,
     /// The version of the routes in force; `None` before the first.
     pub version: Option<ConfVersion>,
-    /// The attempts that tell why it was not whole and on time; empty if it was.
+    /// The attempts that explain why the request was not complete and on time; empty if it was.
     pub attempt_log: Vec<AttemptRecord>,
 }
--- a/crates/relay/src/peer_vms.rs
+++ b/crates/relay/src/peer_vms.rs
@@ -1,6 +1,6 @@
-//! The VMs that are there: who runs fan-outs, and how connections to servers are shared out.
+//! The announced VMs, and which of them are strong enough to run fan-outs.
 //!
-//! Every VM works the same out from the same list, so nothing has to be agreed on.
+//! Every VM computes the same result from the same list, so no agreement is needed.
 
 use std::cmp::Ordering;
 use std::collections::HashMap;
@@ -10,20 +10,20 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The part of the strongest VM of a region that a VM must reach to run fan-outs: with less, a page of
-/// 90 parts takes it longer than a hand-over and back.
-const STRONG_PART: f64 = 0.5;
+/// Fraction of the cores and of the link of the strongest in its region that a VM needs to run
+/// fan-outs: with less, assembling a page of 90 parts takes longer than delegating it.
+const STRONG_FRACTION: f64 = 0.5;
 
-/// How many more VMs than are listed may be there: some that have just been added.
-const UNLISTED: f64 = 1.25;
+/// Ratio of the VMs that may exist to those listed: some may just have been added.
+const UNLISTED_FACTOR: f64 = 1.25;
 
-/// What a VM can do in a second.
+/// Processing and network capacity of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Capacity {
-    /// Processor cores, or a part of one.
+    /// Processor cores, or a fraction of one.
     pub cores: f64,
-    /// The speed of its link in megabits a second.
+    /// Link speed in megabits per second.
     pub megabits: f64,
 }
 
@@ -35,18 +35,19 @@
     pub name: VmId,
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// The region of that.
+    /// The region of its data centre.
     pub region: Region,
-    /// Where it takes hand-overs.
+    /// Address where it accepts delegated parts.
     pub addr: SocketAddr,
-    /// What it can do.
+    /// Its capacity.
     pub capacity: Capacity,
 }
 
 impl PeerVm {
-    /// Orders VMs by what they can do, the strongest first, and equal ones by their names.
+    /// Orders VMs by capacity, the strongest first, and equal ones by name.
     ///
-    /// None is strong by its cores or its link alone.
+    /// The capacity is the product of cores and link speed, so that neither alone makes a VM
+    /// strong.
     #[must_use]
     pub fn strongest_first(a: &Self, b: &Self) -> Ordering {
         let strength = |vm: &Self| vm.capacity.cores * vm.capacity.megabits;
@@ -55,23 +56,23 @@
     }
 }
 
-/// The VMs that are there, this one included.
+/// The announced VMs, this one included.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PeerVms {
     vms: Vec<PeerVm>,
-    /// The strongest of each region, by cores and by link.
-    best: HashMap<Region, Capacity>,
+    /// Highest number of cores and highest link speed in each region.
+    strongest: HashMap<Region, Capacity>,
 }
 
 impl PeerVms {
     pub(crate) fn new(vms: Vec<PeerVm>) -> Self {
-        let mut best: HashMap<Region, Capacity> = HashMap::new();
+        let mut strongest: HashMap<Region, Capacity> = HashMap::new();
         for vm in &vms {
-            let b = best.entry(vm.region.clone()).or_insert(vm.capacity);
+            let b = strongest.entry(vm.region.clone()).or_insert(vm.capacity);
             b.cores = b.cores.max(vm.capacity.cores);
             b.megabits = b.megabits.max(vm.capacity.megabits);
         }
-        Self { vms, best }
+        Self { vms, strongest }
     }
 
     pub(crate) fn is_empty(&self) -> bool {
@@ -82,17 +83,17 @@
         &self.vms
     }
 
-    /// Whether a VM is strong enough to run fan-outs for its region.
+    /// Returns whether a VM is strong enough to run fan-outs for its region.
     pub(crate) fn is_strong(&self, vm: &PeerVm) -> bool {
-        let Some(best) = self.best.get(&vm.region) else {
+        let Some(strongest) = self.strongest.get(&vm.region) else {
             return true;
         };
-        vm.capacity.cores >= best.cores * STRONG_PART
-            && vm.capacity.megabits >= best.megabits * STRONG_PART
+        vm.capacity.cores >= strongest.cores * STRONG_FRACTION
+            && vm.capacity.megabits >= strongest.megabits * STRONG_FRACTION
     }
 
-    /// VMs that may be there at the same time, out of so many listed.
+    /// Returns the number of VMs that may exist if the given number is listed.
     pub(crate) fn vms_max(listed: usize) -> u32 {
-        (listed as f64 * UNLISTED).ceil() as u32
+        (listed as f64 * UNLISTED_FACTOR).ceil() as u32
     }
 }
--- a/crates/relay/src/possible_servers.rs
+++ b/crates/relay/src/possible_servers.rs
@@ -1,22 +1,22 @@
-//! Which servers a part may have reached from another VM.
+//! The servers that may have executed a part on behalf of another VM.
 
 use gs_types::prelude::*;
 use smallvec::SmallVec;
 
-/// The servers that may have run a part for another VM.
+/// The servers that may have executed a part for a peer VM.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum PossibleServers {
-    /// None did.
+    /// None has.
     #[default]
     None,
-    /// No others than these did.
+    /// No others than these have.
     Servers(SmallVec<[ServerName; 2]>),
-    /// Any may have: the VM that asked for the part has not told.
+    /// Any may have, as the peer that requested the part has not reported them.
     Unknown,
 }
 
 impl PossibleServers {
-    /// Adds a server; `None` is one that is not known any more.
+    /// Adds a server; `None` stands for one that is no longer known.
     pub(crate) fn add(&mut self, server: Option<ServerName>) {
         match (&mut *self, server) {
             (Self::Unknown, _) => {}
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The servers named.
+    /// Returns the named servers; empty if none has executed the part or they are unknown.
     #[must_use]
     pub fn servers(&self) -> &[ServerName] {
         match self {
--- a/crates/relay/src/queue.rs
+++ b/crates/relay/src/queue.rs
@@ -1,7 +1,7 @@
-//! Parts that wait for a connection.
+//! Queues of parts that wait for a connection, one for each service.
 //!
-//! The load it answers: every connection of this VM to a shard's replicas busy, as after a pause of
-//! both. The higher rank goes first, then the older request.
+//! A part is queued when every connection of this VM to a shard's replicas is busy, as after both
+//! have stalled. Parts of higher priority are dispatched first, then those of older requests.
 
 use std::time::Instant;
 
@@ -15,41 +15,41 @@
 use crate::service::QueuedPart;
 
 impl Core {
-    /// Puts a part in its service's queue.
-    pub(crate) fn enqueue(&mut self, request: &mut ActiveRequest, at: usize, cause: Cause) {
-        request.parts[at].state = PartState::Waiting(cause);
-        let queued_part = queued_part(request, at);
-        let service = request.parts[at].service.clone();
+    /// Adds a part to the queue of its service.
+    pub(crate) fn enqueue(&mut self, request: &mut ActiveRequest, index: usize, cause: Cause) {
+        request.parts[index].state = PartState::Waiting(cause);
+        let queued_part = queued_part(request, index);
+        let service = request.parts[index].service.clone();
         self.service(&service).waiting.insert(queued_part);
     }
 
-    /// Takes a part out of its service's queue.
-    pub(crate) fn dequeue(&mut self, request: &ActiveRequest, at: usize) {
-        if let Some(s) = self.services.get_mut(&request.parts[at].service) {
-            s.waiting.remove(&queued_part(request, at));
+    /// Removes a part from the queue of its service.
+    pub(crate) fn dequeue(&mut self, request: &ActiveRequest, index: usize) {
+        if let Some(s) = self.services.get_mut(&request.parts[index].service) {
+            s.waiting.remove(&queued_part(request, index));
         }
     }
 }
 
 impl Relay {
-    /// Places parts that wait for servers with a connection freed.
+    /// Dispatches queued parts of the services of which a server has freed a connection.
     pub(crate) fn dispatch_waiting(&mut self, now: Instant, out: &mut Vec<Action>) {
         while let Some(service) = self.core.freed.pop() {
-            while let Some(w) = self.first_waiting(&service) {
-                if !self.place_waiter(now, w, out) {
+            while let Some(w) = self.first_queued(&service) {
+                if !self.dispatch_queued(now, w, out) {
                     break;
                 }
             }
         }
     }
 
-    fn first_waiting(&self, service: &gs_types::prelude::ServiceName) -> Option<QueuedPart> {
+    fn first_queued(&self, service: &gs_types::prelude::ServiceName) -> Option<QueuedPart> {
         let s = self.core.services.get(service)?;
         s.waiting.first().copied()
     }
 
-    /// Places the first in a queue; `false` if it has to go on waiting.
-    fn place_waiter(
+    /// Dispatches the first part of a queue; returns `false` if it has to keep waiting.
+    fn dispatch_queued(
         &mut self,
         now: Instant,
         (_, seq, part): QueuedPart,
@@ -57,28 +57,28 @@
     ) -> bool {
         let mut is_placed = true;
         self.with(seq, |core, request| {
-            let at = usize::from(part);
-            let PartState::Waiting(cause) = request.parts[at].state else {
-                core.dequeue(request, at);
+            let index = usize::from(part);
+            let PartState::Waiting(cause) = request.parts[index].state else {
+                core.dequeue(request, index);
                 return false;
             };
             if core
                 .placement_context(now, request)
-                .choose_server(&request.parts[at])
+                .choose_server(&request.parts[index])
                 == Placement::Wait
             {
                 is_placed = false;
                 return false;
             }
-            core.dequeue(request, at);
-            core.try_part(now, request, at, cause, out);
+            core.dequeue(request, index);
+            core.try_part(now, request, index, cause, out);
             core.finish_if_done(now, request, out)
         });
         is_placed
     }
 }
 
-fn queued_part(request: &ActiveRequest, at: usize) -> QueuedPart {
+fn queued_part(request: &ActiveRequest, index: usize) -> QueuedPart {
     // A fan-out has far fewer than 2^16 shards.
-    (request.route.priority, request.seq, at as u16)
+    (request.route.priority, request.seq, index as u16)
 }
--- a/crates/relay/src/register_reachability.rs
+++ b/crates/relay/src/register_reachability.rs
@@ -1,42 +1,46 @@
-//! Whether the register, from which routes and servers are known, is in reach.
+//! Tracks whether the register, the source of routes and servers, is reachable.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// How long after an outage a vanished entry may still be one that lapsed meanwhile. Those are missing from
-/// the first list after it; what vanishes later was taken away.
+/// How long after an outage a missing entry may be one that lapsed during it. Lapsed entries are
+/// missing from the first list after the outage; those that disappear later were removed.
 const LAPSE_WINDOW: Duration = Duration::from_millis(1500);
 
-/// Whether the register is in reach, and since when.
+/// Whether the register is reachable, and since when.
 #[derive(Debug)]
 pub(crate) struct RegisterReachability {
-    is_in: bool,
-    regained: Option<Instant>,
+    is_reachable: bool,
+    reachable_since: Option<Instant>,
 }
 
 impl RegisterReachability {
-    /// In reach, before anything else is known.
+    /// Assumes that the register is reachable.
     pub(crate) fn new() -> Self {
         Self {
-            is_in: true,
-            regained: None,
+            is_reachable: true,
+            reachable_since: None,
         }
     }
 
-    pub(crate) fn set(&mut self, now: Instant, is_in: bool) {
-        if is_in && !self.is_in {
-            self.regained = Some(now);
+    pub(crate) fn set(&mut self, now: Instant, is_reachable: bool) {
+        if is_reachable && !self.is_reachable {
+            self.reachable_since = Some(now);
         }
-        self.is_in = is_in;
+        self.is_reachable = is_reachable;
     }
 
-    pub(crate) fn is_in(&self) -> bool {
-        self.is_in
+    pub(crate) fn is_reachable(&self) -> bool {
+        self.is_reachable
     }
 
-    /// Whether an entry that vanishes now may be that of a live server, lapsed in an outage.
+    /// Returns whether an entry that is missing now may be that of a live server and lapsed during
+    /// an outage.
     pub(crate) fn may_have_lapsed(&self, now: Instant) -> bool {
         let since = |at: Instant| now.saturating_duration_since(at);
-        !self.is_in || self.regained.is_some_and(|at| since(at) < LAPSE_WINDOW)
+        !self.is_reachable
+            || self
+                .reachable_since
+                .is_some_and(|at| since(at) < LAPSE_WINDOW)
     }
 }
--- a/crates/relay/src/registration.rs
+++ b/crates/relay/src/registration.rs
@@ -1,4 +1,4 @@
-//! Takes in routes and servers as they are declared.
+//! Applies the routes and register entries of servers, and assigns connections to the servers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,13 +14,8 @@
 use crate::table::RouteTable;
 
 impl Core {
-    /// Takes a version of the routes, unless a newer one is in force.
-    pub(crate) fn take_table(
-        &mut self,
-        now: Instant,
-        table: Arc<RouteTable>,
-        out: &mut Vec<Action>,
-    ) {
+    /// Applies a version of the routes, unless a newer one is in force.
+    pub(crate) fn on_table(&mut self, now: Instant, table: Arc<RouteTable>, out: &mut Vec<Action>) {
         let newest = self.table.as_ref().map(|t| t.version());
         if newest.is_some_and(|v| v >= table.version()) {
             return;
@@ -30,56 +25,56 @@
         self.mark_plans_stale(now);
     }
 
-    /// Says anew how many connections to hold to each backend server.
+    /// Recomputes the connections to hold to each backend server.
     pub(crate) fn assign_connections(&mut self, out: &mut Vec<Action>) {
         self.connection_shares = ConnectionShares::new(self);
         let slack = self.options.extra_slack;
         for (name, service) in &mut self.services {
             service
-                .extra
+                .extra_budget
                 .set_slack(slack * self.connection_shares.slack_share(name));
         }
         let entries: Vec<_> = self.servers.all().map(|v| Arc::clone(&v.entry)).collect();
         for entry in entries {
             if !self.peers_known.contains(&entry.name) {
-                self.connect(entry, out);
+                self.update_connections(entry, out);
             }
         }
     }
 
-    /// A connection opened.
-    pub(crate) fn opened(&mut self, name: &ServerName, took: Duration) {
+    /// Records that a connection was opened.
+    pub(crate) fn on_connection_opened(&mut self, name: &ServerName, took: Duration) {
         if let Some(view) = self.servers.by_name_mut(name) {
             view.open += 1;
             self.round_trips.observe(&view.entry.data_centre, took);
         }
     }
 
-    /// A connection closed.
-    pub(crate) fn closed(&mut self, now: Instant, name: &ServerName) {
+    /// Records that a connection was closed.
+    pub(crate) fn on_connection_closed(&mut self, now: Instant, name: &ServerName) {
         if let Some(view) = self.servers.by_name_mut(name) {
             view.open = view.open.saturating_sub(1);
         }
         if self.peers_wanted.contains(name) {
-            self.peer_lost(now);
+            self.on_peer_connection_lost(now);
         }
     }
 
-    /// Takes in what a server says of itself.
-    pub(crate) fn register(
+    /// Applies the register entry of a server.
+    pub(crate) fn on_entry(
         &mut self,
         now: Instant,
         entry: Arc<ServerEntry>,
         out: &mut Vec<Action>,
     ) {
-        self.missing.remove(&entry.name);
+        self.missing_servers.remove(&entry.name);
         self.servers.register(now, Arc::clone(&entry));
-        self.connect(entry, out);
+        self.update_connections(entry, out);
         self.mark_plans_stale(now);
     }
 
-    /// Says how many connections to hold to a server, by the routes in force and its own word.
-    fn connect(&mut self, entry: Arc<ServerEntry>, out: &mut Vec<Action>) {
+    /// Updates the connections to hold to a server, according to the routes in force and its entry.
+    fn update_connections(&mut self, entry: Arc<ServerEntry>, out: &mut Vec<Action>) {
         let limit = self.table.as_ref().and_then(|t| t.service(&entry.service));
         let connections_max = self
             .connection_shares
@@ -101,18 +96,19 @@
         };
         view.is_used = is_used;
         if !is_used {
-            // Connections of before would stay with the server, which resets another VM's for them.
-            if view.told.take().is_some() {
+            // Open connections would occupy the server, which resets those of other VMs in turn.
+            if view.last_connect.take().is_some() {
                 out.push(Action::Disconnect(entry.name.clone()));
             }
             return;
         }
-        // Told again at each change of anything, the shell would open again what a server has just reset.
-        let told = Some((entry.addr, connections_min, connections_max));
-        if view.told == told {
+        // Repeating the action at each change would make the driver reopen connections that a
+        // server has just reset.
+        let last_connect = Some((entry.addr, connections_min, connections_max));
+        if view.last_connect == last_connect {
             return;
         }
-        view.told = told;
+        view.last_connect = last_connect;
         out.push(Action::Connect {
             server: entry,
             connections_min,
@@ -120,7 +116,8 @@
         });
     }
 
-    /// A server is gone from the register: at once if it said that it leaves, else after a while.
+    /// Handles a missing register entry: removes the server immediately if it was leaving,
+    /// otherwise after a delay.
     pub(crate) fn on_entry_missing(
         &mut self,
         now: Instant,
@@ -131,20 +128,20 @@
             None => {}
             Some(view) if !view.is_open() => self.remove(&name, out),
             Some(_) => {
-                let may_be_back = self.register_reachability.may_have_lapsed(now);
-                let gone_at = now + self.options.absence(may_be_back);
-                self.missing.insert(name, gone_at);
+                let may_have_lapsed = self.register_reachability.may_have_lapsed(now);
+                let remove_at = now + self.options.removal_delay(may_have_lapsed);
+                self.missing_servers.insert(name, remove_at);
             }
         }
     }
 
-    /// Drops the servers that have been missing for long enough.
+    /// Removes the servers whose entry has been missing for long enough.
     pub(crate) fn remove_missing(&mut self, now: Instant, out: &mut Vec<Action>) {
         let is_due = |at: &Instant| *at <= now;
-        let due = self.missing.iter().filter(|(_, at)| is_due(at));
+        let due = self.missing_servers.iter().filter(|(_, at)| is_due(at));
         let names: Vec<ServerName> = due.map(|(name, _)| name.clone()).collect();
         for name in names {
-            self.missing.remove(&name);
+            self.missing_servers.remove(&name);
             self.remove(&name, out);
         }
     }
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -1,4 +1,4 @@
-//! The relay: every request of a process, and what they share.
+//! The relay: the state of all requests in flight and the state that they share.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -32,65 +32,67 @@
 use crate::service::Service;
 use crate::table::RouteTable;
 
-/// All requests of one process as a state machine without I/O.
+/// State machine of all requests of one process, without I/O.
 ///
-/// Feed it every [`Event`] with the time at which it happened and carry out the [`Action`]s in their
-/// order. The same events at the same times with the same seed give the same actions.
+/// Pass it every [`Event`] with the time at which it happened and carry out the returned
+/// [`Action`]s in order. The same events at the same times with the same seed give the same
+/// actions.
 #[derive(Debug)]
 pub struct Relay {
     pub(crate) core: Core,
     pub(crate) requests: HashMap<LookupSeq, Box<ActiveRequest>>,
-    /// Requests of which attempts have ended since they were last looked at.
+    /// Requests of which attempts have ended since they were last checked for completion.
     pub(crate) to_review: BTreeSet<LookupSeq>,
-    woken_at: Option<Instant>,
+    wake_at: Option<Instant>,
 }
 
-/// What all requests share.
+/// State shared by all requests.
 #[derive(Debug)]
 pub(crate) struct Core {
     pub(crate) options: RelayOptions,
     pub(crate) table: Option<Arc<RouteTable>>,
     pub(crate) servers: Servers,
     pub(crate) services: HashMap<ServiceName, Service>,
-    pub(crate) times: HashMap<LookupName, RouteTimes>,
-    /// Attempts whose request has ended, with their server and the time at which they began.
+    pub(crate) route_times: HashMap<LookupName, RouteTimes>,
+    /// Attempts in flight whose request has ended, with their server, dispatch time and route.
     pub(crate) orphans: HashMap<AttemptKey, (ServerKey, Instant, LookupName)>,
     pub(crate) timers: BTreeSet<(Instant, LookupSeq)>,
-    /// Requests that crash servers.
+    /// Requests suspected of crashing servers, and those in quarantine.
     pub(crate) suspects: CrashSuspects,
-    /// Whether the register is in reach.
+    /// Whether the register is reachable.
     pub(crate) register_reachability: RegisterReachability,
-    /// How far each data centre is.
+    /// Least round-trip time to each data centre.
     pub(crate) round_trips: MinRoundTrips,
-    /// How long hand-overs are on their way.
+    /// Mean network time of delegations to the peers of each data centre.
     pub(crate) delegation_times: DelegationTimes,
-    /// The VMs that are there.
+    /// The announced VMs.
     pub(crate) peer_vms: PeerVms,
-    /// Who shares the connections to servers with this VM.
+    /// Shares of the connections to servers that this VM may hold.
     pub(crate) connection_shares: ConnectionShares,
-    /// Where the fan-outs of each route are run.
+    /// The fan-out plan of each scatter route.
     pub(crate) plans: HashMap<LookupName, FanOutPlan>,
-    /// Peers that are kept beside the servers.
+    /// Peers that are registered as servers in `servers`.
     pub(crate) peers_known: BTreeSet<ServerName>,
-    /// Peers that the plans name.
+    /// Peers that the plans delegate to.
     pub(crate) peers_wanted: BTreeSet<ServerName>,
-    /// Whether something has changed since the plans were made.
+    /// Whether routes, servers or VMs have changed since the plans were built.
     pub(crate) are_plans_stale: bool,
-    /// When the plans are made anew, or peers that are away are connected to.
-    pub(crate) replan_at: Option<Instant>,
-    /// Servers whose entry vanished, with the time at which they count as gone.
-    pub(crate) missing: HashMap<ServerName, Instant>,
-    /// Servers with a connection freed, or with more reach, since their queue was last looked at.
+    /// When the plans are rebuilt, or unconnected peers are connected to.
+    pub(crate) rebuild_plans_at: Option<Instant>,
+    /// Servers whose register entry is missing, with the time at which they are removed.
+    pub(crate) missing_servers: HashMap<ServerName, Instant>,
+    /// Services of which a server has freed a connection or has more of them, since their queue was
+    /// last dispatched.
     pub(crate) freed: Vec<ServiceName>,
     pub(crate) in_flight: usize,
-    /// The last time that this process stood still.
+    /// The last pause of this process.
     pub(crate) process_pause: Option<ProcessPause>,
     pub(crate) counters: Counters,
     pub(crate) rng: ChaCha8Rng,
 }
 
 impl Relay {
-    /// Starts without routes and servers.
+    /// Creates a relay without routes and servers.
     #[must_use]
     pub fn new(options: RelayOptions, seed: u64) -> Self {
         Self {
@@ -99,7 +101,7 @@
                 table: None,
                 servers: Servers::default(),
                 services: HashMap::new(),
-                times: HashMap::new(),
+                route_times: HashMap::new(),
                 orphans: HashMap::new(),
                 timers: BTreeSet::new(),
                 suspects: CrashSuspects::default(),
@@ -112,8 +114,8 @@
                 peers_known: BTreeSet::new(),
                 peers_wanted: BTreeSet::new(),
                 are_plans_stale: false,
-                replan_at: None,
-                missing: HashMap::new(),
+                rebuild_plans_at: None,
+                missing_servers: HashMap::new(),
                 freed: Vec::new(),
                 in_flight: 0,
                 process_pause: None,
@@ -122,25 +124,27 @@
             },
             requests: HashMap::new(),
             to_review: BTreeSet::new(),
-            woken_at: None,
+            wake_at: None,
         }
     }
 
-    /// Takes one event in and appends what has to be done to `out`.
+    /// Processes one event and appends the resulting actions to `out`.
     pub fn on(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Table(table) => self.core.take_table(now, table, out),
-            Event::Server(entry) => self.core.register(now, entry, out),
+            Event::Table(table) => self.core.on_table(now, table, out),
+            Event::Server(entry) => self.core.on_entry(now, entry, out),
             Event::ServerGone(name) => self.core.on_entry_missing(now, name, out),
             Event::Quarantined(requests) => {
                 for request in requests {
                     self.core.suspects.quarantine(now, request);
                 }
             }
-            Event::RegisterReachable(is_in) => self.core.register_reachability.set(now, is_in),
+            Event::RegisterReachable(is_reachable) => {
+                self.core.register_reachability.set(now, is_reachable)
+            }
             Event::Vms(vms) => self.core.on_vms(now, vms, out),
-            Event::Opened(name, took) => self.core.opened(&name, took),
-            Event::Closed(name) => self.core.closed(now, &name),
+            Event::Opened(name, took) => self.core.on_connection_opened(&name, took),
+            Event::Closed(name) => self.core.on_connection_closed(now, &name),
             Event::Options(options) => self.core.options = options,
             Event::Arrive(arrival) => {
                 if let Some(request) = self.core.on_arrival(now, arrival, out) {
@@ -148,7 +152,7 @@
                 }
                 self.core.in_flight = self.requests.len();
             }
-            Event::Ended(id, end) => self.ended(now, id, end, out),
+            Event::Ended(id, end) => self.on_ended(now, id, end, out),
             Event::CallerDisconnected(seq) => self.with(seq, |core, request| {
                 core.on_caller_disconnect(now, request, out)
             }),
@@ -159,31 +163,31 @@
         self.wake(now, out);
     }
 
-    /// Running totals.
+    /// Returns the running totals.
     #[must_use]
     pub fn counters(&self) -> &Counters {
         &self.core.counters
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.requests.len()
     }
 
-    /// What is known of each server, for dumps.
+    /// Returns the state of each known server, for dumps.
     #[must_use]
     pub fn servers(&self, now: Instant) -> Vec<ServerDump> {
         self.core.servers.all().map(|v| v.dump(now)).collect()
     }
 
-    /// The version of the routes in force; `None` before the first.
+    /// Returns the version of the routes in force; `None` before the first.
     #[must_use]
     pub fn version(&self) -> Option<ConfVersion> {
         self.core.table.as_ref().map(|t| t.version())
     }
 
-    /// Runs `f` on a request in flight; it tells whether the request has ended.
+    /// Runs `f` on a request in flight and removes the request if `f` returns `true`.
     pub(crate) fn with(
         &mut self,
         seq: LookupSeq,
@@ -198,10 +202,11 @@
         }
     }
 
-    /// Looks at the requests whose attempts have ended since the last time.
+    /// Finishes the requests that are done, of those whose attempts have ended since the last call.
     ///
-    /// Guards against a page that leaves with some of the answers that came together: after a stand-still of the
-    /// process all are behind their objective, and the first ones would make the page up.
+    /// It is called once all events that arrived together are processed. After a pause of the
+    /// process all requests are past their objective, and a check after each event would return a
+    /// page with only some of the answers that arrived together.
     fn finish_done_requests(&mut self, now: Instant, out: &mut Vec<Action>) {
         for seq in std::mem::take(&mut self.to_review) {
             self.with(seq, |core, request| core.finish_if_done(now, request, out));
@@ -209,8 +214,8 @@
     }
 
     fn tick(&mut self, now: Instant, out: &mut Vec<Action>) {
-        let asked = self.woken_at.take();
-        if let Some(process_pause) = ProcessPause::detect(asked, now) {
+        let wake_due = self.wake_at.take();
+        if let Some(process_pause) = ProcessPause::detect(wake_due, now) {
             self.postpone(now, process_pause);
         }
         self.core.remove_missing(now, out);
@@ -232,7 +237,7 @@
         }
     }
 
-    /// Puts off what fell due in a stand-still of this process.
+    /// Postpones the timers that expired during a pause of this process.
     fn postpone(&mut self, now: Instant, process_pause: ProcessPause) {
         self.core.process_pause = Some(process_pause);
         let due = self.core.timers.iter().take_while(|(at, _)| *at <= now);
@@ -248,10 +253,10 @@
         }
     }
 
-    /// Hedges the other attempts that wait for a server that was found to have stopped answering.
+    /// Hedges the other attempts in flight at a server that has stalled.
     ///
-    /// A pause holds up everything sent to a server. The first attempt to outlast its delay tells of
-    /// it; those sent later would each wait their own delay out in turn.
+    /// A stall delays everything sent to a server. It is detected by the first attempt that exceeds
+    /// its hedge delay; without this, each later attempt would wait for its own delay.
     fn hedge_stalled_others(&mut self, now: Instant, server: ServerKey, out: &mut Vec<Action>) {
         let Some(view) = self.core.servers.get(server) else {
             return;
@@ -267,20 +272,23 @@
 
     fn wake(&mut self, now: Instant, out: &mut Vec<Action>) {
         let first = self.core.timers.first().map(|(at, _)| *at);
-        let gone = self.core.missing.values().min().copied();
-        let times = [first, gone, self.core.replan_at];
+        let removal = self.core.missing_servers.values().min().copied();
+        let times = [first, removal, self.core.rebuild_plans_at];
         let Some(at) = times.into_iter().flatten().min() else {
             return;
         };
-        if self.woken_at.is_none_or(|woken| at < woken || woken <= now) {
-            self.woken_at = Some(at);
+        if self
+            .wake_at
+            .is_none_or(|planned| at < planned || planned <= now)
+        {
+            self.wake_at = Some(at);
             out.push(Action::Wake(at.saturating_duration_since(now)));
         }
     }
 }
 
 impl Core {
-    /// What the requests for a service share.
+    /// Returns the state shared by the requests for a service, which is created on first use.
     pub(crate) fn service(&mut self, name: &ServiceName) -> &mut Service {
         let o = &self.options;
         let share = o.extra_slack * self.connection_shares.slack_share(name);
@@ -293,15 +301,15 @@
         })
     }
 
-    /// What is learned of a route's attempts.
-    pub(crate) fn times(&mut self, route: &Route) -> &mut RouteTimes {
+    /// Returns the attempt times of a route, which are created on first use.
+    pub(crate) fn route_times(&mut self, route: &Route) -> &mut RouteTimes {
         let quantile = self.options.hedge_quantile;
-        self.times
+        self.route_times
             .entry(route.name.clone())
             .or_insert_with(|| RouteTimes::new(route.objective, quantile))
     }
 
-    /// Sets the time at which a request is looked at next, if that is sooner than planned.
+    /// Sets the time at which a request is checked next, if that is earlier than the planned time.
     pub(crate) fn arm(&mut self, request: &mut ActiveRequest, at: Instant) {
         let at = at.min(request.answer_by);
         if request.timer.is_some_and(|planned| planned <= at) {
--- a/crates/relay/src/reply.rs
+++ b/crates/relay/src/reply.rs
@@ -1,4 +1,4 @@
-//! How an attempt ended.
+//! How an attempt ended, and the answer of its server.
 
 use std::time::Duration;
 
@@ -8,32 +8,32 @@
 
 use crate::outcome::Page;
 
-/// The load that a server tells with an answer.
+/// The load that a server reports with an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that it runs.
+    /// Requests that it is executing.
     pub running: u32,
     /// Requests that wait in its queue.
     pub waiting: u32,
-    /// Requests that it can run at the same time.
+    /// Requests that it can execute concurrently.
     pub slots: u32,
 }
 
-/// A server's whole answer.
+/// A server's complete answer.
 #[derive(Clone, Debug)]
 pub struct ServerAnswer {
     /// The status.
     pub status: StatusCode,
     /// The server's stamp, which proves that the answer is its own; `None` if it sent none.
     pub stamp: Option<Bytes>,
-    /// The headers that go end to end, without the stamp.
+    /// The end-to-end headers, without the stamp.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
 impl ServerAnswer {
-    /// Whether it is a success that may be handed on or counted as a part.
+    /// Returns whether it is a success that may be forwarded or counted as a part.
     #[must_use]
     pub fn is_good(&self) -> bool {
         self.status.is_success() && self.stamp.is_some()
@@ -44,24 +44,25 @@
 #[derive(Clone, Debug, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum AttemptEnd {
-    /// The server ran it and answered whole, with a success or a failure of its own.
+    /// The server executed it and answered completely, with a success or a failure of its own.
     Answered(Box<ServerAnswer>, Option<Load>),
-    /// The server refused for load and says that it did not run it.
+    /// The server refused it for load and reports that it was not executed.
     Shed(Option<Load>),
-    /// A peer has no room for the parts, and says when it may; nothing ran.
+    /// A peer has no capacity for the parts and reports when to retry; nothing was executed.
     Overloaded(Duration),
-    /// Another server has the address; nothing ran.
+    /// Another server has the address; nothing was executed.
     WrongServer,
-    /// No connection could be had; nothing was sent.
+    /// No connection was available; nothing was sent.
     NotSent,
-    /// The connection broke after the request was sent; it may have run.
+    /// The connection broke after the request was sent; it may have been executed.
     Broken,
-    /// What came was cut short, no answer, or another attempt's answer; it may have run.
+    /// The answer was truncated, malformed or that of another attempt; it may have been executed.
     Garbled,
-    /// No answer came in the attempt's time; it may have run.
+    /// No answer arrived within the attempt's timeout; it may have been executed.
     Late(Duration),
-    /// A peer asked for parts and sent a page of what came; it had the request for so long, if it says so.
+    /// A peer returned a page of the parts that it received, with the time for which it held the
+    /// request, if it reports that.
     Paged(Box<Page>, Option<Duration>),
-    /// Stopped by [`crate::Action::Cancel`] after it was sent; it may have run.
+    /// Stopped by [`crate::Action::Cancel`] after it was sent; it may have been executed.
     Cancelled,
 }
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, as it is handed on.
+//! A caller's request, and the content that is forwarded.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,36 +8,36 @@
 use http::HeaderMap;
 use http::Method;
 
-/// What a backend server gets to see of a request, unchanged.
+/// The part of a request that is forwarded to backend servers unchanged.
 #[derive(Clone, Debug)]
 pub struct OpaqueRequest {
     /// The method.
     pub method: Method,
     /// Path and query.
     pub target: Box<str>,
-    /// The headers that go end to end.
+    /// The end-to-end headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// A caller's request, read whole.
+/// A caller's request, read completely.
 #[derive(Clone, Debug)]
 pub struct CallerRequest {
-    /// The host asked, in lower case and without a port.
+    /// The requested host, in lower case and without a port.
     pub host: Box<str>,
-    /// The path without its query, to find the route by.
+    /// The path without its query, by which the route is found.
     pub path: Box<str>,
     /// The caller's id of this request.
     pub id: Arc<str>,
     /// How long the caller waits; `None` if it does not say.
     pub caller_timeout: Option<Duration>,
-    /// What is handed on.
+    /// The content that is forwarded.
     pub content: Arc<OpaqueRequest>,
 }
 
 impl CallerRequest {
-    /// Hashes what a server would run, equal for every resend.
+    /// Hashes the content that a server would execute; equal for every retry of it.
     #[must_use]
     pub fn fingerprint(&self) -> Fingerprint {
         let body = String::from_utf8_lossy(&self.content.body);
--- a/crates/relay/src/route.rs
+++ b/crates/relay/src/route.rs
@@ -1,4 +1,4 @@
-//! One route: which requests it takes, where they go, and what they are promised.
+//! Routes: which requests they match, where these go, and their limits.
 
 use std::time::Duration;
 
@@ -7,24 +7,24 @@
 use serde::Serialize;
 use smallvec::SmallVec;
 
-/// Whether a request may run more than once.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, Serialize, Deserialize)]
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeat {
-    /// It may run again, on other servers too.
+    /// It may be executed again, also by other servers.
     Safe,
-    /// It runs at most once for each request of a caller.
+    /// It is executed at most once for each request of a caller.
     Once,
 }
 
-/// A service with its part of a split route.
+/// A service with its weight on a split route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Weighted {
     /// The service.
     pub service: ServiceName,
-    /// Its weight against the others' of the same route; at least 0.
+    /// Its weight relative to the others of the same route; at least 0.
     pub weight: f64,
 }
 
@@ -36,16 +36,16 @@
     pub shards: Vec<ServiceName>,
     /// The most records on a page.
     pub page: usize,
-    /// The least share of the shards that makes a page, from 0 to 1.
+    /// The smallest fraction of the shards that makes a page, from 0 to 1.
     pub coverage_min: f64,
 }
 
 impl Scatter {
-    /// The fewest parts that make a page; at least 1.
+    /// Returns the fewest parts that make a page; at least 1.
     #[must_use]
     pub fn parts_min(&self) -> usize {
         let exact = self.shards.len() as f64 * self.coverage_min;
-        // A share such as 0.9 of 20 shards must not become 19 by a rounding error.
+        // A rounding error must not turn a fraction such as 0.9 of 20 shards into 19.
         ((exact - 1e-9).ceil() as usize).max(1)
     }
 }
@@ -72,20 +72,20 @@
     pub prefix: Box<str>,
     /// Where its requests go.
     pub target: Target,
-    /// Whether they may run more than once.
+    /// Whether they may be executed more than once.
     pub repeat: Repeat,
-    /// The most servers that may run one request, by shard.
+    /// The most servers that may execute one request, for each shard.
     pub servers_max: u16,
-    /// The longest that a request may be kept waiting.
+    /// The longest time until a request is answered.
     pub timeout: Duration,
     /// The time within which an answer is worth most.
     pub objective: Duration,
-    /// Its rank; 0 is the highest.
+    /// Its priority; 0 is the highest.
     pub priority: u8,
 }
 
 impl Route {
-    /// The fewest parts that make an answer.
+    /// Returns the fewest parts that make an answer.
     #[must_use]
     pub fn parts_min(&self) -> usize {
         match &self.target {
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Hashes what decides who runs a request and what becomes of it; equal for the same route in two
-    /// versions.
+    /// Hashes what determines which servers execute a request and how it is answered; equal for the
+    /// same route in two versions.
     #[must_use]
     pub fn fingerprint(&self) -> Fingerprint {
         let page = match &self.target {
@@ -108,13 +108,13 @@
         Fingerprint::of(&parts)
     }
 
-    /// Whether its requests go to every shard.
+    /// Returns whether its requests go to every shard.
     #[must_use]
     pub fn is_scatter(&self) -> bool {
         matches!(self.target, Target::Scatter(_))
     }
 
-    /// Every service that its requests may reach.
+    /// Returns every service that its requests may reach.
     pub fn services(&self) -> impl Iterator<Item = &ServiceName> {
         let (one, shards) = match &self.target {
             Target::One(parts) => (Some(parts), None),
--- a/crates/relay/src/seed_state.rs
+++ b/crates/relay/src/seed_state.rs
@@ -1,4 +1,4 @@
-//! What a VM knows of routes, servers and VMs, to be told to one that starts.
+//! State that a VM sends to a starting peer: routes, servers and VMs.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::relay::Relay;
 use crate::table::RouteTable;
 
-/// Everything that a VM must know to serve.
+/// The state that a VM needs to serve requests.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub struct SeedState {
@@ -18,19 +18,20 @@
     pub table: Arc<RouteTable>,
     /// The servers in the register.
     pub servers: Vec<ServerEntry>,
-    /// The VMs that are there.
+    /// The announced VMs.
     pub vms: Vec<PeerVm>,
 }
 
 impl Relay {
-    /// What this VM knows; `None` before it has routes.
+    /// Returns the state known to this VM; `None` before it has routes.
     #[must_use]
     pub fn seed_state(&self) -> Option<SeedState> {
         let core = &self.core;
         let entries = core.servers.all().map(|v| &v.entry);
         let known = entries.filter(|e| {
-            // Those that have vanished may be gone; whoever starts cannot tell for how long.
-            !core.peers_known.contains(&e.name) && !core.missing.contains_key(&e.name)
+            // Servers whose entry is missing may be removed; a starting VM cannot know since when
+            // it is missing.
+            !core.peers_known.contains(&e.name) && !core.missing_servers.contains_key(&e.name)
         });
         Some(SeedState {
             table: Arc::clone(core.table.as_ref()?),
