--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -1,4 +1,4 @@
-//! What is known of one backend server.
+//! Health, load and connections of one backend server, as seen by this VM.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,121 +14,126 @@
 use crate::entry::ServerEntry;
 use crate::reply::Load;
 
-/// How much of a new sample goes into a server's slowness: one answer of a server that turned eight
+/// Weight of a new sample in a server's slowness: one answer of a server that has become eight
 /// times slower must be enough to prefer a replica 16 ms away.
 const SLOWNESS_WEIGHT: f64 = 0.3;
 
-/// The bounds of slowness; beyond them a sample says nothing more.
+/// Bounds of a slowness sample; values beyond them carry no further information.
 const SLOWNESS_RANGE: (f64, f64) = (0.4, 30.0);
 
-/// How many times its expected time an answer takes that was held up: work varies by a third, and one run
-/// in a hundred takes five times as long.
+/// Ratio of response time to expected time from which an answer counts as held up by a stall:
+/// execution times vary by a third, and one execution in a hundred takes five times as long.
 const HELD_UP_RATIO: f64 = 3.0;
 
-/// How long a held-up answer is kept in mind: a server that is slow is asked again within it.
+/// How long a held-up answer is remembered: a slow server is queried again within this time.
 const HELD_UP_MEMORY: Duration = Duration::from_secs(4);
 
-/// How much of a new sample goes into the share of failures.
+/// Weight of a new sample in the failure rate.
 const FAILURE_WEIGHT: f64 = 0.15;
 
-/// The time in which half of what is held against a server is forgotten, so that it is tried again.
-const FORGET: Duration = Duration::from_secs(2);
+/// Half-life of a server's slowness and failure rate, so that a bad server is tried again.
+const HEALTH_HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// The time in which half of the load told is forgotten: about two mean runs of a part.
-const LOAD_FORGET: Duration = Duration::from_millis(40);
+/// Half-life of the reported load: about two mean execution times of a part.
+const LOAD_HALF_LIFE: Duration = Duration::from_millis(40);
 
-/// How much longer a run takes on a server that is warming, at most; the platform's is 1.6.
-const WARMING_FACTOR: f64 = 1.6;
+/// Factor by which execution takes longer on a server in slow start, at most; the platform's is
+/// 1.6.
+const SLOW_START_FACTOR: f64 = 1.6;
 
-/// The first rest of a server that cannot be reached; doubled each time in a row.
+/// First backoff of a server that cannot be reached; doubled each time in a row.
 const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(150);
 
-/// The most doublings of a rest, to 1.2 s: crashed servers come back after some seconds.
-const REST_DOUBLINGS: u32 = 3;
+/// The most doublings of the backoff, to 1.2 s: crashed servers return after some seconds.
+const BACKOFF_DOUBLINGS_MAX: u32 = 3;
 
-/// What is known of one backend server, as a dump shows it.
+/// State of a backend server, for dumps.
 #[derive(Clone, Debug, Serialize)]
 pub struct ServerDump {
     /// Its name.
     pub name: ServerName,
     /// Its service.
     pub service: ServiceName,
-    /// Whether it takes new work, as far as is known.
+    /// Whether it accepts new work, as far as known.
     pub is_open: bool,
-    /// Whether this VM sends to it while others of its service are there.
+    /// Whether it is in this VM's subset; the others of its service are used only if none of the
+    /// subset is available.
     pub is_used: bool,
-    /// Whether it rests, as it could not be reached.
+    /// Whether it is in backoff because it could not be reached.
     pub is_resting: bool,
-    /// This VM's attempts there.
+    /// Number of this VM's attempts in flight there.
     pub outstanding: usize,
-    /// How many times longer it takes than servers do in the mean.
+    /// Ratio of its response times to the mean of all servers.
     pub slowness: f64,
-    /// The share of its attempts that failed lately.
+    /// Fraction of its recent attempts that failed.
     pub failing: f64,
 }
 
-/// What is known of one backend server.
+/// State of a backend server.
 #[derive(Debug)]
 pub(crate) struct ServerView {
     pub(crate) entry: Arc<ServerEntry>,
-    /// Whether it takes no work any more: gone from the register, or its address is another's.
-    pub(crate) is_gone: bool,
-    /// Whether this VM sends to it while others of its service are there.
+    /// Whether it no longer accepts work: it was removed from the register, or its address belongs
+    /// to another server.
+    pub(crate) is_removed: bool,
+    /// Whether it is in this VM's subset; the others of its service are used only if none of the
+    /// subset is available.
     pub(crate) is_used: bool,
-    /// Attempts of this VM that have not ended, with the times at which they were handed over.
+    /// This VM's attempts in flight, with their dispatch times.
     pub(crate) outstanding: SmallVec<[(AttemptKey, Instant); 4]>,
-    /// Connections of this VM that are open.
+    /// Number of open connections of this VM.
     pub(crate) open: u32,
-    /// The most connections of this VM.
+    /// The largest number of connections of this VM.
     pub(crate) connections: u32,
-    /// What the shell was told last: where, connections to hold open, and the most.
-    pub(crate) told: Option<(SocketAddr, Connections, Connections)>,
-    warm_at: Instant,
+    /// Address, connections to keep open and most connections of the last connect action.
+    pub(crate) last_connect: Option<(SocketAddr, Connections, Connections)>,
+    slow_start_until: Instant,
     slowness: (f64, Instant),
-    /// When an answer that was held up last came; `None` once one begun after it was not.
+    /// When the last held-up answer arrived; `None` after an attempt dispatched later was answered
+    /// in normal time.
     held_up: Option<Instant>,
     failing: (f64, Instant),
     load: Option<(Load, u32, Instant)>,
-    rests: u32,
-    rest_until: Option<Instant>,
-    heard: Option<Instant>,
+    backoffs: u32,
+    backoff_until: Option<Instant>,
+    last_contact: Option<Instant>,
 }
 
 impl ServerView {
     pub(crate) fn new(now: Instant, entry: Arc<ServerEntry>) -> Self {
         Self {
-            warm_at: now + entry.warming,
+            slow_start_until: now + entry.warming,
             entry,
-            is_gone: false,
+            is_removed: false,
             is_used: true,
             outstanding: SmallVec::new(),
             open: 0,
             connections: 0,
-            told: None,
+            last_connect: None,
             slowness: (1.0, now),
             held_up: None,
             failing: (0.0, now),
             load: None,
-            rests: 0,
-            rest_until: None,
-            heard: None,
+            backoffs: 0,
+            backoff_until: None,
+            last_contact: None,
         }
     }
 
-    /// Takes in what the server says of itself now.
+    /// Applies a renewed register entry.
     pub(crate) fn renew(&mut self, now: Instant, entry: Arc<ServerEntry>) {
-        let is_new_run = self.entry.born != entry.born || self.entry.addr != entry.addr;
-        self.warm_at = now + entry.warming;
+        let is_new_incarnation = self.entry.born != entry.born || self.entry.addr != entry.addr;
+        self.slow_start_until = now + entry.warming;
         self.entry = entry;
-        if is_new_run || self.is_gone {
-            self.rests = 0;
-            self.rest_until = None;
+        if is_new_incarnation || self.is_removed {
+            self.backoffs = 0;
+            self.backoff_until = None;
             self.load = None;
             self.failing = (0.0, now);
             self.slowness = (1.0, now);
             self.held_up = None;
         }
-        self.is_gone = false;
+        self.is_removed = false;
     }
 
     pub(crate) fn dump(&self, now: Instant) -> ServerDump {
@@ -144,9 +149,9 @@
         }
     }
 
-    /// Whether it may be given new work at all.
+    /// Returns whether it accepts new work at all.
     pub(crate) fn is_open(&self) -> bool {
-        !self.is_gone && self.entry.availability == Availability::Ready
+        !self.is_removed && self.entry.availability == Availability::Ready
     }
 
     pub(crate) fn is_connected(&self) -> bool {
@@ -157,76 +162,82 @@
         (self.outstanding.len() as u32) < self.connections
     }
 
-    /// When its rest is over; `None` if it does not rest.
+    /// Returns when its backoff ends; `None` if it is not in backoff.
     pub(crate) fn backoff_until(&self, now: Instant) -> Option<Instant> {
-        self.rest_until.filter(|until| *until > now)
+        self.backoff_until.filter(|until| *until > now)
     }
 
-    /// Whether it could not be reached when last tried, or nothing came from it.
-    pub(crate) fn is_backing_off(&self) -> bool {
-        self.rest_until.is_some()
+    /// Returns whether it was unreachable or silent at the last contact, also after the backoff has
+    /// ended.
+    pub(crate) fn was_unreachable(&self) -> bool {
+        self.backoff_until.is_some()
     }
 
-    /// Whether nothing came from it since this time.
+    /// Returns whether nothing was received from it since the given time.
     pub(crate) fn is_silent_since(&self, since: Instant) -> bool {
-        self.heard.is_none_or(|heard| heard < since)
+        self.last_contact
+            .is_none_or(|last_contact| last_contact < since)
     }
 
-    /// How many times longer it takes than servers do in the mean.
+    /// Returns the ratio of its response times to the mean of all servers.
     pub(crate) fn slowness(&self, now: Instant) -> f64 {
         let (value, at) = self.slowness;
-        let warming = if now < self.warm_at {
-            WARMING_FACTOR
+        let warming = if now < self.slow_start_until {
+            SLOW_START_FACTOR
         } else {
             1.0
         };
-        (1.0 + (value - 1.0) * fading(now, at, FORGET)) * warming
+        (1.0 + (value - 1.0) * decay(now, at, HEALTH_HALF_LIFE)) * warming
     }
 
-    /// The share of its attempts that failed lately.
+    /// Returns the fraction of its recent attempts that failed.
     pub(crate) fn failing(&self, now: Instant) -> f64 {
         let (value, at) = self.failing;
-        value * fading(now, at, FORGET)
+        value * decay(now, at, HEALTH_HALF_LIFE)
     }
 
-    /// Attempts that would be there before one sent now, this VM's and, as last told, all others'.
-    pub(crate) fn ahead(&self, now: Instant) -> f64 {
+    /// Returns the number of attempts ahead of one sent now: this VM's, and those of all others as
+    /// last reported.
+    pub(crate) fn attempts_ahead(&self, now: Instant) -> f64 {
         let own = self.outstanding.len() as f64;
         let Some((load, own_then, at)) = self.load else {
             return own;
         };
-        let told = load.running + load.waiting;
-        let others = f64::from(told.saturating_sub(own_then));
-        own + others * fading(now, at, LOAD_FORGET)
+        let reported = load.running + load.waiting;
+        let others = f64::from(reported.saturating_sub(own_then));
+        own + others * decay(now, at, LOAD_HALF_LIFE)
     }
 
-    /// Rounds of work before an attempt sent now, with so many more that wait here for a connection.
-    pub(crate) fn rounds(&self, now: Instant, waiting: f64) -> f64 {
+    /// Returns the rounds of work ahead of an attempt sent now, with the given number of parts that
+    /// wait here for a connection.
+    pub(crate) fn rounds_ahead(&self, now: Instant, waiting: f64) -> f64 {
         let slots = f64::from(self.entry.slots.0.max(1));
-        ((self.ahead(now) + waiting + 1.0 - slots) / slots).max(0.0)
+        ((self.attempts_ahead(now) + waiting + 1.0 - slots) / slots).max(0.0)
     }
 
-    /// When the oldest attempt was handed over from which, as from all later ones, nothing came.
+    /// Returns the dispatch time of the oldest attempt in flight if nothing was received since;
+    /// otherwise `None`.
     pub(crate) fn silent_since(&self) -> Option<Instant> {
         let oldest = self.outstanding.iter().map(|(_, at)| *at).min()?;
-        match self.heard {
-            Some(heard) if heard > oldest => None,
+        match self.last_contact {
+            Some(last_contact) if last_contact > oldest => None,
             _ => Some(oldest),
         }
     }
 
-    /// An attempt was handed over.
-    pub(crate) fn begun(&mut self, now: Instant, id: AttemptKey) {
+    /// Records that an attempt was dispatched.
+    pub(crate) fn on_dispatched(&mut self, now: Instant, id: AttemptKey) {
         self.outstanding.push((id, now));
     }
 
-    /// An attempt ended, however it did.
-    pub(crate) fn ended(&mut self, id: AttemptKey) {
+    /// Records that an attempt ended, in whatever way.
+    pub(crate) fn on_ended(&mut self, id: AttemptKey) {
         self.outstanding.retain(|(i, _)| *i != id);
     }
 
-    /// It answered what was handed over at `begun`, `ratio` times slower than servers do in the mean.
-    pub(crate) fn answered(
+    /// Records an answer to an attempt dispatched at `begun`, with the ratio of its time to the
+    /// mean of all servers.
+    pub(crate) fn on_answered(
         &mut self,
         now: Instant,
         begun: Instant,
@@ -234,22 +245,23 @@
         load: Option<Load>,
         is_good: bool,
     ) {
-        self.heard = Some(now);
-        self.rests = 0;
-        self.rest_until = None;
-        if self.tells_slowness(now, begun, ratio) {
+        self.last_contact = Some(now);
+        self.backoffs = 0;
+        self.backoff_until = None;
+        if self.shows_slowness(now, begun, ratio) {
             self.note_slowness(now, ratio);
         }
         self.note_failure(now, !is_good);
         self.note_load(now, load);
     }
 
-    /// Whether an answer tells how slow the server is, and not only that it paused.
+    /// Returns whether an answer shows that the server is slow, and not only that it stalled.
     ///
-    /// A pause holds up every run that is there, and each would pass for slow work: the server would be
-    /// passed by for seconds after a pause of a fraction of one, while its replicas do its work. One that
-    /// is slow shows it again with the first answer begun after the one that was held up.
-    fn tells_slowness(&mut self, now: Instant, begun: Instant, ratio: f64) -> bool {
+    /// A stall delays every attempt in flight, and each would count as slow execution: the server
+    /// would be avoided for seconds after a stall of a fraction of a second, while its replicas do
+    /// its work. A slow server shows it again with the first answer to an attempt dispatched after
+    /// the held-up answer.
+    fn shows_slowness(&mut self, now: Instant, begun: Instant, ratio: f64) -> bool {
         let held_up = self
             .held_up
             .filter(|at| now.saturating_duration_since(*at) < HELD_UP_MEMORY);
@@ -265,32 +277,34 @@
 
     fn note_slowness(&mut self, now: Instant, ratio: f64) {
         let (low, high) = SLOWNESS_RANGE;
-        let old = 1.0 + (self.slowness.0 - 1.0) * fading(now, self.slowness.1, FORGET);
+        let old = 1.0 + (self.slowness.0 - 1.0) * decay(now, self.slowness.1, HEALTH_HALF_LIFE);
         let new = old + (ratio.clamp(low, high) - old) * SLOWNESS_WEIGHT;
         self.slowness = (new, now);
     }
 
-    /// It refused for load.
-    pub(crate) fn shed(&mut self, now: Instant, load: Option<Load>) {
-        self.heard = Some(now);
+    /// Records a refusal for load.
+    pub(crate) fn on_shed(&mut self, now: Instant, load: Option<Load>) {
+        self.last_contact = Some(now);
         self.note_failure(now, true);
         self.note_load(now, load);
     }
 
-    /// An attempt broke or was spoilt.
-    pub(crate) fn broke(&mut self, now: Instant) {
+    /// Records an attempt that ended with a broken connection, a malformed answer or a timeout.
+    pub(crate) fn on_broken(&mut self, now: Instant) {
         self.note_failure(now, true);
     }
 
-    /// It could not be reached, or nothing at all came from it in time: it rests.
+    /// Records that it could not be reached, or that nothing at all was received in time, and
+    /// starts a backoff.
     ///
-    /// A crashed server refuses within a millisecond, and a dark one holds each attempt to its end;
-    /// asked anew for every part, either would cost each page that part's whole time.
-    pub(crate) fn unreachable(&mut self, now: Instant) {
+    /// A crashed server refuses connections within a millisecond, and an unresponsive one holds
+    /// each attempt until its timeout. If either were tried again for every part, each page would
+    /// lose that part's whole time.
+    pub(crate) fn on_unreachable(&mut self, now: Instant) {
         self.note_failure(now, true);
-        let rest = UNREACHABLE_BACKOFF * (1 << self.rests.min(REST_DOUBLINGS));
-        self.rests = self.rests.saturating_add(1);
-        self.rest_until = Some(now + rest);
+        let backoff = UNREACHABLE_BACKOFF * (1 << self.backoffs.min(BACKOFF_DOUBLINGS_MAX));
+        self.backoffs = self.backoffs.saturating_add(1);
+        self.backoff_until = Some(now + backoff);
     }
 
     fn note_failure(&mut self, now: Instant, failed: bool) {
@@ -306,8 +320,8 @@
     }
 }
 
-/// What is left of a value after some time: a half after each `half`.
-fn fading(now: Instant, at: Instant, half: Duration) -> f64 {
+/// Returns what remains of a value after the time since `at`, with the given half-life.
+fn decay(now: Instant, at: Instant, half_life: Duration) -> f64 {
     let age = now.saturating_duration_since(at).as_secs_f64();
-    (-age / half.as_secs_f64()).exp2()
+    (-age / half_life.as_secs_f64()).exp2()
 }
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -1,4 +1,4 @@
-//! Every backend server known, by service.
+//! The known backend servers, by name and by service.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,11 +10,11 @@
 use crate::entry::ServerEntry;
 use crate::server::ServerView;
 
-/// Names a server's view for as long as an attempt may refer to it; never used twice.
+/// Identifies a server's view for as long as an attempt may refer to it; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ServerKey(u64);
 
-/// Every backend server known.
+/// The known backend servers.
 #[derive(Debug, Default)]
 pub(crate) struct Servers {
     views: HashMap<ServerKey, ServerView>,
@@ -24,7 +24,7 @@
 }
 
 impl Servers {
-    /// Takes in what a server says of itself.
+    /// Adds a server or updates it with its new entry.
     pub(crate) fn register(&mut self, now: Instant, entry: Arc<ServerEntry>) {
         let known = self.by_name.get(&entry.name).copied();
         if let Some(key) = known
@@ -43,7 +43,7 @@
         self.views.insert(key, ServerView::new(now, entry));
     }
 
-    /// Sets the most connections of this VM to a server.
+    /// Sets the largest number of connections of this VM to a server.
     pub(crate) fn set_connections(&mut self, name: &ServerName, most: Connections) {
         let key = self.by_name.get(name);
         if let Some(view) = key.and_then(|k| self.views.get_mut(k)) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Forgets a server; its view stays until its last attempt has ended.
+    /// Removes a server; its view stays until its last attempt has ended.
     pub(crate) fn remove(&mut self, name: &ServerName) {
         let Some(key) = self.by_name.remove(name) else {
             return;
@@ -59,14 +59,14 @@
         let Some(view) = self.views.get_mut(&key) else {
             return;
         };
-        view.is_gone = true;
+        view.is_removed = true;
         if let Some(members) = self.by_service.get_mut(&view.entry.service) {
             members.retain(|k| *k != key);
         }
-        self.drop_if_done(key);
+        self.drop_if_unused(key);
     }
 
-    /// The servers of a service that are in the register.
+    /// Returns the servers of a service that are in the register.
     pub(crate) fn of(&self, service: &ServiceName) -> &[ServerKey] {
         self.by_service.get(service).map_or(&[], |m| m)
     }
@@ -79,30 +79,30 @@
         self.views.get_mut(&key)
     }
 
-    /// A server in the register.
+    /// Returns the key and view of a server in the register.
     pub(crate) fn find(&self, name: &ServerName) -> Option<(ServerKey, &ServerView)> {
         let key = *self.by_name.get(name)?;
         self.views.get(&key).map(|view| (key, view))
     }
 
-    /// The view of a server in the register, to change it.
+    /// Returns the mutable view of a server in the register.
     pub(crate) fn by_name_mut(&mut self, name: &ServerName) -> Option<&mut ServerView> {
         self.views.get_mut(self.by_name.get(name)?)
     }
 
-    /// The view of a server in the register.
+    /// Returns the view of a server in the register.
     pub(crate) fn by_name(&self, name: &ServerName) -> Option<&ServerView> {
         self.views.get(self.by_name.get(name)?)
     }
 
-    /// The views of all servers in the register.
+    /// Returns the views of all servers in the register.
     pub(crate) fn all(&self) -> impl Iterator<Item = &ServerView> {
         self.by_name.values().filter_map(|k| self.views.get(k))
     }
 
-    /// Drops the view of a server that is gone once nothing refers to it.
-    pub(crate) fn drop_if_done(&mut self, key: ServerKey) {
-        let is_done = |v: &ServerView| v.is_gone && v.outstanding.is_empty();
+    /// Drops the view of a removed server once no attempt refers to it.
+    pub(crate) fn drop_if_unused(&mut self, key: ServerKey) {
+        let is_done = |v: &ServerView| v.is_removed && v.outstanding.is_empty();
         let in_register = |v: &ServerView| self.by_name.get(&v.entry.name) == Some(&key);
         if self
             .views
--- a/crates/relay/src/service.rs
+++ b/crates/relay/src/service.rs
@@ -1,4 +1,4 @@
-//! What the requests for one service share: the budget for extra attempts, and the queue.
+//! State shared by the requests for one service: the budget for extra attempts and the queue.
 
 use std::collections::BTreeSet;
 
@@ -6,20 +6,20 @@
 
 use crate::budget::ExtraAttemptBudget;
 
-/// A part that waits for a connection: by rank, then by age.
+/// A part that waits for a connection, ordered by priority and then by age.
 pub(crate) type QueuedPart = (u8, LookupSeq, u16);
 
-/// What the requests for one service share.
+/// State shared by the requests for one service.
 #[derive(Debug)]
 pub(crate) struct Service {
-    pub(crate) extra: ExtraAttemptBudget,
+    pub(crate) extra_budget: ExtraAttemptBudget,
     pub(crate) waiting: BTreeSet<QueuedPart>,
 }
 
 impl Service {
-    pub(crate) fn new(extra: ExtraAttemptBudget) -> Self {
+    pub(crate) fn new(extra_budget: ExtraAttemptBudget) -> Self {
         Self {
-            extra,
+            extra_budget,
             waiting: BTreeSet::new(),
         }
     }
--- a/crates/relay/src/shard_crashes.rs
+++ b/crates/relay/src/shard_crashes.rs
@@ -1,8 +1,8 @@
-//! Requests that crash the servers of one shard, while others answer them.
+//! Tracks requests that crash the servers of one shard while other shards answer them.
 //!
-//! The load it answers: a fan-out that crashes one shard again each time that a caller repeats it. Servers that crash
-//! by themselves break every request that they have, so a request counts only once it has broken a server that it
-//! had broken before and that has been started again since.
+//! Such a fan-out crashes that shard again each time its caller repeats it. As a server that
+//! crashes for another reason breaks every request that it has, a request counts only after it has
+//! crashed a server again that has restarted since an earlier crash by it.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -11,36 +11,39 @@
 use smallvec::SmallVec;
 
 use crate::crash_suspects::CRASH_RETENTION;
+use crate::crash_suspects::CRASHED_SERVERS_MIN;
 use crate::crash_suspects::CRASHES_MAX;
-use crate::crash_suspects::SERVERS_MIN;
 use crate::crash_suspects::SUSPECTS_MAX;
 use crate::servers::ServerKey;
 
-/// A server, in one run of its own.
-type ServerRun = (ServerKey, Option<Incarnation>);
+/// A server in one of its incarnations.
+type ServerIncarnation = (ServerKey, Option<Incarnation>);
 
-/// What a request broke of one shard, none of which answered it.
+/// Servers of one shard that crashed while they had a request, which none of the shard answered.
 #[derive(Debug)]
-struct Breaks {
+struct CrashRecord {
     service: ServiceName,
-    runs: SmallVec<[ServerRun; 4]>,
+    incarnations: SmallVec<[ServerIncarnation; 4]>,
     last: Instant,
 }
 
-impl Breaks {
+impl CrashRecord {
     fn is_proved(&self) -> bool {
-        let mut servers: SmallVec<[ServerKey; 4]> = self.runs.iter().map(|(key, _)| *key).collect();
+        let mut servers: SmallVec<[ServerKey; 4]> =
+            self.incarnations.iter().map(|(key, _)| *key).collect();
         servers.sort_unstable();
         servers.dedup();
-        let was_broken_again = servers.len() < self.runs.len();
-        was_broken_again && servers.len() >= SERVERS_MIN && self.runs.len() >= CRASHES_MAX as usize
+        let crashed_again = servers.len() < self.incarnations.len();
+        crashed_again
+            && servers.len() >= CRASHED_SERVERS_MIN
+            && self.incarnations.len() >= CRASHES_MAX as usize
     }
 }
 
-/// What requests broke, by shard.
+/// Crashes by request and shard.
 #[derive(Debug, Default)]
 pub(crate) struct ShardCrashes {
-    requests: HashMap<Fingerprint, SmallVec<[Breaks; 1]>>,
+    requests: HashMap<Fingerprint, SmallVec<[CrashRecord; 1]>>,
 }
 
 impl ShardCrashes {
@@ -48,13 +51,13 @@
         self.requests.is_empty()
     }
 
-    /// A server of a service broke while it had the request.
+    /// Records that a server of a service crashed while it had the request.
     pub(crate) fn note_crash(
         &mut self,
         now: Instant,
         request: Fingerprint,
         service: &ServiceName,
-        server: ServerRun,
+        server: ServerIncarnation,
     ) {
         if self.requests.len() >= SUSPECTS_MAX && !self.requests.contains_key(&request) {
             return;
@@ -62,24 +65,24 @@
         let shards = self.requests.entry(request).or_default();
         let found = shards.iter().position(|b| b.service == *service);
         let at = found.unwrap_or_else(|| {
-            shards.push(Breaks {
+            shards.push(CrashRecord {
                 service: service.clone(),
-                runs: SmallVec::new(),
+                incarnations: SmallVec::new(),
                 last: now,
             });
             shards.len() - 1
         });
-        let breaks = &mut shards[at];
-        if is_old(now, breaks) {
-            breaks.runs.clear();
+        let record = &mut shards[at];
+        if is_old(now, record) {
+            record.incarnations.clear();
         }
-        breaks.last = now;
-        if !breaks.runs.contains(&server) {
-            breaks.runs.push(server);
+        record.last = now;
+        if !record.incarnations.contains(&server) {
+            record.incarnations.push(server);
         }
     }
 
-    /// A server of a service ran the request and lived.
+    /// Records that a server of a service executed the request without crashing.
     pub(crate) fn note_survived(&mut self, request: Fingerprint, service: &ServiceName) {
         if let Some(shards) = self.requests.get_mut(&request) {
             shards.retain(|b| b.service != *service);
@@ -89,7 +92,7 @@
         }
     }
 
-    /// Whether the request has broken enough of one shard.
+    /// Returns whether the request has crashed enough servers of one shard.
     pub(crate) fn is_proved(&self, now: Instant, request: Fingerprint) -> bool {
         let shards = self.requests.get(&request);
         shards.is_some_and(|s| s.iter().any(|b| !is_old(now, b) && b.is_proved()))
@@ -107,6 +110,6 @@
     }
 }
 
-fn is_old(now: Instant, breaks: &Breaks) -> bool {
-    now.saturating_duration_since(breaks.last) >= CRASH_RETENTION
+fn is_old(now: Instant, record: &CrashRecord) -> bool {
+    now.saturating_duration_since(record.last) >= CRASH_RETENTION
 }
--- a/crates/relay/src/split.rs
+++ b/crates/relay/src/split.rs
@@ -1,4 +1,4 @@
-//! Which service of a split route takes a request.
+//! Chooses the service of a request on a split route.
 
 use gs_types::prelude::*;
 use rand::Rng;
@@ -6,7 +6,7 @@
 
 use crate::route::Weighted;
 
-/// Picks a service in proportion to the weights; `None` if none has any weight.
+/// Chooses a service in proportion to the weights; `None` if none has any weight.
 pub(crate) fn pick<'a>(parts: &'a [Weighted], rng: &mut impl Rng) -> Option<&'a ServiceName> {
     if let [only] = parts {
         return Some(&only.service);
--- a/crates/relay/src/stall.rs
+++ b/crates/relay/src/stall.rs
@@ -1,21 +1,22 @@
-//! Whether a server has stopped answering for a moment.
+//! Detects servers that have temporarily stopped answering.
 //!
-//! The load it answers: each server pauses for a fifth of a second every few seconds, at its own
-//! time. The first attempt that meets the pause waits; all later ones can be spared it.
+//! Each server stalls for a fifth of a second every few seconds, independently of the others. The
+//! first attempt that meets a stall has to wait; later ones can avoid it.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use crate::server::ServerView;
 
-/// How many times the expected time a server may be silent: a run of work seldom takes three times
-/// its mean, with a spread of a third and one in a hundred five times as long.
+/// Multiple of the expected time for which a server may be silent: an execution seldom takes three
+/// times the mean, with a spread of a third and one in a hundred taking five times as long.
 const SILENCE_FACTOR: f64 = 2.5;
 
-/// Silence that is never a stall, for the jitter of timers and links.
+/// Silence that is never a stall, to allow for the jitter of timers and links.
 const SILENCE_MIN: Duration = Duration::from_millis(12);
 
-/// Whether nothing came from a server for much longer than an attempt there is expected to take.
+/// Returns whether nothing was received from a server for much longer than an attempt there is
+/// expected to take.
 pub(crate) fn is_stalled(now: Instant, view: &ServerView, expected: Duration) -> bool {
     let Some(since) = view.silent_since() else {
         return false;
--- a/crates/relay/src/table.rs
+++ b/crates/relay/src/table.rs
@@ -1,4 +1,4 @@
-//! One version of the routes, whole.
+//! A complete version of the routes.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -17,25 +17,25 @@
 pub struct ServiceDecl {
     /// Its name.
     pub name: ServiceName,
-    /// The connections that each of its servers accepts from everyone together.
+    /// The number of connections that each of its servers accepts from all VMs together.
     pub connections: Connections,
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits on a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct CallerLimits {
-    /// The most bytes of a request's line and headers.
+    /// The largest size of a request's line and headers, in bytes.
     pub headers: usize,
-    /// The most bytes of a request's body.
+    /// The largest size of a request's body, in bytes.
     pub body: usize,
-    /// The longest that a request's head may take to arrive.
+    /// How long the head of a request may take to arrive.
     pub header_timeout: Duration,
-    /// The longest that a kept connection may stay idle.
+    /// How long a kept connection may stay idle.
     pub idle_timeout: Duration,
 }
 
-/// One version of the routes; a lookup is answered by the version in force when it arrived.
+/// One version of the routes; a request is answered by the version in force when it arrived.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(from = "Declared", into = "Declared")]
 pub struct RouteTable {
@@ -47,7 +47,7 @@
 }
 
 impl RouteTable {
-    /// Sorts the routes of a version for look-ups.
+    /// Indexes the routes of a version by host and prefix.
     #[must_use]
     pub fn new(
         version: ConfVersion,
@@ -70,25 +70,25 @@
         }
     }
 
-    /// The version's number.
+    /// Returns the number of the version.
     #[must_use]
     pub fn version(&self) -> ConfVersion {
         self.version
     }
 
-    /// What a caller may send.
+    /// Returns the limits on callers' requests.
     #[must_use]
     pub fn limits(&self) -> &CallerLimits {
         &self.limits
     }
 
-    /// A service by name.
+    /// Returns a service by name.
     #[must_use]
     pub fn service(&self, name: &ServiceName) -> Option<&ServiceDecl> {
         self.services.get(name)
     }
 
-    /// Those of these services that are declared.
+    /// Returns those of the named services that are declared.
     pub(crate) fn services_of<'a>(
         &'a self,
         names: &'a HashSet<ServiceName>,
@@ -96,12 +96,12 @@
         names.iter().filter_map(|name| self.services.get(name))
     }
 
-    /// Every route.
+    /// Returns every route.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.by_host.values().flatten()
     }
 
-    /// The route of this host with the longest prefix that begins the path.
+    /// Returns the route of this host with the longest prefix of the path.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.by_host.get(host)?;
@@ -109,7 +109,7 @@
     }
 }
 
-/// A version as it is told to another VM.
+/// Serialised form of a version, as sent to another VM.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 struct Declared {
--- a/crates/relay/src/timers.rs
+++ b/crates/relay/src/timers.rs
@@ -1,4 +1,4 @@
-//! What falls due: hedges, objectives and deadlines.
+//! Handles the timer of a request: hedges, the objective and the deadline.
 
 use std::time::Instant;
 
@@ -12,9 +12,9 @@
 use crate::stall;
 
 impl Core {
-    /// Hedges the attempts that took too long and plans the next look.
+    /// Hedges the attempts that exceeded their hedge delay and schedules the next check.
     ///
-    /// Gives the server that was found to have stopped answering, if one was.
+    /// Returns a server that was found to have stalled, if there is one.
     pub(crate) fn check_attempts(
         &mut self,
         now: Instant,
@@ -26,11 +26,11 @@
             self.arm(request, request.answer_by);
             return None;
         }
-        for at in 0..request.parts.len() {
-            let Some((begun, server)) = lone_attempt(request, at) else {
+        for index in 0..request.parts.len() {
+            let Some((begun, server)) = only_attempt(request, index) else {
                 continue;
             };
-            let due = begun + self.delay_at(request, server);
+            let due = begun + self.hedge_delay(request, server);
             if due > now {
                 self.arm(request, due);
                 continue;
@@ -38,7 +38,7 @@
             if self.is_stalled(now, request, server) {
                 stalled = Some(server);
             }
-            self.hedge(now, request, at, out);
+            self.hedge(now, request, index, out);
         }
         let next = if now < request.objective_at {
             request.objective_at
@@ -49,7 +49,7 @@
         stalled
     }
 
-    /// Hedges a part that waits for a server which has stopped answering.
+    /// Hedges a part whose only attempt is in flight at a stalled server.
     pub(crate) fn hedge_stalled(
         &mut self,
         now: Instant,
@@ -58,59 +58,61 @@
         server: ServerKey,
         out: &mut Vec<Action>,
     ) {
-        let at = usize::from(part);
-        if request.is_once() || lone_attempt(request, at).is_none_or(|(_, s)| s != server) {
+        let index = usize::from(part);
+        if request.is_once() || only_attempt(request, index).is_none_or(|(_, s)| s != server) {
             return;
         }
-        self.hedge(now, request, at, out);
+        self.hedge(now, request, index, out);
     }
 
-    /// Makes a second attempt beside a slow one, if it may still be of use.
+    /// Makes a second attempt in parallel with a slow one, if it can still be of use.
     fn hedge(
         &mut self,
         now: Instant,
         request: &mut ActiveRequest,
-        at: usize,
+        index: usize,
         out: &mut Vec<Action>,
     ) {
         let placement_context = self.placement_context(now, request);
-        let Some((server, expected)) = placement_context.choose_hedge_server(&request.parts[at])
+        let Some((server, expected)) = placement_context.choose_hedge_server(&request.parts[index])
         else {
             return;
         };
         let is_late = now + expected > request.objective_at;
-        if is_late && request.whole >= request.parts_wanted {
-            // The page goes out without it at the objective.
+        if is_late && request.complete >= request.parts_wanted {
+            // The page is returned without it at the objective.
             return;
         }
-        if !self.take_extra(now, request, at, true) {
+        if !self.take_extra_attempt(now, request, index, true) {
             return;
         }
-        self.send(now, request, at, server, Cause::Hedge, out);
+        self.send(now, request, index, server, Cause::Hedge, out);
     }
 
-    fn delay_at(&self, request: &ActiveRequest, server: ServerKey) -> std::time::Duration {
+    fn hedge_delay(&self, request: &ActiveRequest, server: ServerKey) -> std::time::Duration {
         let view = self.servers.get(server);
         let is_near = view.is_some_and(|v| v.entry.data_centre == self.options.data_centre);
-        self.times[&request.route.name].delay(is_near)
+        self.route_times[&request.route.name].delay(is_near)
     }
 
     fn is_stalled(&self, now: Instant, request: &ActiveRequest, server: ServerKey) -> bool {
         let Some(view) = self.servers.get(server) else {
             return false;
         };
-        let expected = self.placement_context(now, request).expected(view);
+        let expected = self.placement_context(now, request).expected_time(view);
         stall::is_stalled(now, view, expected)
     }
 }
 
-/// When and where the part's only attempt began, if it has made just one that is under way.
-fn lone_attempt(request: &ActiveRequest, at: usize) -> Option<(Instant, ServerKey)> {
-    let part = &request.parts[at];
+/// Returns the dispatch time and the server of a part's attempt in flight, if there is exactly one.
+fn only_attempt(request: &ActiveRequest, index: usize) -> Option<(Instant, ServerKey)> {
+    let part = &request.parts[index];
     if part.state != PartState::Running {
         return None;
     }
-    let mut live = part.attempts.iter().filter(|a| Attempt::is_live(a));
+    let mut live = part.attempts.iter().filter(|a| Attempt::is_in_flight(a));
     let first = live.next()?;
-    live.next().is_none().then_some((first.at, first.server))
+    live.next()
+        .is_none()
+        .then_some((first.dispatched_at, first.server))
 }
--- a/crates/relay/tests/relay/hedges.rs
+++ b/crates/relay/tests/relay/hedges.rs
@@ -80,7 +80,7 @@
     let mut b = ExtraAttemptBudget::new(ms(10_000), 0.2, 0.0);
     let now = Instant::now();
     for _ in 0..100 {
-        b.request(now);
+        b.note_request(now);
     }
     let hedges = (0..100).filter(|_| b.take(now, true)).count();
     let retries = (0..100).filter(|_| b.take(now, false)).count();
