--- a/crates/relay/src/admission.rs
+++ b/crates/relay/src/admission.rs
@@ -19,14 +19,14 @@
 use crate::route::Target;
 
 /// The shortest time after which a refused caller is to retry; nothing can have changed earlier.
-const RETRY_MIN: Duration = Duration::from_millis(50);
+const RETRY_AFTER_MIN: Duration = Duration::from_millis(50);
 
 /// The time after which to retry if it is not known when a server will be available again.
-const RETRY_DEFAULT: Duration = Duration::from_millis(500);
+const RETRY_AFTER_DEFAULT: Duration = Duration::from_millis(500);
 
 /// Requests in flight below which no fan-out is refused for its expected latency, so that an
 /// estimate that has grown too high is corrected by new samples.
-const UNCHECKED_IN_FLIGHT: usize = 2;
+const LATENCY_CHECK_IN_FLIGHT_MIN: usize = 2;
 
 /// Ratio of the time of the last part that is needed to the expected time of a part: execution
 /// times vary by a third, and nearly all of many parts are needed.
@@ -42,8 +42,8 @@
 
 /// Bounds of the time after which to retry when a request is refused for its expected latency:
 /// queues of that length empty within it.
-const LATENCY_RETRY_MIN: Duration = Duration::from_millis(250);
-const LATENCY_RETRY_MAX: Duration = Duration::from_millis(800);
+const LATENCY_RETRY_AFTER_MIN: Duration = Duration::from_millis(250);
+const LATENCY_RETRY_AFTER_MAX: Duration = Duration::from_millis(800);
 
 /// Largest fraction by which retry times are randomly extended, so that callers refused together do
 /// not return together.
@@ -70,7 +70,7 @@
         if self.in_flight >= self.options.lookups_max {
             return Err((
                 RefuseReason::Overload,
-                Some(self.with_jitter(RETRY_DEFAULT)),
+                Some(self.with_jitter(RETRY_AFTER_DEFAULT)),
             ));
         }
         Ok(())
@@ -85,8 +85,8 @@
         let Some(retry_at) = self.unreachable_until(now, request) else {
             return Ok(());
         };
-        let retry = retry_at.map_or(RETRY_DEFAULT, |at| at.saturating_duration_since(now));
-        let retry = self.with_jitter(retry.max(RETRY_MIN));
+        let retry = retry_at.map_or(RETRY_AFTER_DEFAULT, |at| at.saturating_duration_since(now));
+        let retry = self.with_jitter(retry.max(RETRY_AFTER_MIN));
         Err((RefuseReason::NoServer, Some(retry)))
     }
 
@@ -111,7 +111,7 @@
             .is_some_and(|o| o.len() < scatter.shards.len());
         // The initial estimate of a route must not cause its first callers to be refused.
         let is_learned = self.route_times(&request.route).is_learned();
-        if is_partial || !is_learned || self.in_flight < UNCHECKED_IN_FLIGHT {
+        if is_partial || !is_learned || self.in_flight < LATENCY_CHECK_IN_FLIGHT_MIN {
             return Ok(());
         }
         let Some(expected) = self.expected_page_time(now, request, &scatter.shards) else {
@@ -124,8 +124,8 @@
         {
             return Ok(());
         }
-        let retry =
-            (expected - time_left.min(expected)).clamp(LATENCY_RETRY_MIN, LATENCY_RETRY_MAX);
+        let retry = (expected - time_left.min(expected))
+            .clamp(LATENCY_RETRY_AFTER_MIN, LATENCY_RETRY_AFTER_MAX);
         Err((RefuseReason::Overload, Some(self.with_jitter(retry))))
     }
 
--- a/crates/relay/src/arrival.rs
+++ b/crates/relay/src/arrival.rs
@@ -150,8 +150,8 @@
     pub(crate) fn parts_of(&mut self, route: &Route, shards: Option<&[u16]>) -> Vec<Part> {
         let services = match &route.target {
             Target::One(weighted) => {
-                let picked = split::pick(weighted, &mut self.rng);
-                return picked
+                let chosen = split::choose_service(weighted, &mut self.rng);
+                return chosen
                     .map(|s| Part::new(0, s.clone()))
                     .into_iter()
                     .collect();
--- a/crates/relay/src/attempt_end.rs
+++ b/crates/relay/src/attempt_end.rs
@@ -26,7 +26,7 @@
         end: AttemptEnd,
         out: &mut Vec<Action>,
     ) {
-        if let Some((server, begun, route)) = self.core.orphans.remove(&id) {
+        if let Some((server, begun, route)) = self.core.orphaned_attempts.remove(&id) {
             // Its request has ended; the queue ahead of the attempt is no longer known.
             self.core
                 .update_server_health(now, server, id, (begun, 0.0), &route, &end);
@@ -215,7 +215,7 @@
             return;
         };
         view.on_ended(id);
-        self.freed.push(view.entry.service.clone());
+        self.freed_services.push(view.entry.service.clone());
         match end {
             AttemptEnd::Answered(answer, load) => {
                 let is_near = view.entry.data_centre == self.options.data_centre;
--- a/crates/relay/src/budget.rs
+++ b/crates/relay/src/budget.rs
@@ -10,7 +10,7 @@
 use std::time::Instant;
 
 /// Number of buckets in a window, which is the resolution at which counts leave it.
-const BUCKETS: u32 = 20;
+const BUCKETS_PER_WINDOW: u32 = 20;
 
 /// Fraction of the budget that hedges leave for retries, as a hedge only saves time.
 const RETRY_RESERVE_FRACTION: f64 = 0.25;
@@ -99,13 +99,13 @@
     /// Returns the current bucket, after dropping those that have left the window.
     fn bucket(&mut self, now: Instant) -> &mut Bucket {
         while let Some(b) = self.buckets.front()
-            && b.at + self.window + self.window / BUCKETS <= now
+            && b.at + self.window + self.window / BUCKETS_PER_WINDOW <= now
         {
             self.requests -= b.requests;
             self.extra -= b.extra;
             self.buckets.pop_front();
         }
-        let span = self.window / BUCKETS;
+        let span = self.window / BUCKETS_PER_WINDOW;
         let is_current = self.buckets.back().is_some_and(|b| now < b.at + span);
         if !is_current {
             self.buckets.push_back(Bucket {
--- a/crates/relay/src/coalesce_delay.rs
+++ b/crates/relay/src/coalesce_delay.rs
@@ -23,10 +23,10 @@
 const START_DELAY_MAX: Duration = Duration::from_millis(2500);
 
 /// How long the start of a fleet takes.
-const START_DURATION: Duration = Duration::from_secs(8);
+const FLEET_START_DURATION: Duration = Duration::from_secs(8);
 
 /// Changes that arrive after a wait of at least this length begin a new series.
-const QUIET_AFTER: Duration = Duration::from_secs(2);
+const SERIES_GAP: Duration = Duration::from_secs(2);
 
 /// Delay between polls that return changes; it doubles while a series of changes continues.
 #[derive(Clone, Copy, Debug)]
@@ -69,7 +69,7 @@
 
     /// Updates the delay after a poll that waited for `waited` and returned changes.
     pub fn on_changes(&mut self, waited: Duration, since_start: Duration) {
-        let (initial, delay_max) = if since_start < START_DURATION {
+        let (initial, delay_max) = if since_start < FLEET_START_DURATION {
             (DELAY_MIN, self.start_delay_max)
         } else {
             (
@@ -77,7 +77,7 @@
                 self.delay_max,
             )
         };
-        self.delay = if waited >= QUIET_AFTER {
+        self.delay = if waited >= SERIES_GAP {
             initial
         } else {
             (self.delay * 2).clamp(initial, delay_max)
--- a/crates/relay/src/connection_shares.rs
+++ b/crates/relay/src/connection_shares.rs
@@ -116,14 +116,15 @@
         let declared = core.table.iter().flat_map(|t| t.services_of(&shards));
         let connections = declared.map(|s| s.connections).min();
         let fan_out_vms = choose_fan_out_vms(&core.peer_vms, connections);
-        let names: HashSet<VmId> = fan_out_vms.iter().map(|vm| vm.name.clone()).collect();
+        let fan_out_vm_names: HashSet<VmId> =
+            fan_out_vms.iter().map(|vm| vm.name.clone()).collect();
         let (subsets, scarce) = subsets(core, routed.difference(&shards));
         Self {
             shards,
             routed,
             knows_vms: true,
-            runs_fan_outs: names.contains(&core.options.vm),
-            fan_out_vm_names: names,
+            runs_fan_outs: fan_out_vm_names.contains(&core.options.vm),
+            fan_out_vm_names,
             fan_out_vms: VmCount::of(fan_out_vms.len()),
             all_vms: VmCount::of(core.peer_vms.vms().len()),
             subsets,
@@ -232,9 +233,9 @@
     /// moment; connections from the VMs that will run fan-outs are enough.
     pub(crate) fn connections_min(&self, service: &ServiceName, is_near: bool) -> Connections {
         let is_for_fan_outs = self.shards.contains(service) || !self.routed.contains(service);
-        let is_idle = !self.knows_vms || (is_for_fan_outs && !self.runs_fan_outs);
+        let needs_none = !self.knows_vms || (is_for_fan_outs && !self.runs_fan_outs);
         Connections(match is_near {
-            _ if is_idle || self.scarce.contains(service) => 0,
+            _ if needs_none || self.scarce.contains(service) => 0,
             true => LOCAL_CONNECTIONS_MIN,
             false => REMOTE_CONNECTIONS_MIN,
         })
--- a/crates/relay/src/delegation.rs
+++ b/crates/relay/src/delegation.rs
@@ -193,8 +193,8 @@
             .filter(|vm| self.connection_shares.is_fan_out_vm(vm));
         let near = strong.filter(|vm| vm.region == self.options.region);
         let data_centres: BTreeSet<&DataCentre> = near.map(|vm| &vm.data_centre).collect();
-        let mine = &self.options.data_centre;
-        let nearest = data_centres.get(mine).or_else(|| data_centres.first());
+        let own = &self.options.data_centre;
+        let nearest = data_centres.get(own).or_else(|| data_centres.first());
         let Some(data_centre) = nearest.copied().cloned() else {
             return FanOutPlan::default();
         };
--- a/crates/relay/src/finish.rs
+++ b/crates/relay/src/finish.rs
@@ -63,8 +63,8 @@
         };
         let outcome = match decide_completion(now, &progress) {
             CompletionDecision::Wait => return false,
-            CompletionDecision::Deliver => self.deliver(request),
-            CompletionDecision::Fail => fail(now, request),
+            CompletionDecision::Deliver => self.success_outcome(request),
+            CompletionDecision::Fail => failure_outcome(now, request),
         };
         self.answer(now, request, outcome, out);
         true
@@ -83,7 +83,7 @@
         out: &mut Vec<Action>,
     ) {
         let took = now.saturating_duration_since(request.arrived);
-        self.note_end(request, took, &outcome);
+        self.count_outcome(request, took, &outcome);
         self.quarantine_if_crashing(now, request, out);
         let is_plain = match &outcome {
             Outcome::Page(p) => p.missing.is_empty() && took <= request.route.objective,
@@ -109,7 +109,7 @@
         self.release(request);
     }
 
-    fn deliver(&self, request: &mut ActiveRequest) -> Outcome {
+    fn success_outcome(&self, request: &mut ActiveRequest) -> Outcome {
         let Target::Scatter(scatter) = &request.route.target else {
             let answer = request.parts.iter_mut().find_map(|p| p.answer.take());
             return answer.map_or(Outcome::Failed(FailReason::Failed), Outcome::Relayed);
@@ -148,7 +148,7 @@
         }
     }
 
-    fn note_end(&mut self, request: &ActiveRequest, took: Duration, outcome: &Outcome) {
+    fn count_outcome(&mut self, request: &ActiveRequest, took: Duration, outcome: &Outcome) {
         match outcome {
             Outcome::Failed(_) => self.counters.failed += 1,
             Outcome::Refused(..) => self.counters.refused += 1,
@@ -168,7 +168,7 @@
             }
         }
         for (id, a) in request.attempts_in_flight() {
-            self.orphans
+            self.orphaned_attempts
                 .insert(id, (a.server, a.dispatched_at, request.route.name.clone()));
         }
     }
@@ -178,10 +178,10 @@
 ///
 /// A server's own failure is forwarded unchanged. If nothing was executed, the request is refused,
 /// which allows the caller to retry.
-fn fail(now: Instant, request: &mut ActiveRequest) -> Outcome {
+fn failure_outcome(now: Instant, request: &mut ActiveRequest) -> Outcome {
     let failures = request.parts.iter_mut().filter_map(|p| p.answer.take());
     if !request.route.is_scatter()
-        && let Some(answer) = { failures }.find(|a| may_pass_on(a))
+        && let Some(answer) = { failures }.find(|a| may_be_forwarded(a))
     {
         return Outcome::Relayed(answer);
     }
@@ -199,12 +199,12 @@
 ///
 /// The listed statuses state that the request was not executed and never will be, which is not true
 /// as this server has executed it. A success without a stamp does not count as an answer.
-fn may_pass_on(answer: &ServerAnswer) -> bool {
-    let promises = [
+fn may_be_forwarded(answer: &ServerAnswer) -> bool {
+    let not_executed = [
         StatusCode::REQUEST_TIMEOUT,
         StatusCode::MISDIRECTED_REQUEST,
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::SERVICE_UNAVAILABLE,
     ];
-    !answer.status.is_success() && !promises.contains(&answer.status)
+    !answer.status.is_success() && !not_executed.contains(&answer.status)
 }
--- a/crates/relay/src/hedge.rs
+++ b/crates/relay/src/hedge.rs
@@ -11,18 +11,18 @@
 use gs_limit::LearnedDelay;
 
 /// Weight of a new sample in a route's mean execution time.
-const WORK_WEIGHT: f64 = 0.02;
+const EXECUTION_SAMPLE_WEIGHT: f64 = 0.02;
 
 /// Upper bound of a sample, as a multiple of the mean, so that a stall does not count as execution
 /// time.
-const WORK_SAMPLE_MAX: f64 = 4.0;
+const EXECUTION_SAMPLE_MAX_RATIO: f64 = 4.0;
 
 /// Number of samples after which the mean replaces the initial estimate: those of one page or a
 /// few.
 const LEARNED_SAMPLES_MIN: u32 = 20;
 
 /// Fraction of the objective that an attempt is expected to take before there are samples.
-const INITIAL_WORK_FRACTION: f64 = 0.1;
+const INITIAL_EXECUTION_FRACTION: f64 = 0.1;
 
 /// Fraction of the objective before which no attempt is hedged, also if most are faster: the rest
 /// of the objective is enough for a second attempt, and fewer of the attempts that are still in
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub(crate) struct RouteTimes {
     delays: LearnedDelay,
-    work_secs: f64,
+    execution_secs: f64,
     samples: u32,
     delay_min: Duration,
 }
@@ -42,7 +42,7 @@
     pub(crate) fn new(objective: Duration, quantile: f64) -> Self {
         Self {
             delays: LearnedDelay::new(quantile),
-            work_secs: objective.as_secs_f64() * INITIAL_WORK_FRACTION,
+            execution_secs: objective.as_secs_f64() * INITIAL_EXECUTION_FRACTION,
             samples: 0,
             delay_min: objective.mul_f64(HEDGE_DELAY_MIN_FRACTION),
         }
@@ -62,12 +62,13 @@
         rounds_ahead: f64,
     ) -> f64 {
         self.delays.observe(distance(is_near), took);
-        let work = took.saturating_sub(round_trip).as_secs_f64().max(1e-4) / (1.0 + rounds_ahead);
-        let ratio = work / self.work_secs;
-        let sample = work.min(self.work_secs * WORK_SAMPLE_MAX);
+        let execution_time =
+            took.saturating_sub(round_trip).as_secs_f64().max(1e-4) / (1.0 + rounds_ahead);
+        let ratio = execution_time / self.execution_secs;
+        let sample = execution_time.min(self.execution_secs * EXECUTION_SAMPLE_MAX_RATIO);
         self.samples = self.samples.saturating_add(1);
-        let weight = WORK_WEIGHT.max(1.0 / f64::from(self.samples));
-        self.work_secs += (sample - self.work_secs) * weight;
+        let weight = EXECUTION_SAMPLE_WEIGHT.max(1.0 / f64::from(self.samples));
+        self.execution_secs += (sample - self.execution_secs) * weight;
         ratio
     }
 
@@ -77,8 +78,8 @@
     }
 
     /// Returns the mean time of an attempt without network latency and queue.
-    pub(crate) fn work(&self) -> Duration {
-        Duration::from_secs_f64(self.work_secs)
+    pub(crate) fn execution_time(&self) -> Duration {
+        Duration::from_secs_f64(self.execution_secs)
     }
 
     /// Returns the time after which an attempt is hedged.
--- a/crates/relay/src/leases.rs
+++ b/crates/relay/src/leases.rs
@@ -59,12 +59,12 @@
 #[derive(Debug)]
 pub struct Leases {
     renewal_min: Duration,
-    seen: HashMap<VmId, Seen>,
+    seen: HashMap<VmId, SeenRevision>,
     checked_at: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct SeenRevision {
     revision: u64,
     at: Instant,
 }
@@ -91,7 +91,7 @@
         let mut seen = HashMap::with_capacity(listed.len());
         for l in listed {
             let before = self.seen.get(&l.vm).filter(|s| s.revision == l.revision);
-            let fresh = Seen {
+            let fresh = SeenRevision {
                 revision: l.revision,
                 at: now,
             };
--- a/crates/relay/src/placement.rs
+++ b/crates/relay/src/placement.rs
@@ -101,9 +101,12 @@
 
     /// Returns the same with the given number of parts ahead that wait here for a connection.
     fn expected_time_behind(&self, view: &ServerView, waiting: f64) -> Duration {
-        let work = self.route_times.work().mul_f64(view.slowness(self.now));
+        let execution_time = self
+            .route_times
+            .execution_time()
+            .mul_f64(view.slowness(self.now));
         let rounds = view.rounds_ahead(self.now, waiting);
-        self.round_trips.round_trip(&view.entry.data_centre) + work.mul_f64(1.0 + rounds)
+        self.round_trips.round_trip(&view.entry.data_centre) + execution_time.mul_f64(1.0 + rounds)
     }
 
     /// Returns the expected time of a part that is started now, queues included; `None` without an
@@ -125,15 +128,16 @@
             .filter(|v| v.is_open() && v.backoff_until(self.now).is_none())
             .collect();
         let waiting_each = waiting as f64 / open.len().max(1) as f64;
-        let of = |v: &&ServerView| {
+        let time_at = |v: &&ServerView| {
             let base = self.round_trips.round_trip(&v.entry.data_centre);
-            let work = self
+            let execution_time = self
                 .route_times
-                .work()
+                .execution_time()
                 .mul_f64(v.slowness(self.now).min(SLOWNESS_MAX));
-            base + work.mul_f64(1.0 + QUEUE_FACTOR * v.rounds_ahead(self.now, waiting_each))
+            base + execution_time
+                .mul_f64(1.0 + QUEUE_FACTOR * v.rounds_ahead(self.now, waiting_each))
         };
-        open.iter().map(of).min()
+        open.iter().map(time_at).min()
     }
 
     fn choose_among(
@@ -188,10 +192,13 @@
     /// that waits here is released together with its page.
     fn window(&self, view: &ServerView) -> usize {
         let slots = f64::from(view.entry.slots.0.max(1));
-        let work = self.route_times.work().mul_f64(view.slowness(self.now));
+        let execution_time = self
+            .route_times
+            .execution_time()
+            .mul_f64(view.slowness(self.now));
         let round_trip = self.round_trips.round_trip(&view.entry.data_centre);
         let time = self.objective.mul_f64(WINDOW_FRACTION) + round_trip;
-        let rounds = time.as_secs_f64() / work.as_secs_f64().max(1e-4);
+        let rounds = time.as_secs_f64() / execution_time.as_secs_f64().max(1e-4);
         (slots * rounds / f64::from(self.sending_vms)).ceil() as usize
     }
 
--- a/crates/relay/src/queue.rs
+++ b/crates/relay/src/queue.rs
@@ -34,7 +34,7 @@
 impl Relay {
     /// Dispatches queued parts of the services of which a server has freed a connection.
     pub(crate) fn dispatch_waiting(&mut self, now: Instant, out: &mut Vec<Action>) {
-        while let Some(service) = self.core.freed.pop() {
+        while let Some(service) = self.core.freed_services.pop() {
             while let Some(w) = self.first_queued(&service) {
                 if !self.dispatch_queued(now, w, out) {
                     break;
--- a/crates/relay/src/registration.rs
+++ b/crates/relay/src/registration.rs
@@ -80,7 +80,7 @@
             .connection_shares
             .connections_max(limit, &entry.service);
         self.servers.set_connections(&entry.name, connections_max);
-        self.freed.push(entry.service.clone());
+        self.freed_services.push(entry.service.clone());
         if entry.availability == Availability::Draining {
             out.push(Action::Disconnect(entry.name.clone()));
             return;
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -55,7 +55,7 @@
     pub(crate) services: HashMap<ServiceName, Service>,
     pub(crate) route_times: HashMap<LookupName, RouteTimes>,
     /// Attempts in flight whose request has ended, with their server, dispatch time and route.
-    pub(crate) orphans: HashMap<AttemptKey, (ServerKey, Instant, LookupName)>,
+    pub(crate) orphaned_attempts: HashMap<AttemptKey, (ServerKey, Instant, LookupName)>,
     pub(crate) timers: BTreeSet<(Instant, LookupSeq)>,
     /// Requests suspected of crashing servers, and those in quarantine.
     pub(crate) suspects: CrashSuspects,
@@ -83,7 +83,7 @@
     pub(crate) missing_servers: HashMap<ServerName, Instant>,
     /// Services of which a server has freed a connection or has more of them, since their queue was
     /// last dispatched.
-    pub(crate) freed: Vec<ServiceName>,
+    pub(crate) freed_services: Vec<ServiceName>,
     pub(crate) in_flight: usize,
     /// The last pause of this process.
     pub(crate) process_pause: Option<ProcessPause>,
@@ -102,7 +102,7 @@
                 servers: Servers::default(),
                 services: HashMap::new(),
                 route_times: HashMap::new(),
-                orphans: HashMap::new(),
+                orphaned_attempts: HashMap::new(),
                 timers: BTreeSet::new(),
                 suspects: CrashSuspects::default(),
                 register_reachability: RegisterReachability::new(),
@@ -116,7 +116,7 @@
                 are_plans_stale: false,
                 rebuild_plans_at: None,
                 missing_servers: HashMap::new(),
-                freed: Vec::new(),
+                freed_services: Vec::new(),
                 in_flight: 0,
                 process_pause: None,
                 counters: Counters::default(),
@@ -290,12 +290,12 @@
 impl Core {
     /// Returns the state shared by the requests for a service, which is created on first use.
     pub(crate) fn service(&mut self, name: &ServiceName) -> &mut Service {
-        let o = &self.options;
-        let share = o.extra_slack * self.connection_shares.slack_share(name);
+        let options = &self.options;
+        let share = options.extra_slack * self.connection_shares.slack_share(name);
         self.services.entry(name.clone()).or_insert_with(|| {
             Service::new(ExtraAttemptBudget::new(
-                o.extra_window,
-                o.extra_ratio,
+                options.extra_window,
+                options.extra_ratio,
                 share,
             ))
         })
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -26,7 +26,7 @@
 const HELD_UP_RATIO: f64 = 3.0;
 
 /// How long a held-up answer is remembered: a slow server is queried again within this time.
-const HELD_UP_MEMORY: Duration = Duration::from_secs(4);
+const HELD_UP_RETENTION: Duration = Duration::from_secs(4);
 
 /// Weight of a new sample in the failure rate.
 const FAILURE_WEIGHT: f64 = 0.15;
@@ -264,7 +264,7 @@
     fn shows_slowness(&mut self, now: Instant, begun: Instant, ratio: f64) -> bool {
         let held_up = self
             .held_up
-            .filter(|at| now.saturating_duration_since(*at) < HELD_UP_MEMORY);
+            .filter(|at| now.saturating_duration_since(*at) < HELD_UP_RETENTION);
         if ratio < HELD_UP_RATIO {
             if held_up.is_some_and(|at| begun >= at) {
                 self.held_up = None;
--- a/crates/relay/src/split.rs
+++ b/crates/relay/src/split.rs
@@ -7,7 +7,10 @@
 use crate::route::Weighted;
 
 /// Chooses a service in proportion to the weights; `None` if none has any weight.
-pub(crate) fn pick<'a>(parts: &'a [Weighted], rng: &mut impl Rng) -> Option<&'a ServiceName> {
+pub(crate) fn choose_service<'a>(
+    parts: &'a [Weighted],
+    rng: &mut impl Rng,
+) -> Option<&'a ServiceName> {
     if let [only] = parts {
         return Some(&only.service);
     }
--- a/crates/relay/src/stall.rs
+++ b/crates/relay/src/stall.rs
@@ -10,10 +10,10 @@
 
 /// Multiple of the expected time for which a server may be silent: an execution seldom takes three
 /// times the mean, with a spread of a third and one in a hundred taking five times as long.
-const SILENCE_FACTOR: f64 = 2.5;
+const STALL_SILENCE_FACTOR: f64 = 2.5;
 
 /// Silence that is never a stall, to allow for the jitter of timers and links.
-const SILENCE_MIN: Duration = Duration::from_millis(12);
+const STALL_SILENCE_MIN: Duration = Duration::from_millis(12);
 
 /// Returns whether nothing was received from a server for much longer than an attempt there is
 /// expected to take.
@@ -22,5 +22,8 @@
         return false;
     };
     let silence = now.saturating_duration_since(since);
-    silence > expected.mul_f64(SILENCE_FACTOR).max(SILENCE_MIN)
+    silence
+        > expected
+            .mul_f64(STALL_SILENCE_FACTOR)
+            .max(STALL_SILENCE_MIN)
 }
