--- a/crates/relay/src/merge.rs
+++ b/crates/relay/src/merge.rs
@@ -6,7 +6,7 @@
 /// The width of a record in bytes; a shorter remainder at the end of a part is ignored.
 pub const RECORD_BYTES: usize = 16;
 
-/// Returns the `page` greatest records of all parts in descending order; equal records are all kept.
+/// Returns the `page` greatest records of all parts in descending order; equal ones are all kept.
 ///
 /// ```
 /// use bytes::Bytes;
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -37,8 +37,7 @@
 /// Half-life of the reported load: about two mean execution times of a part.
 const LOAD_HALF_LIFE: Duration = Duration::from_millis(40);
 
-/// Factor by which execution takes longer on a server in slow start, at most; the platform's is
-/// 1.6.
+/// Largest factor by which execution takes longer on a server in slow start; the platform's is 1.6.
 const SLOW_START_FACTOR: f64 = 1.6;
 
 /// First backoff of a server that cannot be reached; doubled each time in a row.
