--- a/crates/relay/src/dispatch.rs
+++ b/crates/relay/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Hands attempts over.
+//! Dispatches attempts to servers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,159 +6,184 @@
 
 use gs_types::prelude::*;
 
+use crate::abandon::AbandonReason;
 use crate::action::Action;
 use crate::action::Dispatch;
+use crate::active_request::ActiveRequest;
+use crate::active_request::PartState;
 use crate::attempt::Attempt;
+use crate::attempt::AttemptKey;
+use crate::attempt::AttemptState;
 use crate::attempt::Cause;
-use crate::attempt::Doing;
-use crate::attempt::RunId;
-use crate::gave_up::GaveUp;
-use crate::placement::Place;
-use crate::placement::Scene;
+use crate::placement::Placement;
+use crate::placement::PlacementContext;
 use crate::relay::Core;
-use crate::run::PartState;
-use crate::run::Run;
 use crate::servers::ServerKey;
 
-/// The most attempts at one part, those that never left included.
+/// The most attempts at one part, including those that were never sent.
 const ATTEMPTS_MAX: usize = 12;
 
-/// How many objectives a part of a fan-out may take before its connection is given up: a server that
-/// went dark would else hold each connection to the end of the caller's patience.
-const GIVE_UP_OBJECTIVES: u32 = 4;
+/// Timeout of an attempt at a part of a fan-out, as a multiple of the objective: an unresponsive
+/// server would otherwise hold each connection until the caller's timeout.
+const ATTEMPT_TIMEOUT_OBJECTIVES: u32 = 4;
 
-/// The least time before an attempt is given up; longer than two usual pauses.
-const GIVE_UP_MIN: Duration = Duration::from_millis(500);
+/// The shortest timeout of an attempt; longer than two usual stalls.
+const ATTEMPT_TIMEOUT_MIN: Duration = Duration::from_millis(500);
 
 impl Core {
-    /// Makes an attempt at a part if a server is free and the budget allows it.
+    /// Makes an attempt at a part if a server is available and the budget allows it; otherwise
+    /// queues or abandons the part.
     pub(crate) fn try_part(
         &mut self,
         now: Instant,
-        run: &mut Run,
-        at: usize,
+        request: &mut ActiveRequest,
+        index: usize,
         cause: Cause,
         out: &mut Vec<Action>,
     ) {
-        if run.parts[at].attempts.len() >= ATTEMPTS_MAX || now >= run.answer_by {
-            self.give_up(run, at, GaveUp::UsedUp);
+        if request.parts[index].attempts.len() >= ATTEMPTS_MAX || now >= request.answer_by {
+            self.abandon_part(request, index, AbandonReason::UsedUp);
             return;
         }
-        match self.scene(now, run).place(&run.parts[at]) {
-            Place::Now(server, _) => {
-                if cause != Cause::First && !self.take_extra(now, run, at, false) {
-                    self.give_up(run, at, GaveUp::Budget);
+        match self
+            .placement_context(now, request)
+            .choose_server(&request.parts[index])
+        {
+            Placement::Now(server, _) => {
+                if cause != Cause::First && !self.take_extra_attempt(now, request, index, false) {
+                    self.abandon_part(request, index, AbandonReason::Budget);
                     return;
                 }
-                self.send(now, run, at, server, cause, out);
+                self.send(now, request, index, server, cause, out);
             }
-            Place::Wait => self.queue(run, at, cause),
-            Place::Nowhere(_) => self.give_up(run, at, GaveUp::NoServer),
+            Placement::Wait => self.enqueue(request, index, cause),
+            Placement::Unavailable(_) => self.abandon_part(request, index, AbandonReason::NoServer),
         }
     }
 
-    /// What a placement for this request is made from.
-    pub(crate) fn scene(&self, now: Instant, run: &Run) -> Scene<'_> {
-        Scene {
+    /// Returns the input for choosing a server for this request.
+    pub(crate) fn placement_context(
+        &self,
+        now: Instant,
+        request: &ActiveRequest,
+    ) -> PlacementContext<'_> {
+        PlacementContext {
             now,
             servers: &self.servers,
-            times: &self.times[&run.route.name],
-            ways: &self.ways,
+            route_times: &self.route_times[&request.route.name],
+            round_trips: &self.round_trips,
             data_centre: &self.options.data_centre,
-            servers_max: run.route.servers_max,
-            objective: run.route.objective,
-            sharers: self.sharing.sharers(run.route.is_scatter()),
+            servers_max: request.route.servers_max,
+            objective: request.route.objective,
+            sending_vms: self
+                .connection_shares
+                .sending_vms(request.route.is_scatter()),
         }
     }
 
-    /// Takes an extra attempt out of the service's budget.
-    pub(crate) fn take_extra(&mut self, now: Instant, run: &Run, at: usize, hedge: bool) -> bool {
-        let service = run.parts[at].service.clone();
-        let taken = self.service(&service).extra.take(now, hedge);
-        if !taken {
+    /// Takes an extra attempt from the service's budget; returns `false` if it is used up.
+    pub(crate) fn take_extra_attempt(
+        &mut self,
+        now: Instant,
+        request: &ActiveRequest,
+        index: usize,
+        is_hedge: bool,
+    ) -> bool {
+        let service = request.parts[index].service.clone();
+        let is_taken = self.service(&service).extra_budget.take(now, is_hedge);
+        if !is_taken {
             self.counters.extra_refused += 1;
         }
-        taken
+        is_taken
     }
 
-    /// Gives a part up.
-    pub(crate) fn give_up(&mut self, run: &mut Run, at: usize, why: GaveUp) {
-        run.parts[at].state = PartState::Missing;
-        run.parts[at].gave_up = Some(why);
-        run.missing += 1;
+    /// Abandons a part for the given reason.
+    pub(crate) fn abandon_part(
+        &mut self,
+        request: &mut ActiveRequest,
+        index: usize,
+        reason: AbandonReason,
+    ) {
+        request.parts[index].state = PartState::Abandoned;
+        request.parts[index].abandon_reason = Some(reason);
+        request.abandoned += 1;
     }
 
-    /// Hands an attempt over to the shell.
+    /// Dispatches an attempt through the I/O driver and schedules the checks of it.
     pub(crate) fn send(
         &mut self,
         now: Instant,
-        run: &mut Run,
-        at: usize,
+        request: &mut ActiveRequest,
+        index: usize,
         server: ServerKey,
         cause: Cause,
         out: &mut Vec<Action>,
     ) {
-        let left = run.left(now);
-        let give_up = if run.route.is_scatter() {
-            (run.route.objective * GIVE_UP_OBJECTIVES)
-                .max(GIVE_UP_MIN)
-                .min(left)
+        let time_left = request.time_left(now);
+        let attempt_timeout = if request.route.is_scatter() {
+            (request.route.objective * ATTEMPT_TIMEOUT_OBJECTIVES)
+                .max(ATTEMPT_TIMEOUT_MIN)
+                .min(time_left)
         } else {
-            left
+            time_left
         };
-        let keep = run.route.is_scatter() || self.keeps_connections(&run.parts[at].service);
-        let part = &mut run.parts[at];
-        let id = RunId {
-            lookup: run.seq,
-            // The counts are bounded far below these types' ranges.
-            part: at as u16,
+        let keep_connection =
+            request.route.is_scatter() || self.keeps_idle_connection(&request.parts[index].service);
+        let part = &mut request.parts[index];
+        let id = AttemptKey {
+            lookup: request.seq,
+            // The counts are bounded far below the ranges of these types.
+            part: index as u16,
             attempt: part.attempts.len() as u16,
         };
         part.state = PartState::Running;
         part.attempts.push(Attempt {
             server,
-            at: now,
-            doing: Doing::Live,
+            dispatched_at: now,
+            state: AttemptState::InFlight,
             cause,
-            rounds: self.servers.get(server).map_or(0.0, |v| v.rounds(now, 0.0)),
+            rounds_ahead: self
+                .servers
+                .get(server)
+                .map_or(0.0, |v| v.rounds_ahead(now, 0.0)),
             ended: None,
         });
         let Some(view) = self.servers.get_mut(server) else {
             return;
         };
-        view.begun(now, id);
+        view.on_dispatched(now, id);
         let is_near = view.entry.data_centre == self.options.data_centre;
         out.push(Action::Send(Dispatch {
-            run: id,
+            attempt: id,
             server: Arc::clone(&view.entry),
-            id: Arc::clone(&run.req.id),
-            content: Arc::clone(&run.req.content),
-            time_left: run.patience.saturating_sub(now - run.arrived),
-            give_up,
-            once: run.is_once(),
-            keep,
-            hand_over: None,
+            id: Arc::clone(&request.req.id),
+            content: Arc::clone(&request.req.content),
+            time_left: request.caller_timeout.saturating_sub(now - request.arrived),
+            attempt_timeout,
+            once: request.is_once(),
+            keep_connection,
+            delegation: None,
         }));
-        self.count(run, cause);
-        if !run.is_once() {
-            let delay = self.times[&run.route.name].delay(is_near);
-            self.arm(run, now + delay);
+        self.count_attempt(request, cause);
+        if !request.is_once() {
+            let delay = self.route_times[&request.route.name].delay(is_near);
+            self.arm(request, now + delay);
         }
-        self.arm(run, run.objective_at.max(now));
+        self.arm(request, request.objective_at.max(now));
     }
 
-    fn keeps_connections(&self, service: &ServiceName) -> bool {
+    fn keeps_idle_connection(&self, service: &ServiceName) -> bool {
         let decl = self.table.as_ref().and_then(|t| t.service(service));
-        self.sharing.keeps(decl, service)
+        self.connection_shares.keeps_idle_connection(decl, service)
     }
 
-    fn count(&mut self, run: &mut Run, cause: Cause) {
+    fn count_attempt(&mut self, request: &mut ActiveRequest, cause: Cause) {
         self.counters.attempts += 1;
         match cause {
             Cause::First => return,
             Cause::Hedge => self.counters.hedges += 1,
             Cause::Retry => self.counters.retries += 1,
         }
-        run.extra += 1;
+        request.extra += 1;
     }
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,111 +1,112 @@
-//! Relayed lookups: opaque requests on routes, sent to one server or to one server of each shard.
+//! Relays opaque requests on routes to one server of a service, or to one server of each shard.
 //!
-//! [`Relay`] is a plain state machine: [`Event`]s in, [`Action`]s out, `now` passed in, no I/O. What
-//! it decides stands in one file each: where an attempt goes (`placement`), when it is made a second
-//! time (`hedge`), how many extra attempts there are (`budget`), when a page is good enough
-//! (`verdict`) and what is refused at arrival (`admission`).
+//! [`Relay`] is a state machine without I/O: it processes [`Event`]s and returns [`Action`]s, and
+//! the current time is passed in. Each policy has its own module: `placement` chooses the server of
+//! an attempt, `hedge` the delay before a hedged attempt, `budget` limits extra attempts,
+//! `completion` decides when a page is returned and `admission` which requests are refused on
+//! arrival.
 
+mod abandon;
 mod action;
+mod active_request;
 mod admission;
-mod arrive;
-mod asked;
+mod arrival;
 mod attempt;
 mod attempt_end;
+mod attempt_log;
 mod budget;
 mod bundle;
+mod coalesce_delay;
+mod completion;
+mod connection_shares;
 mod counters;
+mod crash_suspects;
+mod delegation;
+mod delegation_times;
 mod dispatch;
-mod end;
 mod entry;
 mod event;
-mod gave_up;
-mod handover;
+mod fan_out_vms;
+mod finish;
 mod hedge;
-mod knowledge;
 mod leases;
-mod listing;
 mod merge;
 mod options;
 mod outcome;
+mod peer_vms;
 mod placement;
-mod portion;
+mod possible_servers;
+mod process_pause;
 mod queue;
-mod reach;
+mod register_reachability;
+mod registration;
 mod relay;
 mod reply;
 mod request;
-mod roster;
+mod round_trips;
 mod route;
-mod run;
-mod runners;
+mod seed_state;
 mod server;
 mod servers;
 mod service;
-mod settle;
-mod shard_breaks;
-mod sharing;
+mod shard_crashes;
 mod split;
 mod stall;
-mod standstill;
-mod suspects;
+mod subset;
 mod table;
 mod timers;
-mod trail;
-mod transit;
-mod verdict;
-mod ways;
 
+pub use abandon::AbandonCounts;
+pub use abandon::AbandonReason;
 pub use action::Action;
+pub use action::Delegation;
 pub use action::Dispatch;
-pub use action::HandOver;
-pub use asked::Asked;
+pub use attempt::AttemptKey;
 pub use attempt::Cause;
-pub use attempt::RunId;
-pub use budget::ExtraWindow;
+pub use attempt_log::AttemptRecord;
+pub use budget::ExtraAttemptBudget;
+pub use coalesce_delay::CoalesceDelay;
+pub use completion::CompletionDecision;
+pub use completion::Progress;
+pub use completion::decide_completion;
 pub use counters::Counters;
 pub use entry::Availability;
 pub use entry::ServerEntry;
 pub use event::Arrival;
+pub use event::DelegatedParts;
 pub use event::Event;
-pub use event::Handed;
-pub use gave_up::GaveUp;
-pub use gave_up::GivenUp;
-pub use knowledge::Knowledge;
+pub use leases::LeaseCheck;
 pub use leases::Leases;
 pub use leases::Listed;
-pub use leases::Look;
-pub use leases::renew_every;
+pub use leases::renewal_interval;
 pub use merge::RECORD_BYTES;
 pub use merge::best_records;
 pub use options::ANSWER_MARGIN;
 pub use options::ANSWER_WORK;
 pub use options::RelayOptions;
-pub use outcome::Ending;
 pub use outcome::FailReason;
 pub use outcome::Missing;
 pub use outcome::Outcome;
 pub use outcome::Page;
 pub use outcome::RefuseReason;
+pub use outcome::RequestReport;
+pub use peer_vms::Capacity;
+pub use peer_vms::PeerVm;
+pub use possible_servers::PossibleServers;
+pub use process_pause::pause_grace;
 pub use relay::Relay;
 pub use reply::AttemptEnd;
 pub use reply::Load;
 pub use reply::ServerAnswer;
 pub use request::CallerRequest;
 pub use request::OpaqueRequest;
-pub use roster::Capacity;
-pub use roster::PeerVm;
 pub use route::Repeat;
 pub use route::Route;
 pub use route::Scatter;
 pub use route::Target;
 pub use route::Weighted;
+pub use seed_state::SeedState;
 pub use server::ServerDump;
-pub use settle::Settle;
-pub use standstill::catch_up;
 pub use table::CallerLimits;
 pub use table::RouteTable;
 pub use table::ServiceDecl;
-pub use trail::Step;
-pub use verdict::Progress;
-pub use verdict::Verdict;
-pub use verdict::verdict;
--- a/crates/relay/src/queue.rs
+++ b/crates/relay/src/queue.rs
@@ -1,80 +1,84 @@
-//! Parts that wait for a connection.
+//! Queues of parts that wait for a connection, one for each service.
 //!
-//! The load it answers: every connection of this VM to a shard's replicas busy, as after a pause of
-//! both. The higher rank goes first, then the older request.
+//! A part is queued when every connection of this VM to a shard's replicas is busy, as after both
+//! have stalled. Parts of higher priority are dispatched first, then those of older requests.
 
 use std::time::Instant;
 
 use crate::action::Action;
+use crate::active_request::ActiveRequest;
+use crate::active_request::PartState;
 use crate::attempt::Cause;
-use crate::placement::Place;
+use crate::placement::Placement;
 use crate::relay::Core;
 use crate::relay::Relay;
-use crate::run::PartState;
-use crate::run::Run;
-use crate::service::Waiter;
+use crate::service::QueuedPart;
 
 impl Core {
-    /// Puts a part in its service's queue.
-    pub(crate) fn queue(&mut self, run: &mut Run, at: usize, cause: Cause) {
-        run.parts[at].state = PartState::Waiting(cause);
-        let waiter = waiter(run, at);
-        let service = run.parts[at].service.clone();
-        self.service(&service).waiting.insert(waiter);
+    /// Adds a part to the queue of its service.
+    pub(crate) fn enqueue(&mut self, request: &mut ActiveRequest, index: usize, cause: Cause) {
+        request.parts[index].state = PartState::Waiting(cause);
+        let queued_part = queued_part(request, index);
+        let service = request.parts[index].service.clone();
+        self.service(&service).waiting.insert(queued_part);
     }
 
-    /// Takes a part out of its service's queue.
-    pub(crate) fn unqueue(&mut self, run: &Run, at: usize) {
-        if let Some(s) = self.services.get_mut(&run.parts[at].service) {
-            s.waiting.remove(&waiter(run, at));
+    /// Removes a part from the queue of its service.
+    pub(crate) fn dequeue(&mut self, request: &ActiveRequest, index: usize) {
+        if let Some(s) = self.services.get_mut(&request.parts[index].service) {
+            s.waiting.remove(&queued_part(request, index));
         }
     }
 }
 
 impl Relay {
-    /// Places parts that wait for servers with a connection freed.
-    pub(crate) fn serve_queues(&mut self, now: Instant, out: &mut Vec<Action>) {
-        while let Some(service) = self.core.freed.pop() {
-            while let Some(w) = self.first_waiting(&service) {
-                if !self.place_waiter(now, w, out) {
+    /// Dispatches queued parts of the services of which a server has freed a connection.
+    pub(crate) fn dispatch_waiting(&mut self, now: Instant, out: &mut Vec<Action>) {
+        while let Some(service) = self.core.freed_services.pop() {
+            while let Some(w) = self.first_queued(&service) {
+                if !self.dispatch_queued(now, w, out) {
                     break;
                 }
             }
         }
     }
 
-    fn first_waiting(&self, service: &gs_types::prelude::ServiceName) -> Option<Waiter> {
+    fn first_queued(&self, service: &gs_types::prelude::ServiceName) -> Option<QueuedPart> {
         let s = self.core.services.get(service)?;
         s.waiting.first().copied()
     }
 
-    /// Places the first in a queue; `false` if it has to go on waiting.
-    fn place_waiter(
+    /// Dispatches the first part of a queue; returns `false` if it has to keep waiting.
+    fn dispatch_queued(
         &mut self,
         now: Instant,
-        (_, seq, part): Waiter,
+        (_, seq, part): QueuedPart,
         out: &mut Vec<Action>,
     ) -> bool {
         let mut is_placed = true;
-        self.with(seq, |core, run| {
-            let at = usize::from(part);
-            let PartState::Waiting(cause) = run.parts[at].state else {
-                core.unqueue(run, at);
+        self.with(seq, |core, request| {
+            let index = usize::from(part);
+            let PartState::Waiting(cause) = request.parts[index].state else {
+                core.dequeue(request, index);
                 return false;
             };
-            if core.scene(now, run).place(&run.parts[at]) == Place::Wait {
+            if core
+                .placement_context(now, request)
+                .choose_server(&request.parts[index])
+                == Placement::Wait
+            {
                 is_placed = false;
                 return false;
             }
-            core.unqueue(run, at);
-            core.try_part(now, run, at, cause, out);
-            core.settle(now, run, out)
+            core.dequeue(request, index);
+            core.try_part(now, request, index, cause, out);
+            core.finish_if_done(now, request, out)
         });
         is_placed
     }
 }
 
-fn waiter(run: &Run, at: usize) -> Waiter {
+fn queued_part(request: &ActiveRequest, index: usize) -> QueuedPart {
     // A fan-out has far fewer than 2^16 shards.
-    (run.route.priority, run.seq, at as u16)
+    (request.route.priority, request.seq, index as u16)
 }
--- /dev/null
+++ b/crates/relay/src/shard_crashes.rs
@@ -0,0 +1,115 @@
+//! Tracks requests that crash the servers of one shard while other shards answer them.
+//!
+//! Such a fan-out crashes that shard again each time its caller repeats it. As a server that
+//! crashes for another reason breaks every request that it has, a request counts only after it has
+//! crashed a server again that has restarted since an earlier crash by it.
+
+use std::collections::HashMap;
+use std::time::Instant;
+
+use gs_types::prelude::*;
+use smallvec::SmallVec;
+
+use crate::crash_suspects::CRASH_RETENTION;
+use crate::crash_suspects::CRASHED_SERVERS_MIN;
+use crate::crash_suspects::CRASHES_MAX;
+use crate::crash_suspects::SUSPECTS_MAX;
+use crate::servers::ServerKey;
+
+/// A server in one of its incarnations.
+type ServerIncarnation = (ServerKey, Option<Incarnation>);
+
+/// Servers of one shard that crashed while they had a request, which none of the shard answered.
+#[derive(Debug)]
+struct CrashRecord {
+    service: ServiceName,
+    incarnations: SmallVec<[ServerIncarnation; 4]>,
+    last: Instant,
+}
+
+impl CrashRecord {
+    fn is_proved(&self) -> bool {
+        let mut servers: SmallVec<[ServerKey; 4]> =
+            self.incarnations.iter().map(|(key, _)| *key).collect();
+        servers.sort_unstable();
+        servers.dedup();
+        let crashed_again = servers.len() < self.incarnations.len();
+        crashed_again
+            && servers.len() >= CRASHED_SERVERS_MIN
+            && self.incarnations.len() >= CRASHES_MAX as usize
+    }
+}
+
+/// Crashes by request and shard.
+#[derive(Debug, Default)]
+pub(crate) struct ShardCrashes {
+    requests: HashMap<Fingerprint, SmallVec<[CrashRecord; 1]>>,
+}
+
+impl ShardCrashes {
+    pub(crate) fn is_empty(&self) -> bool {
+        self.requests.is_empty()
+    }
+
+    /// Records that a server of a service crashed while it had the request.
+    pub(crate) fn note_crash(
+        &mut self,
+        now: Instant,
+        request: Fingerprint,
+        service: &ServiceName,
+        server: ServerIncarnation,
+    ) {
+        if self.requests.len() >= SUSPECTS_MAX && !self.requests.contains_key(&request) {
+            return;
+        }
+        let shards = self.requests.entry(request).or_default();
+        let found = shards.iter().position(|b| b.service == *service);
+        let at = found.unwrap_or_else(|| {
+            shards.push(CrashRecord {
+                service: service.clone(),
+                incarnations: SmallVec::new(),
+                last: now,
+            });
+            shards.len() - 1
+        });
+        let record = &mut shards[at];
+        if is_old(now, record) {
+            record.incarnations.clear();
+        }
+        record.last = now;
+        if !record.incarnations.contains(&server) {
+            record.incarnations.push(server);
+        }
+    }
+
+    /// Records that a server of a service executed the request without crashing.
+    pub(crate) fn note_survived(&mut self, request: Fingerprint, service: &ServiceName) {
+        if let Some(shards) = self.requests.get_mut(&request) {
+            shards.retain(|b| b.service != *service);
+            if shards.is_empty() {
+                self.requests.remove(&request);
+            }
+        }
+    }
+
+    /// Returns whether the request has crashed enough servers of one shard.
+    pub(crate) fn is_proved(&self, now: Instant, request: Fingerprint) -> bool {
+        let shards = self.requests.get(&request);
+        shards.is_some_and(|s| s.iter().any(|b| !is_old(now, b) && b.is_proved()))
+    }
+
+    pub(crate) fn forget(&mut self, request: Fingerprint) {
+        self.requests.remove(&request);
+    }
+
+    pub(crate) fn forget_old(&mut self, now: Instant) {
+        self.requests.retain(|_, shards| {
+            shards.retain(|b| !is_old(now, b));
+            !shards.is_empty()
+        });
+    }
+}
+
+fn is_old(now: Instant, record: &CrashRecord) -> bool {
+    now.saturating_duration_since(record.last) >= CRASH_RETENTION
+}
--- a/crates/relay/src/timers.rs
+++ b/crates/relay/src/timers.rs
@@ -1,109 +1,118 @@
-//! What falls due: hedges, objectives and deadlines.
+//! Handles the timer of a request: hedges, the objective and the deadline.
 
 use std::time::Instant;
 
 use crate::action::Action;
+use crate::active_request::ActiveRequest;
+use crate::active_request::PartState;
 use crate::attempt::Attempt;
 use crate::attempt::Cause;
 use crate::relay::Core;
-use crate::run::PartState;
-use crate::run::Run;
 use crate::servers::ServerKey;
 use crate::stall;
 
 impl Core {
-    /// Hedges the attempts that took too long and plans the next look.
+    /// Hedges the attempts that exceeded their hedge delay and schedules the next check.
     ///
-    /// Gives the server that was found to have stopped answering, if one was.
-    pub(crate) fn look_at(
+    /// Returns a server that was found to have stalled, if there is one.
+    pub(crate) fn check_attempts(
         &mut self,
         now: Instant,
-        run: &mut Run,
+        request: &mut ActiveRequest,
         out: &mut Vec<Action>,
     ) -> Option<ServerKey> {
         let mut stalled = None;
-        if run.is_once() {
-            self.arm(run, run.answer_by);
+        if request.is_once() {
+            self.arm(request, request.answer_by);
             return None;
         }
-        for at in 0..run.parts.len() {
-            let Some((begun, server)) = lone_attempt(run, at) else {
+        for index in 0..request.parts.len() {
+            let Some((begun, server)) = only_attempt(request, index) else {
                 continue;
             };
-            let due = begun + self.delay_at(run, server);
+            let due = begun + self.hedge_delay(request, server);
             if due > now {
-                self.arm(run, due);
+                self.arm(request, due);
                 continue;
             }
-            if self.is_stalled(now, run, server) {
+            if self.is_stalled(now, request, server) {
                 stalled = Some(server);
             }
-            self.hedge(now, run, at, out);
+            self.hedge(now, request, index, out);
         }
-        let next = if now < run.objective_at {
-            run.objective_at
+        let next = if now < request.objective_at {
+            request.objective_at
         } else {
-            run.answer_by
+            request.answer_by
         };
-        self.arm(run, next);
+        self.arm(request, next);
         stalled
     }
 
-    /// Hedges a part that waits for a server which has stopped answering.
-    pub(crate) fn spare(
+    /// Hedges a part whose only attempt is in flight at a stalled server.
+    pub(crate) fn hedge_stalled(
         &mut self,
         now: Instant,
-        run: &mut Run,
+        request: &mut ActiveRequest,
         part: u16,
         server: ServerKey,
         out: &mut Vec<Action>,
     ) {
-        let at = usize::from(part);
-        if run.is_once() || lone_attempt(run, at).is_none_or(|(_, s)| s != server) {
+        let index = usize::from(part);
+        if request.is_once() || only_attempt(request, index).is_none_or(|(_, s)| s != server) {
             return;
         }
-        self.hedge(now, run, at, out);
+        self.hedge(now, request, index, out);
     }
 
-    /// Makes a second attempt beside a slow one, if it may still be of use.
-    fn hedge(&mut self, now: Instant, run: &mut Run, at: usize, out: &mut Vec<Action>) {
-        let scene = self.scene(now, run);
-        let Some((server, expected)) = scene.place_hedge(&run.parts[at]) else {
+    /// Makes a second attempt in parallel with a slow one, if it can still be of use.
+    fn hedge(
+        &mut self,
+        now: Instant,
+        request: &mut ActiveRequest,
+        index: usize,
+        out: &mut Vec<Action>,
+    ) {
+        let placement_context = self.placement_context(now, request);
+        let Some((server, expected)) = placement_context.choose_hedge_server(&request.parts[index])
+        else {
             return;
         };
-        let is_late = now + expected > run.objective_at;
-        if is_late && run.whole >= run.parts_wanted {
-            // The page goes out without it at the objective.
+        let is_late = now + expected > request.objective_at;
+        if is_late && request.complete >= request.parts_wanted {
+            // The page is returned without it at the objective.
             return;
         }
-        if !self.take_extra(now, run, at, true) {
+        if !self.take_extra_attempt(now, request, index, true) {
             return;
         }
-        self.send(now, run, at, server, Cause::Hedge, out);
+        self.send(now, request, index, server, Cause::Hedge, out);
     }
 
-    fn delay_at(&self, run: &Run, server: ServerKey) -> std::time::Duration {
+    fn hedge_delay(&self, request: &ActiveRequest, server: ServerKey) -> std::time::Duration {
         let view = self.servers.get(server);
         let is_near = view.is_some_and(|v| v.entry.data_centre == self.options.data_centre);
-        self.times[&run.route.name].delay(is_near)
+        self.route_times[&request.route.name].delay(is_near)
     }
 
-    fn is_stalled(&self, now: Instant, run: &Run, server: ServerKey) -> bool {
+    fn is_stalled(&self, now: Instant, request: &ActiveRequest, server: ServerKey) -> bool {
         let Some(view) = self.servers.get(server) else {
             return false;
         };
-        let expected = self.scene(now, run).expected(view);
+        let expected = self.placement_context(now, request).expected_time(view);
         stall::is_stalled(now, view, expected)
     }
 }
 
-/// When and where the part's only attempt began, if it has made just one that is under way.
-fn lone_attempt(run: &Run, at: usize) -> Option<(Instant, ServerKey)> {
-    let part = &run.parts[at];
+/// Returns the dispatch time and the server of a part's attempt in flight, if there is exactly one.
+fn only_attempt(request: &ActiveRequest, index: usize) -> Option<(Instant, ServerKey)> {
+    let part = &request.parts[index];
     if part.state != PartState::Running {
         return None;
     }
-    let mut live = part.attempts.iter().filter(|a| Attempt::is_live(a));
+    let mut live = part.attempts.iter().filter(|a| Attempt::is_in_flight(a));
     let first = live.next()?;
-    live.next().is_none().then_some((first.at, first.server))
+    live.next()
+        .is_none()
+        .then_some((first.dispatched_at, first.server))
 }
