--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -1,11 +1,11 @@
-//! Who asks the register, and who hears of it from whom.
+//! Chooses which VMs query the register directly and which peer the others follow.
 //!
-//! A few VMs of each data centre ask the platform's register, the askers; the others follow one of them.
-//! Nothing is agreed on: every VM works the same candidates out from the list of VMs, and where two lists
-//! differ, a VM that does not ask says so and the follower turns to the next.
+//! A few VMs of each data centre query the platform's register directly; each of the others follows one of them.
+//! This needs no agreement between VMs: every VM computes the same candidates from the list of VMs. Where two lists
+//! differ, a VM that does not query the register reports so, and its follower tries the next candidate.
 //!
-//! [`candidates()`] ranks the VMs, [`Sources`] is the state machine that chooses whom to follow, [`Rounds`] says when
-//! to look, and [`Mirror`] is what a VM knows of a kind of objects and tells others of.
+//! [`candidates()`] ranks the VMs, [`Sources`] is the state machine that chooses whom to follow, [`Rounds`] schedules
+//! the polls of the list of VMs, and [`Mirror`] holds the known objects of one kind and their changes, for followers.
 //!
 //! ```
 //! use gs_follow::Mirror;
@@ -19,12 +19,12 @@
 
 mod candidates;
 mod mirror;
-mod rounds;
-mod sources;
+mod poll_schedule;
+mod source_selector;
 
 pub use candidates::ASKERS;
 pub use candidates::candidates;
 pub use mirror::Mirror;
-pub use rounds::Rounds;
-pub use sources::Source;
-pub use sources::Sources;
+pub use poll_schedule::Rounds;
+pub use source_selector::Source;
+pub use source_selector::Sources;
--- a/crates/follow/src/mirror.rs
+++ b/crates/follow/src/mirror.rs
@@ -1,132 +1,143 @@
-//! What is known of a kind of objects, and what has changed since a revision.
+//! The known objects of one kind, and what changed since a revision.
 
 use std::collections::BTreeMap;
 
-/// The most removed objects that are remembered; a follower that is further behind lists again.
-const REMOVED_MAX: usize = 4096;
+/// The largest number of tombstones kept; a follower that is further behind has to list again.
+const TOMBSTONES_MAX: usize = 4096;
 
-/// The objects of a kind by name, each with the revision by which it is known as it is.
+/// The objects of one kind by name, each with the revision at which its present value became known.
 ///
-/// An object's revision here is never smaller than the register's own, so whoever knows everything up to a
-/// revision is told at least of what changed after it, and of nothing older than that.
+/// An object's revision here is never smaller than the register's own. A follower that knows everything up to a
+/// revision therefore receives at least what changed after it, and nothing older than that.
 #[derive(Clone, Debug)]
 pub struct Mirror<T> {
-    at: u64,
+    revision: u64,
     /// Changes up to this revision may have been forgotten.
-    floor: u64,
+    compacted: u64,
     is_listed: bool,
-    known: BTreeMap<String, Held<T>>,
-    removed: usize,
+    entries: BTreeMap<String, Entry<T>>,
+    tombstones: usize,
 }
 
 #[derive(Clone, Debug)]
-struct Held<T> {
-    at: u64,
-    /// `None` once it is removed.
+struct Entry<T> {
+    revision: u64,
+    /// `None` for a tombstone, once the object is removed.
     value: Option<T>,
 }
 
 impl<T> Default for Mirror<T> {
     fn default() -> Self {
         Self {
-            at: 0,
-            floor: 0,
+            revision: 0,
+            compacted: 0,
             is_listed: false,
-            known: BTreeMap::new(),
-            removed: 0,
+            entries: BTreeMap::new(),
+            tombstones: 0,
         }
     }
 }
 
 impl<T: Clone + PartialEq> Mirror<T> {
-    /// The revision up to which everything is known.
+    /// Returns the revision up to which everything is known.
     #[must_use]
     pub fn at(&self) -> u64 {
-        self.at
+        self.revision
     }
 
-    /// Whether a list has been taken in.
+    /// Returns whether a list has been applied.
     #[must_use]
     pub fn is_listed(&self) -> bool {
         self.is_listed
     }
 
-    /// Takes in everything that there is at a revision; what is not listed is removed.
+    /// Applies a list of all objects at a revision; objects that are not listed are removed.
     ///
-    /// A list of before what is known changes nothing.
-    pub fn list(&mut self, at: u64, items: Vec<(String, T)>) {
-        if at < self.at {
+    /// A list that is older than what is known changes nothing.
+    pub fn list(&mut self, revision: u64, items: Vec<(String, T)>) {
+        if revision < self.revision {
             return;
         }
         if !self.is_listed {
             // What changed before the first list is not known.
-            self.floor = at;
+            self.compacted = revision;
         }
-        let mut gone: Vec<String> = self.live().map(|(name, _)| name.clone()).collect();
-        gone.retain(|name| !items.iter().any(|(listed, _)| listed == name));
-        for name in gone {
-            self.set(at, name, None);
+        let mut removed: Vec<String> = self.live().map(|(name, _)| name.clone()).collect();
+        removed.retain(|name| !items.iter().any(|(listed, _)| listed == name));
+        for name in removed {
+            self.set(revision, name, None);
         }
         for (name, value) in items {
-            self.set(at, name, Some(value));
+            self.set(revision, name, Some(value));
         }
-        self.at = at;
+        self.revision = revision;
         self.is_listed = true;
-        self.forget();
+        self.compact();
     }
 
-    /// Takes in what changed up to a revision, `None` for what was removed.
-    pub fn change(&mut self, at: u64, items: Vec<(String, Option<T>)>) {
-        if at < self.at {
+    /// Applies the changes up to a revision; `None` stands for a removed object.
+    ///
+    /// Changes that are older than what is known are ignored.
+    pub fn change(&mut self, revision: u64, items: Vec<(String, Option<T>)>) {
+        if revision < self.revision {
             return;
         }
         for (name, value) in items {
-            self.set(at, name, value);
+            self.set(revision, name, value);
         }
-        self.at = at;
-        self.forget();
+        self.revision = revision;
+        self.compact();
     }
 
-    /// Everything that is there.
+    /// Iterates over the objects that are not removed.
     pub fn live(&self) -> impl Iterator<Item = (&String, &T)> {
-        let live = self.known.iter();
-        live.filter_map(|(name, held)| held.value.as_ref().map(|v| (name, v)))
+        let live = self.entries.iter();
+        live.filter_map(|(name, entry)| entry.value.as_ref().map(|v| (name, v)))
     }
 
-    /// What changed after a revision, `None` for what was removed; `None` in all if that is forgotten.
+    /// Returns what changed after a revision, with `None` for removed objects.
+    ///
+    /// Returns `None` instead of a list if changes after that revision may have been forgotten.
     #[must_use]
     pub fn since(&self, after: u64) -> Option<Vec<(String, Option<T>)>> {
-        if !self.is_listed || after < self.floor {
+        if !self.is_listed || after < self.compacted {
             return None;
         }
-        let changed = self.known.iter().filter(|(_, held)| held.at > after);
-        let changed = changed.map(|(name, held)| (name.clone(), held.value.clone()));
+        let changed = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| entry.revision > after);
+        let changed = changed.map(|(name, entry)| (name.clone(), entry.value.clone()));
         Some(changed.collect())
     }
 
-    fn set(&mut self, at: u64, name: String, value: Option<T>) {
-        let before = self.known.get(&name);
-        if before.is_some_and(|held| held.value == value) || (before.is_none() && value.is_none()) {
+    fn set(&mut self, revision: u64, name: String, value: Option<T>) {
+        let before = self.entries.get(&name);
+        if before.is_some_and(|entry| entry.value == value) || (before.is_none() && value.is_none())
+        {
             return;
         }
-        let was_removed = before.is_some_and(|held| held.value.is_none());
-        self.removed += usize::from(value.is_none());
-        self.removed -= usize::from(was_removed);
-        self.known.insert(name, Held { at, value });
+        let was_removed = before.is_some_and(|entry| entry.value.is_none());
+        self.tombstones += usize::from(value.is_none());
+        self.tombstones -= usize::from(was_removed);
+        self.entries.insert(name, Entry { revision, value });
     }
 
-    /// Forgets the older half of the removed objects once they are too many.
-    fn forget(&mut self) {
-        if self.removed <= REMOVED_MAX {
+    /// Forgets the older half of the tombstones once there are too many.
+    fn compact(&mut self) {
+        if self.tombstones <= TOMBSTONES_MAX {
             return;
         }
-        let removed = self.known.values().filter(|held| held.value.is_none());
-        let mut revisions: Vec<u64> = removed.map(|held| held.at).collect();
+        let removed = self.entries.values().filter(|entry| entry.value.is_none());
+        let mut revisions: Vec<u64> = removed.map(|entry| entry.revision).collect();
         revisions.sort_unstable();
-        let floor = revisions[revisions.len() / 2];
-        self.known
-            .retain(|_, held| held.value.is_some() || held.at > floor);
-        self.removed = revisions.iter().filter(|at| **at > floor).count();
-        self.floor = self.floor.max(floor);
+        let compacted = revisions[revisions.len() / 2];
+        self.entries
+            .retain(|_, entry| entry.value.is_some() || entry.revision > compacted);
+        self.tombstones = revisions
+            .iter()
+            .filter(|revision| **revision > compacted)
+            .count();
+        self.compacted = self.compacted.max(compacted);
     }
 }
--- a/crates/follow/tests/follow/main.rs
+++ b/crates/follow/tests/follow/main.rs
@@ -1,7 +1,7 @@
-//! Whom VMs ask for the register, and what they are told.
+//! Tests of whom VMs follow for the register, and of what they receive.
 
 mod candidates;
+mod fixtures;
 mod mirror;
-mod rounds;
-mod sources;
-mod world;
+mod poll_schedule;
+mod source_selector;
--- a/crates/follow/tests/follow/mirror.rs
+++ b/crates/follow/tests/follow/mirror.rs
@@ -1,4 +1,4 @@
-//! What is told of changes.
+//! Tests of the mirror of the register that followers are served from.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
     assert_eq!(since, [("a".into(), None), ("c".into(), Some(1))]);
 }
 
-/// Guards against a follower that is told older things than it knows, by one that lies behind.
+/// A follower must not apply older contents than it knows, as a peer that lags behind may send.
 #[test]
 fn a_list_or_change_of_before_changes_nothing() {
     let mut m = Mirror::default();
@@ -30,7 +30,7 @@
     assert_eq!(m.live().collect::<Vec<_>>(), [(&"a".to_owned(), &2)]);
 }
 
-/// Guards against a follower that misses what changed before the first list of the one that it follows.
+/// A follower must not miss what changed before the first list of the peer that it follows.
 #[test]
 fn what_lies_before_the_first_list_is_forgotten() {
     let mut m = Mirror::default();
@@ -40,7 +40,7 @@
     assert_eq!(m.since(5), Some(Vec::new()));
 }
 
-/// Guards against memory that grows with every server that ever was there.
+/// Memory must not grow with every server that was ever registered.
 #[test]
 fn removed_objects_are_forgotten_once_they_are_many() {
     let mut m = Mirror::default();
@@ -54,15 +54,15 @@
     assert!(known.len() <= 4096, "{}", known.len());
 }
 
-/// What the register holds over time, by a series of sets and removals.
+/// A history of the register: a series of sets and removals.
 fn history() -> impl Strategy<Value = Vec<(u8, Option<u32>)>> {
     let change = (0_u8..6, proptest::option::of(0_u32..3));
     proptest::collection::vec(change, 1..60)
 }
 
 proptest! {
-    /// Guards against a follower that ends with other objects than the register, from whichever revision it
-    /// begins and however the changes are cut into batches.
+    /// A follower must end with the same objects as the register, from whichever revision it starts and however
+    /// the changes are split into batches.
     #[test]
     fn a_follower_ends_with_what_the_register_holds(
         history in history(),
--- /dev/null
+++ b/crates/follow/tests/follow/poll_schedule.rs
@@ -0,0 +1,80 @@
+//! Tests of the schedule of polls and heartbeats.
+
+use std::time::Duration;
+use std::time::Instant;
+
+use gs_follow::Rounds;
+use rstest::rstest;
+
+const POLL_INTERVAL: Duration = Duration::from_secs(10);
+
+/// Returns the times of the rounds of the first half minute, and whether the list is polled in each.
+fn rounds(first_start: bool) -> Vec<(Duration, bool)> {
+    let start = Instant::now();
+    let mut now = start;
+    let mut schedule = Rounds::new(now, first_start, POLL_INTERVAL);
+    let mut all = Vec::new();
+    while now < start + 3 * POLL_INTERVAL {
+        now += schedule.wait(now);
+        let is_poll = schedule.begin(now);
+        if is_poll {
+            schedule.looked(true);
+        }
+        all.push((now - start, is_poll));
+    }
+    all
+}
+
+/// Returns the times of the polls, in milliseconds.
+fn poll_times_ms(first_start: bool) -> Vec<u128> {
+    let polls = rounds(first_start)
+        .into_iter()
+        .filter(|(_, is_poll)| *is_poll);
+    polls.map(|(at, _)| at.as_millis()).collect()
+}
+
+/// An outage of the register must not fall between two rounds, though the first polls are further apart than a
+/// heartbeat interval.
+#[rstest]
+fn no_two_rounds_are_further_apart_than_heartbeats(#[values(true, false)] first_start: bool) {
+    let times = rounds(first_start);
+    let apart = times.windows(2).map(|w| w[1].0 - w[0].0);
+    assert_eq!(apart.max(), Some(Duration::from_millis(1500)));
+}
+
+#[test]
+fn the_first_looks_follow_soon_and_later_ones_now_and_then() {
+    let expected = [10, 1010, 2510, 5510, 15_510, 25_510];
+    assert_eq!(poll_times_ms(false), expected);
+}
+
+/// When a whole fleet starts, a VM that polled at once would learn of few others.
+#[test]
+fn at_the_first_start_of_all_nobody_looks_at_once() {
+    let expected = [1000, 2500, 5500, 15_500, 25_500];
+    assert_eq!(poll_times_ms(true), expected);
+}
+
+/// A VM must not stay unlisted until the next regular poll after a failed one.
+#[test]
+fn a_look_that_shows_nothing_is_repeated_in_the_next_round() {
+    let mut now = Instant::now();
+    let mut schedule = Rounds::new(now, false, POLL_INTERVAL);
+    now += schedule.wait(now);
+    assert!(schedule.begin(now));
+    schedule.looked(false);
+    assert_eq!(schedule.wait(now), Duration::from_millis(1500));
+    assert!(schedule.begin(now + schedule.wait(now)));
+}
+
+/// A VM must not notice the end of an outage late because it waits after a call that got no answer.
+#[test]
+fn a_round_that_takes_long_is_followed_at_once() {
+    let mut now = Instant::now();
+    let mut schedule = Rounds::new(now, true, POLL_INTERVAL);
+    now += schedule.wait(now);
+    schedule.begin(now);
+    now += Duration::from_secs(2);
+    schedule.looked(true);
+    assert_eq!(schedule.wait(now), Duration::ZERO);
+}
