--- a/crates/edge/src/register/ask.rs
+++ b/crates/edge/src/register/ask.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use gs_actor::lock;
-use gs_follow::Sources;
+use gs_follow::SourceSelector;
 use gs_relay::PeerVm;
 use gs_types::prelude::*;
 use serde::de::DeserializeOwned;
@@ -107,12 +107,14 @@
 
     /// Asks peers whether they are in touch with the platform.
     pub(super) async fn touch_peers(&self) -> Touched {
-        let to_ask = lock(&self.sources).to_ask(now());
+        let to_ask = lock(&self.sources).peers_to_query(now());
         let mut out_of_touch = Vec::new();
         for vm in to_ask {
             match self.ask::<Touch>(&vm, TOUCH, Duration::ZERO).await {
                 Ok(touch) if touch.is_in_touch => {
-                    return match self.change(|sources| sources.in_touch(&vm, &out_of_touch)) {
+                    return match self
+                        .change(|sources| sources.on_peer_connected(&vm, &out_of_touch))
+                    {
                         true => Touched::InTouch(touch.quarantined),
                         false => Touched::NotYet,
                     };
@@ -125,7 +127,7 @@
                 Err(e) => self.failed(&vm, &e),
             }
         }
-        self.change(Sources::none_in_touch);
+        self.change(SourceSelector::on_no_peer_connected);
         Touched::OutOfTouch(out_of_touch)
     }
 }
--- a/crates/edge/src/register/book.rs
+++ b/crates/edge/src/register/book.rs
@@ -71,8 +71,8 @@
         let objects = listing.items.iter();
         let objects = objects.filter_map(|i| Some((i.name.clone(), Object::of(&i.thing)?)));
         let mut mirror = lock(&self.page(kind).mirror);
-        mirror.list(listing.at.0, objects.collect());
-        self.page(kind).at.send_replace(mirror.at());
+        mirror.apply_list(listing.at.0, objects.collect());
+        self.page(kind).at.send_replace(mirror.revision());
     }
 
     /// Takes in what changed of a kind.
@@ -80,8 +80,8 @@
         let objects = changes.items.iter();
         let objects = objects.map(|i| (i.name.clone(), Object::of(&i.thing)));
         let mut mirror = lock(&self.page(kind).mirror);
-        mirror.change(changes.at.0, objects.collect());
-        self.page(kind).at.send_replace(mirror.at());
+        mirror.apply_changes(changes.at.0, objects.collect());
+        self.page(kind).at.send_replace(mirror.revision());
     }
 
     /// Everything of a kind; `None` before it was listed.
@@ -95,7 +95,7 @@
             object: Some(object.clone()),
         });
         Some(Objects {
-            at: mirror.at(),
+            at: mirror.revision(),
             items: items.collect(),
         })
     }
@@ -103,10 +103,10 @@
     /// What changed of a kind after a revision; `None` if that is forgotten.
     pub(crate) fn since(&self, kind: DirectoryKind, after: u64) -> Option<Objects> {
         let mirror = lock(&self.page(kind).mirror);
-        let changed = mirror.since(after)?;
+        let changed = mirror.changes_since(after)?;
         let items = changed.into_iter();
         Some(Objects {
-            at: mirror.at().max(after),
+            at: mirror.revision().max(after),
             items: items.map(|(name, object)| Named { name, object }).collect(),
         })
     }
--- a/crates/edge/src/register/desk.rs
+++ b/crates/edge/src/register/desk.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use gs_follow::Source;
+use gs_follow::RegisterSource;
 use http_body_util::Full;
 use hyper::Response;
 use hyper::StatusCode;
@@ -69,7 +69,7 @@
             return bare(StatusCode::BAD_REQUEST);
         };
         // One that follows another would tell what it was told, later each time.
-        if *self.source.borrow() != Source::Register {
+        if *self.source.borrow() != RegisterSource::Register {
             return bare(StatusCode::SERVICE_UNAVAILABLE);
         }
         match question {
--- a/crates/edge/src/register/directory.rs
+++ b/crates/edge/src/register/directory.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use gs_follow::Source;
+use gs_follow::RegisterSource;
 use gs_relay::PeerVm;
 use gs_types::prelude::*;
 use tokio::time::Instant;
@@ -26,10 +26,10 @@
         let begun = Instant::now();
         loop {
             let listing = match self.decided().await {
-                Source::Undecided | Source::Register => {
+                RegisterSource::Undecided | RegisterSource::Register => {
                     self.note(self.platform.list(kind).await)?
                 }
-                Source::Peer(vm) => match self.list_at(&vm, kind).await {
+                RegisterSource::Peer(vm) => match self.list_at(&vm, kind).await {
                     Ok(Some(listing)) => listing,
                     _ if self.may_list_yet(begun).await => continue,
                     // Whether another one is in touch with the platform, or this VM alone, shows the heartbeat.
@@ -52,20 +52,22 @@
             let left = until.saturating_duration_since(Instant::now());
             let source = self.source.borrow().clone();
             let changes = match source {
-                Source::Undecided | Source::Register => {
+                RegisterSource::Undecided | RegisterSource::Register => {
                     match self.watch_platform(kind, after, left).await {
                         Some(result) => result?,
                         None => continue,
                     }
                 }
-                Source::Peer(vm) => match self.watch_at(&vm, kind, after, self.wait).await {
-                    Ok(changes) => changes,
-                    Err(e) if e.kind() == ErrorKind::NotFound => return Err(e),
-                    Err(e) => {
-                        self.failed(&vm, &e);
-                        continue;
+                RegisterSource::Peer(vm) => {
+                    match self.watch_at(&vm, kind, after, self.wait).await {
+                        Ok(changes) => changes,
+                        Err(e) if e.kind() == ErrorKind::NotFound => return Err(e),
+                        Err(e) => {
+                            self.failed(&vm, &e);
+                            continue;
+                        }
                     }
-                },
+                }
             };
             self.book.note_changes(kind, &changes);
             // A peer's word that nothing changed is free, and no sign that the platform is in reach.
@@ -118,11 +120,11 @@
         let listing = loop {
             let source = self.source.borrow().clone();
             match source {
-                Source::Peer(vm) => match self.vms_at(&vm).await {
+                RegisterSource::Peer(vm) => match self.vms_at(&vm).await {
                     Ok(listing) => break listing,
                     Err(e) => self.failed(&vm, &e),
                 },
-                Source::Undecided | Source::Register => {
+                RegisterSource::Undecided | RegisterSource::Register => {
                     let result = self.note(self.platform.vms().await);
                     break result.inspect_err(|_| self.book.withhold_vms())?;
                 }
--- a/crates/edge/src/register/mod.rs
+++ b/crates/edge/src/register/mod.rs
@@ -1,7 +1,7 @@
 //! The register as this VM knows it: asked by itself, or told by a peer that asks.
 //!
 //! [`Register`] stands where the platform's directory stood and is one itself, so that who follows it need
-//! not know from whom it hears. Whom it asks is decided by [`gs_follow::Sources`].
+//! not know from whom it hears. Whom it asks is decided by [`gs_follow::SourceSelector`].
 
 mod ask;
 mod book;
@@ -21,8 +21,8 @@
 use std::time::Duration;
 
 use gs_actor::lock;
-use gs_follow::Source;
-use gs_follow::Sources;
+use gs_follow::RegisterSource;
+use gs_follow::SourceSelector;
 use gs_relay::PeerVm;
 use gs_types::prelude::*;
 use tokio::sync::watch;
@@ -56,9 +56,9 @@
 pub(crate) struct Register {
     platform: Arc<dyn Directory>,
     peers: Arc<PeerClient>,
-    sources: Mutex<Sources>,
+    sources: Mutex<SourceSelector>,
     /// The source in use, for those that wait on it.
-    source: watch::Sender<Source>,
+    source: watch::Sender<RegisterSource>,
     /// Whether the platform answered when it was last asked.
     is_in_touch: AtomicBool,
     /// When it answered last.
@@ -85,9 +85,9 @@
         opts: RegisterOptions,
     ) -> Self {
         let (least, most) = WAIT_RANGE;
-        let mut sources = Sources::new(opts.vm, opts.data_centre);
+        let mut sources = SourceSelector::new(opts.vm, opts.data_centre);
         if !opts.may_follow {
-            sources.decide();
+            sources.default_to_register();
         }
         Self {
             platform,
@@ -119,7 +119,7 @@
     }
 
     /// Changes the choice of a source, and wakes those that wait on another one.
-    fn change<R>(&self, f: impl FnOnce(&mut Sources) -> R) -> R {
+    fn change<R>(&self, f: impl FnOnce(&mut SourceSelector) -> R) -> R {
         let mut sources = lock(&self.sources);
         let result = f(&mut sources);
         let chosen = sources.source().clone();
@@ -128,8 +128,8 @@
             let is_other = *source != chosen;
             if is_other {
                 let told = match &chosen {
-                    Source::Peer(vm) => vm.name.as_str(),
-                    Source::Undecided | Source::Register => "register",
+                    RegisterSource::Peer(vm) => vm.name.as_str(),
+                    RegisterSource::Undecided | RegisterSource::Register => "register",
                 };
                 log::info!("event=register-source source={told}");
                 *source = chosen;
@@ -141,7 +141,7 @@
 
     fn failed(&self, vm: &PeerVm, e: &Error) {
         log::info!("event=register-peer-failed peer={} error=\"{e}\"", vm.name);
-        self.change(|sources| sources.failed(now(), &vm.name));
+        self.change(|sources| sources.on_peer_failed(now(), &vm.name));
     }
 
     /// Notes whether the platform answered a call.
@@ -168,13 +168,13 @@
     }
 
     /// The source to ask; waits for the first one, within bounds.
-    async fn decided(&self) -> Source {
+    async fn decided(&self) -> RegisterSource {
         let mut rx = self.source.subscribe();
         let left = self.patience.saturating_sub(self.begun.elapsed());
-        let known = rx.wait_for(|source| *source != Source::Undecided);
+        let known = rx.wait_for(|source| *source != RegisterSource::Undecided);
         // Past the time, or if nobody can decide any more, it asks by itself.
         if !matches!(tokio::time::timeout(left, known).await, Ok(Ok(_))) {
-            self.change(Sources::decide);
+            self.change(SourceSelector::default_to_register);
         }
         self.source.borrow().clone()
     }
@@ -187,7 +187,7 @@
         wait: Duration,
     ) -> Option<Result<Changes>> {
         let mut rx = self.source.subscribe();
-        let is_peer = |source: &Source| matches!(source, Source::Peer(_));
+        let is_peer = |source: &RegisterSource| matches!(source, RegisterSource::Peer(_));
         tokio::select! {
             result = self.platform.watch(kind, after, wait) => Some(self.note(result)),
             Ok(_) = rx.wait_for(is_peer) => None,
@@ -196,7 +196,7 @@
 
     /// Whether this VM's own look at the platform counts; not at first while peers have yet to regain it.
     fn may_turn_to_platform(&self, out_of_touch: &[PeerVm]) -> bool {
-        out_of_touch.is_empty() || self.change(|s| s.in_touch_alone(now(), out_of_touch))
+        out_of_touch.is_empty() || self.change(|s| s.on_only_self_connected(now(), out_of_touch))
     }
 }
 
--- a/crates/edge/src/register/overdue.rs
+++ b/crates/edge/src/register/overdue.rs
@@ -27,7 +27,7 @@
         if !is_overdue(heard_ms) || !self.may_look_around() {
             return;
         }
-        let to_ask = lock(&self.sources).to_ask(now());
+        let to_ask = lock(&self.sources).peers_to_query(now());
         for vm in to_ask.iter().filter(|vm| vm.name != followed.name) {
             match self.ask::<Touch>(vm, TOUCH, Duration::ZERO).await {
                 Ok(touch) if touch.is_in_touch && !is_overdue(touch.heard_ms) => {
@@ -36,7 +36,7 @@
                         followed.name,
                         vm.name
                     );
-                    self.change(|s| s.in_touch(vm, std::slice::from_ref(followed)));
+                    self.change(|s| s.on_peer_connected(vm, std::slice::from_ref(followed)));
                     return;
                 }
                 Ok(_) => {}
--- a/crates/edge/src/register/report.rs
+++ b/crates/edge/src/register/report.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::Ordering;
 
-use gs_follow::Source;
+use gs_follow::RegisterSource;
 use gs_types::prelude::*;
 use serde::Serialize;
 
@@ -35,8 +35,8 @@
 impl Register {
     pub(crate) fn dump(&self) -> RegisterDump {
         let follows = match &*self.source.borrow() {
-            Source::Peer(vm) => Some(vm.name.clone()),
-            Source::Undecided | Source::Register => None,
+            RegisterSource::Peer(vm) => Some(vm.name.clone()),
+            RegisterSource::Undecided | RegisterSource::Register => None,
         };
         RegisterDump {
             follows,
@@ -50,7 +50,7 @@
         RegisterCounts {
             calls: self.calls.load(Ordering::Relaxed),
             questions: self.questions.load(Ordering::Relaxed),
-            asks: *self.source.borrow() == Source::Register,
+            asks: *self.source.borrow() == RegisterSource::Register,
         }
     }
 }
--- a/crates/edge/src/roster.rs
+++ b/crates/edge/src/roster.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use gs_actor::Feed;
-use gs_follow::Rounds;
+use gs_follow::PollSchedule;
 use gs_relay::Event;
 use gs_relay::Leases;
 use gs_relay::Listed;
@@ -90,11 +90,11 @@
             self.announce(&mut known).await;
         }
         let look_every = LOOK_EVERY.min(self.renew_every);
-        let mut rounds = Rounds::new(now(), self.first_start, look_every);
+        let mut rounds = PollSchedule::new(now(), self.first_start, look_every);
         loop {
-            tokio::time::sleep(rounds.wait(now())).await;
-            if rounds.begin(now()) {
-                rounds.looked(self.look(&mut known).await);
+            tokio::time::sleep(rounds.time_to_next(now())).await;
+            if rounds.begin_round(now()) {
+                rounds.on_list_polled(self.look(&mut known).await);
             }
             // Also after a look: it tells nothing of requests that crash servers, and a VM that only looks
             // runs one of them for 3 s more.
--- a/crates/follow/src/candidates.rs
+++ b/crates/follow/src/candidates.rs
@@ -4,7 +4,7 @@
 use gs_types::prelude::*;
 
 /// The number of VMs per data centre that query the register directly while no candidate fails.
-pub const ASKERS: usize = 2;
+pub const DIRECT_VMS: usize = 2;
 
 /// The number of VMs per data centre that others try to follow, one after the other.
 const CANDIDATES_MAX: usize = 4;
@@ -13,7 +13,7 @@
 /// would save little there.
 const ALL_DIRECT_MAX: usize = 4;
 
-/// Returns the VMs that others of their data centre may follow, the first [`ASKERS`] of which query the register.
+/// Returns the VMs that others of their data centre may follow, the first [`DIRECT_VMS`] of which query the register.
 ///
 /// The strongest come first, as each of them serves many followers; equals are ordered by name. Empty if the
 /// data centre has so few VMs that all query the register.
--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -4,16 +4,16 @@
 //! This needs no agreement between VMs: every VM computes the same candidates from the list of VMs. Where two lists
 //! differ, a VM that does not query the register reports so, and its follower tries the next candidate.
 //!
-//! [`candidates()`] ranks the VMs, [`Sources`] is the state machine that chooses whom to follow, [`Rounds`] schedules
+//! [`candidates()`] ranks the VMs, [`SourceSelector`] is the state machine that chooses whom to follow, [`PollSchedule`] schedules
 //! the polls of the list of VMs, and [`Mirror`] holds the known objects of one kind and their changes, for followers.
 //!
 //! ```
 //! use gs_follow::Mirror;
 //!
 //! let mut mirror = Mirror::default();
-//! mirror.list(5, vec![("a".into(), 1)]);
-//! mirror.change(7, vec![("a".into(), None), ("b".into(), Some(2))]);
-//! let since = mirror.since(5).expect("not forgotten");
+//! mirror.apply_list(5, vec![("a".into(), 1)]);
+//! mirror.apply_changes(7, vec![("a".into(), None), ("b".into(), Some(2))]);
+//! let since = mirror.changes_since(5).expect("not forgotten");
 //! assert_eq!(since, [("a".to_owned(), None), ("b".to_owned(), Some(2))]);
 //! ```
 
@@ -22,9 +22,9 @@
 mod poll_schedule;
 mod source_selector;
 
-pub use candidates::ASKERS;
+pub use candidates::DIRECT_VMS;
 pub use candidates::candidates;
 pub use mirror::Mirror;
-pub use poll_schedule::Rounds;
-pub use source_selector::Source;
-pub use source_selector::Sources;
+pub use poll_schedule::PollSchedule;
+pub use source_selector::RegisterSource;
+pub use source_selector::SourceSelector;
--- a/crates/follow/src/mirror.rs
+++ b/crates/follow/src/mirror.rs
@@ -41,7 +41,7 @@
 impl<T: Clone + PartialEq> Mirror<T> {
     /// Returns the revision up to which everything is known.
     #[must_use]
-    pub fn at(&self) -> u64 {
+    pub fn revision(&self) -> u64 {
         self.revision
     }
 
@@ -54,7 +54,7 @@
     /// Applies a list of all objects at a revision; objects that are not listed are removed.
     ///
     /// A list that is older than what is known changes nothing.
-    pub fn list(&mut self, revision: u64, items: Vec<(String, T)>) {
+    pub fn apply_list(&mut self, revision: u64, items: Vec<(String, T)>) {
         if revision < self.revision {
             return;
         }
@@ -78,7 +78,7 @@
     /// Applies the changes up to a revision; `None` stands for a removed object.
     ///
     /// Changes that are older than what is known are ignored.
-    pub fn change(&mut self, revision: u64, items: Vec<(String, Option<T>)>) {
+    pub fn apply_changes(&mut self, revision: u64, items: Vec<(String, Option<T>)>) {
         if revision < self.revision {
             return;
         }
@@ -99,7 +99,7 @@
     ///
     /// Returns `None` instead of a list if changes after that revision may have been forgotten.
     #[must_use]
-    pub fn since(&self, after: u64) -> Option<Vec<(String, Option<T>)>> {
+    pub fn changes_since(&self, after: u64) -> Option<Vec<(String, Option<T>)>> {
         if !self.is_listed || after < self.compacted {
             return None;
         }
--- a/crates/follow/src/poll_schedule.rs
+++ b/crates/follow/src/poll_schedule.rs
@@ -21,21 +21,21 @@
 ///
 /// ```
 /// use std::time::{Duration, Instant};
-/// use gs_follow::Rounds;
+/// use gs_follow::PollSchedule;
 ///
 /// let now = Instant::now();
-/// let mut schedule = Rounds::new(now, false, Duration::from_secs(10));
-/// assert!(schedule.begin(now + schedule.wait(now)));
+/// let mut schedule = PollSchedule::new(now, false, Duration::from_secs(10));
+/// assert!(schedule.begin_round(now + schedule.time_to_next(now)));
 /// ```
 #[derive(Clone, Debug)]
-pub struct Rounds {
+pub struct PollSchedule {
     first_delays: std::array::IntoIter<Duration, { FIRST_POLL_DELAYS.len() }>,
     poll_interval: Duration,
     next_poll: Instant,
     round_start: Instant,
 }
 
-impl Rounds {
+impl PollSchedule {
     /// Creates the schedule of a process that starts now and polls at `poll_interval` after the first polls.
     ///
     /// At the first start of the fleet, the immediate poll is skipped: few VMs would be listed yet.
@@ -56,13 +56,13 @@
 
     /// Returns the time until the next round; zero if it is already due, as after a long round.
     #[must_use]
-    pub fn wait(&self, now: Instant) -> Duration {
+    pub fn time_to_next(&self, now: Instant) -> Duration {
         let next = self.next_poll.min(self.round_start + HEARTBEAT_INTERVAL);
         next.saturating_duration_since(now)
     }
 
     /// Begins a round; returns `true` if the list is to be polled in it.
-    pub fn begin(&mut self, now: Instant) -> bool {
+    pub fn begin_round(&mut self, now: Instant) -> bool {
         self.round_start = now;
         now >= self.next_poll
     }
@@ -70,7 +70,7 @@
     /// Records that the list was polled in this round, and schedules the next poll.
     ///
     /// After a poll that did not succeed, the next round polls again.
-    pub fn looked(&mut self, succeeded: bool) {
+    pub fn on_list_polled(&mut self, succeeded: bool) {
         let delay = if succeeded {
             self.first_delays.next().unwrap_or(self.poll_interval)
         } else {
--- a/crates/follow/src/source_selector.rs
+++ b/crates/follow/src/source_selector.rs
@@ -13,7 +13,7 @@
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::candidates::ASKERS;
+use crate::candidates::DIRECT_VMS;
 use crate::candidates::candidates;
 
 /// The backoff of a peer after its first failure; doubled with each further one.
@@ -30,7 +30,7 @@
 /// The source from which a VM learns the register's contents.
 #[derive(Clone, Debug, PartialEq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Source {
+pub enum RegisterSource {
     /// None yet: the list of VMs is not known.
     Undecided,
     /// The register, which this VM queries directly and serves to its followers.
@@ -41,10 +41,10 @@
 
 /// Chooses the source from which a VM learns the register's contents.
 #[derive(Clone, Debug)]
-pub struct Sources {
+pub struct SourceSelector {
     me: VmId,
     data_centre: DataCentre,
-    source: Source,
+    source: RegisterSource,
     /// The peers that this VM may follow, in order of preference.
     candidates: Vec<PeerVm>,
     backoffs: HashMap<VmId, PeerBackoff>,
@@ -61,14 +61,14 @@
     failures: u32,
 }
 
-impl Sources {
+impl SourceSelector {
     /// Creates a selector whose source is undecided.
     #[must_use]
     pub fn new(me: VmId, data_centre: DataCentre) -> Self {
         Self {
             me,
             data_centre,
-            source: Source::Undecided,
+            source: RegisterSource::Undecided,
             candidates: Vec::new(),
             backoffs: HashMap::new(),
             only_self_connected: 0,
@@ -78,7 +78,7 @@
 
     /// Returns the present source.
     #[must_use]
-    pub fn source(&self) -> &Source {
+    pub fn source(&self) -> &RegisterSource {
         &self.source
     }
 
@@ -87,13 +87,13 @@
         let ranked = candidates(vms, &self.data_centre);
         let rank = ranked.iter().position(|vm| vm.name == self.me);
         self.candidates = match rank {
-            Some(rank) if rank < ASKERS => Vec::new(),
+            Some(rank) if rank < DIRECT_VMS => Vec::new(),
             Some(rank) => ranked[..rank].to_vec(),
             None => ranked,
         };
-        if let Some(first) = self.candidates.get_mut(..ASKERS) {
+        if let Some(first) = self.candidates.get_mut(..DIRECT_VMS) {
             // The followers are spread over the direct VMs by the hash of their names.
-            let offset = xxh3_64(self.me.as_str().as_bytes()) as usize % ASKERS;
+            let offset = xxh3_64(self.me.as_str().as_bytes()) as usize % DIRECT_VMS;
             first.rotate_left(offset);
         }
         self.backoffs
@@ -102,18 +102,18 @@
     }
 
     /// Falls back to the register if the source is still undecided, as no list of VMs came in time.
-    pub fn decide(&mut self) {
-        if self.source == Source::Undecided {
-            self.source = Source::Register;
+    pub fn default_to_register(&mut self) {
+        if self.source == RegisterSource::Undecided {
+            self.source = RegisterSource::Register;
         }
     }
 
     /// Returns the peers to query whether they can reach the register: the one that is followed, then the other
     /// candidates that are not in backoff.
     #[must_use]
-    pub fn to_ask(&self, now: Instant) -> SmallVec<[PeerVm; 4]> {
+    pub fn peers_to_query(&self, now: Instant) -> SmallVec<[PeerVm; 4]> {
         let mut all: SmallVec<[PeerVm; 4]> = SmallVec::new();
-        if let Source::Peer(vm) = &self.source {
+        if let RegisterSource::Peer(vm) = &self.source {
             all.push(vm.clone());
         }
         for vm in &self.candidates {
@@ -126,7 +126,7 @@
     }
 
     /// Puts a peer into backoff that did not answer or does not query the register, and chooses again.
-    pub fn failed(&mut self, now: Instant, name: &VmId) {
+    pub fn on_peer_failed(&mut self, now: Instant, name: &VmId) {
         let failures = self.backoffs.get(name).map_or(0, |b| b.failures);
         let until = now + PEER_BACKOFF_MIN * (1 << failures.min(BACKOFF_DOUBLINGS_MAX));
         let failures = failures.saturating_add(1);
@@ -142,7 +142,7 @@
     /// the next check. At the end of an outage the peers reconnect to the register one after the other. The one that
     /// is followed has until the next check: if it were dropped at once, all followers would move to the peer that
     /// reconnected first.
-    pub fn in_touch(&mut self, vm: &PeerVm, disconnected: &[PeerVm]) -> bool {
+    pub fn on_peer_connected(&mut self, vm: &PeerVm, disconnected: &[PeerVm]) -> bool {
         self.only_self_connected = 0;
         let was_outage = std::mem::take(&mut self.is_outage);
         if was_outage && self.follows_one_of(disconnected) {
@@ -150,13 +150,13 @@
         }
         if contains(&self.candidates, &vm.name) {
             self.backoffs.remove(&vm.name);
-            self.source = Source::Peer(vm.clone());
+            self.source = RegisterSource::Peer(vm.clone());
         }
         true
     }
 
     /// Records that no peer reaches the register.
-    pub fn none_in_touch(&mut self) {
+    pub fn on_no_peer_connected(&mut self) {
         self.is_outage = true;
     }
 
@@ -169,16 +169,16 @@
     /// Records that the register answered this VM while these peers report that they cannot reach it.
     ///
     /// Returns `true` if this VM queries the register directly from now on.
-    pub fn in_touch_alone(&mut self, now: Instant, peers: &[PeerVm]) -> bool {
+    pub fn on_only_self_connected(&mut self, now: Instant, peers: &[PeerVm]) -> bool {
         self.only_self_connected += 1;
         if self.only_self_connected < ONLY_SELF_CONNECTED_MIN {
             return false;
         }
         self.only_self_connected = 0;
         for vm in peers {
-            self.failed(now, &vm.name);
+            self.on_peer_failed(now, &vm.name);
         }
-        self.source == Source::Register
+        self.source == RegisterSource::Register
     }
 
     /// Keeps following the present peer if it is a usable candidate, else chooses the first usable one, or the
@@ -187,15 +187,17 @@
         let is_usable = |vm: &PeerVm| !self.is_backing_off(now, &vm.name);
         let mut usable = self.candidates.iter().filter(|vm| is_usable(vm));
         let followed = match &self.source {
-            Source::Peer(vm) => usable.clone().find(|c| c.name == vm.name),
-            Source::Undecided | Source::Register => None,
+            RegisterSource::Peer(vm) => usable.clone().find(|c| c.name == vm.name),
+            RegisterSource::Undecided | RegisterSource::Register => None,
         };
         let chosen = followed.or_else(|| usable.next());
-        self.source = chosen.map_or(Source::Register, |vm| Source::Peer(vm.clone()));
+        self.source = chosen.map_or(RegisterSource::Register, |vm| {
+            RegisterSource::Peer(vm.clone())
+        });
     }
 
     fn follows_one_of(&self, vms: &[PeerVm]) -> bool {
-        matches!(&self.source, Source::Peer(vm) if contains(vms, &vm.name))
+        matches!(&self.source, RegisterSource::Peer(vm) if contains(vms, &vm.name))
     }
 
     fn is_backing_off(&self, now: Instant, name: &VmId) -> bool {
--- a/crates/follow/tests/follow/mirror.rs
+++ b/crates/follow/tests/follow/mirror.rs
@@ -12,9 +12,9 @@
 #[test]
 fn a_list_removes_what_it_does_not_name() {
     let mut m = Mirror::default();
-    m.list(5, vec![named("a", 1), named("b", 1)]);
-    m.list(9, vec![named("b", 1), named("c", 1)]);
-    let since = m.since(5).expect("known");
+    m.apply_list(5, vec![named("a", 1), named("b", 1)]);
+    m.apply_list(9, vec![named("b", 1), named("c", 1)]);
+    let since = m.changes_since(5).expect("known");
     assert_eq!(since, [("a".into(), None), ("c".into(), Some(1))]);
 }
 
@@ -22,11 +22,11 @@
 #[test]
 fn a_list_or_change_of_before_changes_nothing() {
     let mut m = Mirror::default();
-    m.list(9, vec![named("a", 2)]);
-    m.list(5, vec![named("a", 1)]);
-    m.change(8, vec![("a".into(), None)]);
-    assert_eq!(m.at(), 9);
-    assert_eq!(m.since(0), None);
+    m.apply_list(9, vec![named("a", 2)]);
+    m.apply_list(5, vec![named("a", 1)]);
+    m.apply_changes(8, vec![("a".into(), None)]);
+    assert_eq!(m.revision(), 9);
+    assert_eq!(m.changes_since(0), None);
     assert_eq!(m.live().collect::<Vec<_>>(), [(&"a".to_owned(), &2)]);
 }
 
@@ -34,23 +34,23 @@
 #[test]
 fn what_lies_before_the_first_list_is_forgotten() {
     let mut m = Mirror::default();
-    assert_eq!(m.since(0), None);
-    m.list(5, vec![named("a", 1)]);
-    assert_eq!(m.since(4), None);
-    assert_eq!(m.since(5), Some(Vec::new()));
+    assert_eq!(m.changes_since(0), None);
+    m.apply_list(5, vec![named("a", 1)]);
+    assert_eq!(m.changes_since(4), None);
+    assert_eq!(m.changes_since(5), Some(Vec::new()));
 }
 
 /// Memory must not grow with every server that was ever registered.
 #[test]
 fn removed_objects_are_forgotten_once_they_are_many() {
     let mut m = Mirror::default();
-    m.list(1, Vec::new());
+    m.apply_list(1, Vec::new());
     for n in 0..20_000_u64 {
-        m.change(2 * n + 2, vec![(format!("s{n}"), Some(1_u32))]);
-        m.change(2 * n + 3, vec![(format!("s{n}"), None)]);
+        m.apply_changes(2 * n + 2, vec![(format!("s{n}"), Some(1_u32))]);
+        m.apply_changes(2 * n + 3, vec![(format!("s{n}"), None)]);
     }
-    assert_eq!(m.since(1), None);
-    let known = m.since(39_000).expect("recent");
+    assert_eq!(m.changes_since(1), None);
+    let known = m.changes_since(39_000).expect("recent");
     assert!(known.len() <= 4096, "{}", known.len());
 }
 
@@ -84,16 +84,16 @@
         let listed = listed.min(end);
         let from = from.clamp(listed, end);
         let mut m = Mirror::default();
-        m.list(listed as u64, register[listed].clone().into_iter().collect());
+        m.apply_list(listed as u64, register[listed].clone().into_iter().collect());
         let mut batch = Vec::new();
         for (n, (key, value)) in history.iter().enumerate().skip(listed) {
             batch.push((format!("o{key}"), *value));
             if cuts[n] || n + 1 == end {
-                m.change(n as u64 + 1, std::mem::take(&mut batch));
+                m.apply_changes(n as u64 + 1, std::mem::take(&mut batch));
             }
         }
         let mut follower = register[from].clone();
-        for (name, value) in m.since(from as u64).expect("known") {
+        for (name, value) in m.changes_since(from as u64).expect("known") {
             match value {
                 Some(v) => follower.insert(name, v),
                 None => follower.remove(&name),
--- a/crates/follow/tests/follow/poll_schedule.rs
+++ b/crates/follow/tests/follow/poll_schedule.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use gs_follow::Rounds;
+use gs_follow::PollSchedule;
 use rstest::rstest;
 
 const POLL_INTERVAL: Duration = Duration::from_secs(10);
@@ -12,13 +12,13 @@
 fn rounds(first_start: bool) -> Vec<(Duration, bool)> {
     let start = Instant::now();
     let mut now = start;
-    let mut schedule = Rounds::new(now, first_start, POLL_INTERVAL);
+    let mut schedule = PollSchedule::new(now, first_start, POLL_INTERVAL);
     let mut all = Vec::new();
     while now < start + 3 * POLL_INTERVAL {
-        now += schedule.wait(now);
-        let is_poll = schedule.begin(now);
+        now += schedule.time_to_next(now);
+        let is_poll = schedule.begin_round(now);
         if is_poll {
-            schedule.looked(true);
+            schedule.on_list_polled(true);
         }
         all.push((now - start, is_poll));
     }
@@ -59,22 +59,22 @@
 #[test]
 fn a_look_that_shows_nothing_is_repeated_in_the_next_round() {
     let mut now = Instant::now();
-    let mut schedule = Rounds::new(now, false, POLL_INTERVAL);
-    now += schedule.wait(now);
-    assert!(schedule.begin(now));
-    schedule.looked(false);
-    assert_eq!(schedule.wait(now), Duration::from_millis(1500));
-    assert!(schedule.begin(now + schedule.wait(now)));
+    let mut schedule = PollSchedule::new(now, false, POLL_INTERVAL);
+    now += schedule.time_to_next(now);
+    assert!(schedule.begin_round(now));
+    schedule.on_list_polled(false);
+    assert_eq!(schedule.time_to_next(now), Duration::from_millis(1500));
+    assert!(schedule.begin_round(now + schedule.time_to_next(now)));
 }
 
 /// A VM must not notice the end of an outage late because it waits after a call that got no answer.
 #[test]
 fn a_round_that_takes_long_is_followed_at_once() {
     let mut now = Instant::now();
-    let mut schedule = Rounds::new(now, true, POLL_INTERVAL);
-    now += schedule.wait(now);
-    schedule.begin(now);
+    let mut schedule = PollSchedule::new(now, true, POLL_INTERVAL);
+    now += schedule.time_to_next(now);
+    schedule.begin_round(now);
     now += Duration::from_secs(2);
-    schedule.looked(true);
-    assert_eq!(schedule.wait(now), Duration::ZERO);
+    schedule.on_list_polled(true);
+    assert_eq!(schedule.time_to_next(now), Duration::ZERO);
 }
--- a/crates/follow/tests/follow/source_selector.rs
+++ b/crates/follow/tests/follow/source_selector.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use gs_follow::ASKERS;
-use gs_follow::Source;
-use gs_follow::Sources;
+use gs_follow::DIRECT_VMS;
+use gs_follow::RegisterSource;
+use gs_follow::SourceSelector;
 use gs_relay::PeerVm;
 
 use crate::fixtures::HERE;
@@ -14,29 +14,29 @@
 use crate::fixtures::id;
 use crate::fixtures::names;
 
-fn selector(me: &str) -> Sources {
-    Sources::new(id(me), data_centre(HERE))
+fn selector(me: &str) -> SourceSelector {
+    SourceSelector::new(id(me), data_centre(HERE))
 }
 
 /// Returns the selector of a VM that knows of `count` equal VMs.
-fn selector_among(me: &str, count: usize, now: Instant) -> Sources {
+fn selector_among(me: &str, count: usize, now: Instant) -> SourceSelector {
     let mut s = selector(me);
     s.set_vms(now, &equal_vms(count));
     s
 }
 
 /// Returns the name of the VM that is followed, or the name of another source.
-fn followed(s: &Sources) -> &str {
+fn followed(s: &SourceSelector) -> &str {
     match s.source() {
-        Source::Undecided => "undecided",
-        Source::Register => "register",
-        Source::Peer(vm) => vm.name.as_str(),
+        RegisterSource::Undecided => "undecided",
+        RegisterSource::Register => "register",
+        RegisterSource::Peer(vm) => vm.name.as_str(),
     }
 }
 
-fn peer(s: &Sources) -> PeerVm {
+fn peer(s: &SourceSelector) -> PeerVm {
     match s.source() {
-        Source::Peer(vm) => vm.clone(),
+        RegisterSource::Peer(vm) => vm.clone(),
         other => panic!("follows {other}"),
     }
 }
@@ -45,11 +45,11 @@
 fn two_ask_and_share_the_others() {
     let now = Instant::now();
     let all = equal_vms(40);
-    let mut followers = [0; ASKERS];
+    let mut followers = [0; DIRECT_VMS];
     for (n, vm) in all.iter().enumerate() {
         let s = selector_among(vm.name.as_str(), 40, now);
         match followed(&s) {
-            "register" => assert!(n < ASKERS, "VM {n} queries the register"),
+            "register" => assert!(n < DIRECT_VMS, "VM {n} queries the register"),
             "vm-00" => followers[0] += 1,
             "vm-01" => followers[1] += 1,
             other => panic!("VM {n} follows {other}"),
@@ -63,7 +63,7 @@
 fn a_vm_that_knows_nobody_asks_by_itself() {
     let mut s = selector("vm-09");
     assert_eq!(followed(&s), "undecided");
-    s.decide();
+    s.default_to_register();
     assert_eq!(followed(&s), "register");
 }
 
@@ -74,7 +74,7 @@
     let failed = [id("vm-00"), id("vm-01")];
     let with_failures = |me: &str| {
         let mut s = selector_among(me, 9, now);
-        failed.iter().for_each(|name| s.failed(now, name));
+        failed.iter().for_each(|name| s.on_peer_failed(now, name));
         s
     };
     assert_eq!(followed(&with_failures("vm-02")), "register");
@@ -89,10 +89,10 @@
     let mut s = selector_among("vm-08", 9, now);
     for _ in 0..4 {
         let name = peer(&s).name;
-        s.failed(now, &name);
+        s.on_peer_failed(now, &name);
     }
     assert_eq!(followed(&s), "register");
-    assert!(s.to_ask(now).is_empty());
+    assert!(s.peers_to_query(now).is_empty());
 }
 
 /// A fleet must not query the register directly for ever after a failure of the direct VMs.
@@ -102,11 +102,11 @@
     let mut s = selector_among("vm-02", 9, now);
     let mut backoffs_s = Vec::new();
     for _ in 0..7 {
-        s.failed(now, &id("vm-00"));
-        s.failed(now, &id("vm-01"));
+        s.on_peer_failed(now, &id("vm-00"));
+        s.on_peer_failed(now, &id("vm-01"));
         assert_eq!(followed(&s), "register");
         let start = now;
-        while s.to_ask(now).is_empty() {
+        while s.peers_to_query(now).is_empty() {
             now += Duration::from_millis(500);
         }
         backoffs_s.push((now - start).as_secs());
@@ -120,8 +120,8 @@
 fn one_answer_of_the_register_is_not_yet_a_reason_to_ask_it() {
     let now = Instant::now();
     let mut s = selector_among("vm-08", 9, now);
-    let direct_vms: Vec<PeerVm> = s.to_ask(now).into_iter().take(ASKERS).collect();
-    assert!(!s.in_touch_alone(now, &direct_vms));
+    let direct_vms: Vec<PeerVm> = s.peers_to_query(now).into_iter().take(DIRECT_VMS).collect();
+    assert!(!s.on_only_self_connected(now, &direct_vms));
     assert_ne!(followed(&s), "register");
 }
 
@@ -130,10 +130,10 @@
 fn a_vm_that_alone_is_in_touch_asks_by_itself() {
     let now = Instant::now();
     let mut s = selector_among("vm-08", 9, now);
-    let all = s.to_ask(now);
+    let all = s.peers_to_query(now);
     assert_eq!(all.len(), 4, "{:?}", names(&all));
-    assert!(!s.in_touch_alone(now, &all));
-    assert!(s.in_touch_alone(now, &all));
+    assert!(!s.on_only_self_connected(now, &all));
+    assert!(s.on_only_self_connected(now, &all));
     assert_eq!(followed(&s), "register");
 }
 
@@ -142,9 +142,9 @@
     let now = Instant::now();
     let mut s = selector_among("vm-08", 9, now);
     let first = peer(&s);
-    s.failed(now, &first.name);
+    s.on_peer_failed(now, &first.name);
     assert_ne!(peer(&s), first);
-    assert!(s.in_touch(&first, &[]));
+    assert!(s.on_peer_connected(&first, &[]));
     assert_eq!(peer(&s), first);
 }
 
@@ -154,7 +154,7 @@
     let now = Instant::now();
     let mut s = selector_among("vm-08", 9, now);
     let before = peer(&s);
-    s.in_touch(&equal_vms(9)[7], &[]);
+    s.on_peer_connected(&equal_vms(9)[7], &[]);
     assert_eq!(peer(&s), before);
 }
 
@@ -169,8 +169,8 @@
 }
 
 /// Returns the two direct VMs of a VM that follows the first of them.
-fn direct_vms_of(s: &Sources) -> [PeerVm; ASKERS] {
-    let all = s.to_ask(Instant::now());
+fn direct_vms_of(s: &SourceSelector) -> [PeerVm; DIRECT_VMS] {
+    let all = s.peers_to_query(Instant::now());
     [all[0].clone(), all[1].clone()]
 }
 
@@ -179,10 +179,10 @@
 fn an_asker_has_until_the_next_look_to_regain_the_register() {
     let mut s = selector_among("vm-08", 9, Instant::now());
     let [followed, other] = direct_vms_of(&s);
-    s.none_in_touch();
-    assert!(!s.in_touch(&other, std::slice::from_ref(&followed)));
+    s.on_no_peer_connected();
+    assert!(!s.on_peer_connected(&other, std::slice::from_ref(&followed)));
     assert_eq!(peer(&s), followed);
-    assert!(s.in_touch(&followed, &[]));
+    assert!(s.on_peer_connected(&followed, &[]));
     assert_eq!(peer(&s), followed);
 }
 
@@ -191,9 +191,9 @@
 fn an_asker_that_stays_out_of_touch_after_an_outage_is_left() {
     let mut s = selector_among("vm-08", 9, Instant::now());
     let [followed, other] = direct_vms_of(&s);
-    s.none_in_touch();
-    assert!(!s.in_touch(&other, std::slice::from_ref(&followed)));
-    assert!(s.in_touch(&other, &[followed]));
+    s.on_no_peer_connected();
+    assert!(!s.on_peer_connected(&other, std::slice::from_ref(&followed)));
+    assert!(s.on_peer_connected(&other, &[followed]));
     assert_eq!(peer(&s), other);
 }
 
@@ -202,7 +202,7 @@
 fn an_asker_that_alone_is_out_of_touch_is_left_at_once() {
     let mut s = selector_among("vm-08", 9, Instant::now());
     let [followed, other] = direct_vms_of(&s);
-    assert!(s.in_touch(&other, &[followed]));
+    assert!(s.on_peer_connected(&other, &[followed]));
     assert_eq!(peer(&s), other);
 }
 
@@ -213,9 +213,9 @@
     let now = Instant::now();
     let mut s = selector_among("vm-08", 9, now);
     let [first, second] = direct_vms_of(&s);
-    let all = s.to_ask(now);
-    all.iter().for_each(|vm| s.failed(now, &vm.name));
-    s.none_in_touch();
-    assert!(s.in_touch(&second, &[first]));
+    let all = s.peers_to_query(now);
+    all.iter().for_each(|vm| s.on_peer_failed(now, &vm.name));
+    s.on_no_peer_connected();
+    assert!(s.on_peer_connected(&second, &[first]));
     assert_eq!(peer(&s), second);
 }
