--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -32,7 +32,7 @@
 
 /// What an object says.
 #[derive(Clone, Debug)]
-pub enum Thing {
+pub enum ItemContent {
     /// A version of the routes.
     Routes(Arc<RouteTable>),
     /// A backend server.
@@ -40,7 +40,7 @@
     /// It cannot be read; it names nothing to use.
     Unreadable(Error),
     /// It is gone.
-    Gone,
+    Removed,
 }
 
 /// An object of the directory.
@@ -49,7 +49,7 @@
     /// Its name within its kind.
     pub name: String,
     /// What it says.
-    pub thing: Thing,
+    pub content: ItemContent,
 }
 
 /// Everything of a kind.
@@ -88,7 +88,7 @@
 
 /// The announcement of a VM.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Announced {
+pub struct VmAnnouncement {
     /// The VM.
     pub vm: PeerVm,
     /// The state in which it was renewed last.
@@ -101,7 +101,7 @@
     /// The state in which they were listed.
     pub at: Revision,
     /// The announcements.
-    pub vms: Vec<Announced>,
+    pub vms: Vec<VmAnnouncement>,
 }
 
 /// Where routes are declared and servers registered.
--- a/crates/edge/src/follow.rs
+++ b/crates/edge/src/follow.rs
@@ -15,9 +15,9 @@
 use crate::directory::Directory;
 use crate::directory::DirectoryKind;
 use crate::directory::Item;
+use crate::directory::ItemContent;
 use crate::directory::Origin;
 use crate::directory::Revision;
-use crate::directory::Thing;
 use crate::state::State;
 
 /// How long one watch waits; platforms allow 30 s at the most. Each one is a call that is paid for; a
@@ -124,7 +124,7 @@
                 known,
                 Item {
                     name,
-                    thing: Thing::Gone,
+                    content: ItemContent::Removed,
                 },
             );
         }
@@ -154,19 +154,19 @@
     }
 
     fn take(&self, known: &mut Known, item: Item) {
-        let Item { name, thing } = item;
-        match thing {
-            Thing::Gone => {
+        let Item { name, content } = item;
+        match content {
+            ItemContent::Removed => {
                 known.names.remove(&name);
                 self.gone(&name);
                 return;
             }
-            Thing::Routes(table) => {
+            ItemContent::Routes(table) => {
                 let is_new = self.state.take_table(&table);
                 log::info!("event=routes version={} taken={is_new}", table.version());
                 self.feed.push(Event::Table(table));
             }
-            Thing::Server(entry) => {
+            ItemContent::Server(entry) => {
                 log::debug!(
                     "event=server name={} service={} state={} addr={}",
                     entry.name,
@@ -176,7 +176,7 @@
                 );
                 self.feed.push(Event::Server(entry));
             }
-            Thing::Unreadable(e) => {
+            ItemContent::Unreadable(e) => {
                 log::warn!(
                     "event=object-unreadable kind={} name={name} error=\"{e}\"",
                     self.kind
--- a/crates/edge/src/lanes.rs
+++ b/crates/edge/src/lanes.rs
@@ -26,7 +26,7 @@
 use tokio::time::Instant;
 
 use crate::peers::PeerCodec;
-use crate::servers::Judged;
+use crate::servers::ParsedReply;
 use crate::servers::ServerCodec;
 
 /// The most bytes of a server's answer.
@@ -216,8 +216,8 @@
         }
     }
 
-    fn give_back(&self, mut lent: Lent, judged: &Judged) {
-        if !judged.is_clean || !self.d.keep_connection {
+    fn give_back(&self, mut lent: Lent, judged: &ParsedReply) {
+        if !judged.is_connection_reusable || !self.d.keep_connection {
             return;
         }
         if let Some(idle) = judged.idle_max {
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -42,7 +42,7 @@
 use crate::desk::Desk;
 use crate::register::REGISTER_PATH;
 use crate::register::Register;
-use crate::servers::Judged;
+use crate::servers::ParsedReply;
 use crate::servers::ServerCodec;
 use crate::servers::opaque_request;
 
@@ -115,7 +115,7 @@
         Ok(req)
     }
 
-    fn reply(&self, _: &Dispatch, whole: Whole) -> Judged {
+    fn reply(&self, _: &Dispatch, whole: Whole) -> ParsedReply {
         let end = match whole.status {
             StatusCode::OK => {
                 let held = number(&whole.headers, &HELD_US).map(Duration::from_micros);
@@ -132,9 +132,9 @@
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::BAD_REQUEST => AttemptEnd::Shed(None),
             _ => AttemptEnd::Garbled,
         };
-        Judged {
+        ParsedReply {
             end,
-            is_clean: true,
+            is_connection_reusable: true,
             idle_max: None,
         }
     }
--- a/crates/edge/src/register/book.rs
+++ b/crates/edge/src/register/book.rs
@@ -69,7 +69,7 @@
     /// Takes in everything of a kind.
     pub(crate) fn note_list(&self, kind: DirectoryKind, listing: &Listing) {
         let objects = listing.items.iter();
-        let objects = objects.filter_map(|i| Some((i.name.clone(), Object::of(&i.thing)?)));
+        let objects = objects.filter_map(|i| Some((i.name.clone(), Object::of(&i.content)?)));
         let mut mirror = lock(&self.page(kind).mirror);
         mirror.apply_list(listing.at.0, objects.collect());
         self.page(kind).at.send_replace(mirror.revision());
@@ -78,7 +78,7 @@
     /// Takes in what changed of a kind.
     pub(crate) fn note_changes(&self, kind: DirectoryKind, changes: &Changes) {
         let objects = changes.items.iter();
-        let objects = objects.map(|i| (i.name.clone(), Object::of(&i.thing)));
+        let objects = objects.map(|i| (i.name.clone(), Object::of(&i.content)));
         let mut mirror = lock(&self.page(kind).mirror);
         mirror.apply_changes(changes.at.0, objects.collect());
         self.page(kind).at.send_replace(mirror.revision());
--- a/crates/edge/src/register/wire.rs
+++ b/crates/edge/src/register/wire.rs
@@ -9,10 +9,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::directory::Announced;
 use crate::directory::Item;
+use crate::directory::ItemContent;
 use crate::directory::Revision;
-use crate::directory::Thing;
+use crate::directory::VmAnnouncement;
 use crate::directory::VmListing;
 
 /// Where a peer is asked what the register says; the kind follows.
@@ -44,11 +44,11 @@
 
 impl Object {
     /// What an item says; `None` if it names nothing to use.
-    pub(crate) fn of(thing: &Thing) -> Option<Self> {
-        match thing {
-            Thing::Routes(table) => Some(Self::Routes(Arc::clone(table))),
-            Thing::Server(entry) => Some(Self::Server(Arc::clone(entry))),
-            Thing::Unreadable(_) | Thing::Gone => None,
+    pub(crate) fn of(content: &ItemContent) -> Option<Self> {
+        match content {
+            ItemContent::Routes(table) => Some(Self::Routes(Arc::clone(table))),
+            ItemContent::Server(entry) => Some(Self::Server(Arc::clone(entry))),
+            ItemContent::Unreadable(_) | ItemContent::Removed => None,
         }
     }
 }
@@ -64,14 +64,14 @@
 
 impl From<Named> for Item {
     fn from(n: Named) -> Self {
-        let thing = match n.object {
-            None => Thing::Gone,
-            Some(Object::Routes(table)) => Thing::Routes(table),
-            Some(Object::Server(entry)) => Thing::Server(entry),
+        let content = match n.object {
+            None => ItemContent::Removed,
+            Some(Object::Routes(table)) => ItemContent::Routes(table),
+            Some(Object::Server(entry)) => ItemContent::Server(entry),
         };
         Self {
             name: n.name,
-            thing,
+            content,
         }
     }
 }
@@ -121,7 +121,7 @@
         match told {
             ToldVms::Listed { at, vms } => Some(VmListing {
                 at: Revision(at),
-                vms: vms.into_iter().map(Announced::from).collect(),
+                vms: vms.into_iter().map(VmAnnouncement::from).collect(),
             }),
             ToldVms::NotYet => None,
         }
@@ -145,7 +145,7 @@
     pub(crate) at: u64,
 }
 
-impl From<ToldVm> for Announced {
+impl From<ToldVm> for VmAnnouncement {
     fn from(t: ToldVm) -> Self {
         Self {
             vm: t.vm,
@@ -154,8 +154,8 @@
     }
 }
 
-impl From<Announced> for ToldVm {
-    fn from(a: Announced) -> Self {
+impl From<VmAnnouncement> for ToldVm {
+    fn from(a: VmAnnouncement) -> Self {
         Self {
             vm: a.vm,
             at: a.at.0,
--- a/crates/edge/src/roster.rs
+++ b/crates/edge/src/roster.rs
@@ -14,10 +14,10 @@
 use tokio::time::Instant;
 
 use crate::contact::Contact;
-use crate::directory::Announced;
 use crate::directory::Directory;
 use crate::directory::Renewal;
 use crate::directory::Revision;
+use crate::directory::VmAnnouncement;
 use crate::register::Register;
 use crate::register::now;
 
@@ -139,7 +139,7 @@
     }
 
     /// Tells of the VMs that live, and removes those that are gone.
-    async fn take(&self, known: &mut Known, listed: Vec<Announced>) {
+    async fn take(&self, known: &mut Known, listed: Vec<VmAnnouncement>) {
         let names: Vec<Listed> = listed.iter().map(as_listed).collect();
         let now = Instant::now().into_std();
         let look = known.leases.check(now, &self.me.name, &names);
@@ -214,7 +214,7 @@
     }
 }
 
-fn as_listed(a: &Announced) -> Listed {
+fn as_listed(a: &VmAnnouncement) -> Listed {
     Listed {
         vm: a.vm.name.clone(),
         revision: a.at.0,
--- a/crates/edge/src/servers.rs
+++ b/crates/edge/src/servers.rs
@@ -21,7 +21,7 @@
     fn request(&self, d: &Dispatch, left: Duration) -> Result<Request<Full<Bytes>>>;
 
     /// Reads a whole reply to an attempt.
-    fn reply(&self, d: &Dispatch, whole: Whole) -> Judged;
+    fn reply(&self, d: &Dispatch, whole: Whole) -> ParsedReply;
 }
 
 /// The caller's request as it goes on: its method, target, headers and body, unchanged.
@@ -40,11 +40,11 @@
 }
 
 /// A reply as it was read.
-pub struct Judged {
+pub struct ParsedReply {
     /// How the attempt ended.
     pub end: AttemptEnd,
     /// Whether the connection may be used again.
-    pub is_clean: bool,
+    pub is_connection_reusable: bool,
     /// How long the server keeps the connection idle, if it says so.
     pub idle_max: Option<Duration>,
 }
