--- a/crates/edge/src/callers.rs
+++ b/crates/edge/src/callers.rs
@@ -1,4 +1,4 @@
-//! The border to callers, and the handler in front of it.
+//! The interface to callers, and the handler of their requests.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -17,42 +17,42 @@
 use hyper::body::Incoming;
 
 use crate::body::read_body;
-use crate::desk::Desk;
+use crate::relay_client::RelayClient;
 
-/// What callers speak.
+/// The protocol of callers.
 pub trait CallerCodec: Send + Sync + 'static {
-    /// Reads a request.
+    /// Parses a request.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::BadInput`] if it cannot be handed on.
+    /// [`ErrorKind::BadInput`] if it cannot be relayed.
     fn read(&self, head: Parts, body: Bytes) -> Result<CallerRequest>;
 
-    /// Puts the end of a request into a response; `id` is the caller's.
+    /// Builds the response to a request from its outcome; `id` is the request id that the caller gave.
     fn write(&self, id: &str, outcome: Outcome) -> Response<Full<Bytes>>;
 }
 
-/// Takes callers' requests apart, has them answered and puts the answers together.
-pub(crate) struct Callers {
+/// Parses callers' requests, submits them to the relay and responds with their outcomes.
+pub(crate) struct CallerHandler {
     pub(crate) codec: Arc<dyn CallerCodec>,
-    pub(crate) desk: Desk,
+    pub(crate) relay_client: RelayClient,
 }
 
-impl Callers {
+impl CallerHandler {
     async fn answer(&self, req: Request<Incoming>) -> Response<Full<Bytes>> {
         let (head, body) = req.into_parts();
-        let read = read_body(body, self.desk.body_max()).await;
-        let req = match read.and_then(|body| self.codec.read(head, body)) {
+        let body = read_body(body, self.relay_client.body_max()).await;
+        let req = match body.and_then(|body| self.codec.read(head, body)) {
             Ok(req) => req,
-            Err(e) => return refuse(&e),
+            Err(e) => return error_response(&e),
         };
         let id = Arc::clone(&req.id);
-        let outcome = self.desk.ask(req, None).await;
+        let outcome = self.relay_client.submit(req, None).await;
         self.codec.write(&id, outcome)
     }
 }
 
-fn refuse(e: &Error) -> Response<Full<Bytes>> {
+fn error_response(e: &Error) -> Response<Full<Bytes>> {
     log::info!("event=request-unreadable kind={} error=\"{e}\"", e.kind());
     let mut res = Response::new(Full::new(Bytes::from(format!("{e}\n"))));
     *res.status_mut() = match e.kind() {
@@ -62,7 +62,7 @@
     res
 }
 
-impl Handler for Callers {
+impl Handler for CallerHandler {
     fn handle(
         self: Arc<Self>,
         _: SocketAddr,
--- a/crates/edge/src/lanes.rs
+++ b/crates/edge/src/connection_pools.rs
@@ -1,4 +1,4 @@
-//! Every connection of this process to backend servers, and the attempts running on them.
+//! The connections of this process to backend servers and peers, and the attempts in flight on them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -29,24 +29,24 @@
 use crate::servers::ParsedReply;
 use crate::servers::ServerCodec;
 
-/// The most bytes of a server's answer.
-const ANSWER_MAX: usize = 4 << 20;
+/// The largest reply of a server, in bytes.
+const ANSWER_BYTES_MAX: usize = 4 << 20;
 
-/// The longest that a connection may have been idle to carry a request that may run only once: shorter
-/// than any idle timeout, so that the server does not close it under the request.
+/// The longest that a connection may have been idle to carry a request that may run only once: shorter than any idle
+/// timeout, so that the server does not close the connection while the request is in transit.
 const ONCE_IDLE_MAX: Duration = Duration::from_secs(1);
 
-/// The most of its server's announced idle time that a connection is used again after.
-const IDLE_PART: f64 = 0.7;
+/// The fraction of the idle timeout announced by a server after which an idle connection is no longer reused.
+const IDLE_FRACTION: f64 = 0.7;
 
-/// Tells the relay of connections, and counts them for metrics.
-pub(crate) struct Opened {
+/// Counts connections for metrics, and reports each opened and closed one to the relay.
+pub(crate) struct ConnectionCounts {
     pub(crate) opened: AtomicU64,
     pub(crate) lost: AtomicU64,
     feed: Feed<Event>,
 }
 
-impl ConnectionSink for Opened {
+impl ConnectionSink for ConnectionCounts {
     fn opened(&self, server: &ServerName, took: Duration) {
         self.opened.fetch_add(1, Ordering::Relaxed);
         self.feed.push(Event::Opened(server.clone(), took));
@@ -61,19 +61,19 @@
     }
 }
 
-/// The connections to every backend server, and the attempts on them.
-pub(crate) struct Lanes {
+/// The connection pools, one per server, and the attempts in flight on them.
+pub(crate) struct ConnectionPools {
     codec: Arc<dyn ServerCodec>,
     feed: Feed<Event>,
     opts: LaneOptions,
-    lanes: Mutex<HashMap<ServerName, Arc<Lane>>>,
-    running: Arc<Mutex<HashMap<AttemptKey, oneshot::Sender<()>>>>,
-    pub(crate) counts: Arc<Opened>,
+    pools: Mutex<HashMap<ServerName, Arc<Lane>>>,
+    in_flight: Arc<Mutex<HashMap<AttemptKey, oneshot::Sender<()>>>>,
+    pub(crate) counts: Arc<ConnectionCounts>,
 }
 
-impl Lanes {
+impl ConnectionPools {
     pub(crate) fn new(codec: Arc<dyn ServerCodec>, feed: Feed<Event>, opts: LaneOptions) -> Self {
-        let counts = Opened {
+        let counts = ConnectionCounts {
             opened: AtomicU64::new(0),
             lost: AtomicU64::new(0),
             feed: feed.clone(),
@@ -82,92 +82,97 @@
             codec,
             feed,
             opts,
-            lanes: Mutex::default(),
-            running: Arc::default(),
+            pools: Mutex::default(),
+            in_flight: Arc::default(),
             counts: Arc::new(counts),
         }
     }
 
-    /// Hands an attempt to its server in a task of its own.
+    /// Starts an attempt in a task of its own.
     pub(crate) fn send(&self, d: Dispatch) {
-        let lane = self.lane(&d.server);
+        let pool = self.pool(&d.server);
         let (tx, cancelled) = oneshot::channel();
-        lock(&self.running).insert(d.attempt, tx);
+        lock(&self.in_flight).insert(d.attempt, tx);
         let codec: Arc<dyn ServerCodec> = match d.delegation {
             Some(_) => Arc::new(PeerCodec),
             None => Arc::clone(&self.codec),
         };
-        let attempt = AttemptRun { codec, lane, d };
-        let running = Arc::clone(&self.running);
+        let attempt = AttemptTask { codec, pool, d };
+        let in_flight = Arc::clone(&self.in_flight);
         let feed = self.feed.clone();
         tokio::spawn(async move {
             let id = attempt.d.attempt;
             let end = attempt.run(cancelled).await;
-            lock(&running).remove(&id);
+            lock(&in_flight).remove(&id);
             feed.push(Event::Ended(id, end));
         });
     }
 
-    /// Stops an attempt; its end is still told.
+    /// Cancels an attempt; its end is still reported to the relay.
     pub(crate) fn cancel(&self, id: AttemptKey) {
-        if let Some(tx) = lock(&self.running).remove(&id) {
-            // An attempt that ends at this moment no longer listens, which is as good.
+        if let Some(tx) = lock(&self.in_flight).remove(&id) {
+            // The receiver is dropped if the attempt ends at this moment, which needs no cancellation.
             let _ = tx.send(());
         }
     }
 
-    /// Holds `warm` connections to a server open, and at most `most`.
-    pub(crate) fn connect(&self, server: &Arc<ServerEntry>, warm: Connections, most: Connections) {
-        let lane = self.lane(server);
-        lane.set_share(most);
-        lane.warm(warm);
+    /// Keeps at least `connections_min` connections to a server open, and at most `connections_max`.
+    pub(crate) fn connect(
+        &self,
+        server: &Arc<ServerEntry>,
+        connections_min: Connections,
+        connections_max: Connections,
+    ) {
+        let pool = self.pool(server);
+        pool.set_share(connections_max);
+        pool.warm(connections_min);
     }
 
     /// Closes the connections to a server as they become idle.
     pub(crate) fn disconnect(&self, server: &ServerName) {
-        if let Some(lane) = lock(&self.lanes).remove(server) {
-            lane.set_share(Connections(0));
+        if let Some(pool) = lock(&self.pools).remove(server) {
+            pool.set_share(Connections(0));
         }
     }
 
-    /// Attempts that have not ended.
-    pub(crate) fn running(&self) -> usize {
-        lock(&self.running).len()
+    /// Returns the number of attempts that have not ended.
+    pub(crate) fn in_flight(&self) -> usize {
+        lock(&self.in_flight).len()
     }
 
-    fn lane(&self, server: &ServerEntry) -> Arc<Lane> {
-        let mut lanes = lock(&self.lanes);
-        if let Some(lane) = lanes.get(&server.name)
-            && lane.addr() == server.addr
+    fn pool(&self, server: &ServerEntry) -> Arc<Lane> {
+        let mut pools = lock(&self.pools);
+        if let Some(pool) = pools.get(&server.name)
+            && pool.addr() == server.addr
         {
-            return Arc::clone(lane);
+            return Arc::clone(pool);
         }
-        let sink: Arc<dyn ConnectionSink> = Arc::<Opened>::clone(&self.counts);
-        let lane = Lane::new(server.name.clone(), server.addr, self.opts, sink);
-        lane.set_share(Connections(1));
-        if let Some(old) = lanes.insert(server.name.clone(), Arc::clone(&lane)) {
+        let sink: Arc<dyn ConnectionSink> = Arc::<ConnectionCounts>::clone(&self.counts);
+        let pool = Lane::new(server.name.clone(), server.addr, self.opts, sink);
+        pool.set_share(Connections(1));
+        if let Some(old) = pools.insert(server.name.clone(), Arc::clone(&pool)) {
             old.set_share(Connections(0));
         }
-        lane
+        pool
     }
 }
 
-/// One attempt on its way.
-struct AttemptRun {
+/// One attempt in flight.
+struct AttemptTask {
     codec: Arc<dyn ServerCodec>,
-    lane: Arc<Lane>,
+    pool: Arc<Lane>,
     d: Dispatch,
 }
 
-impl AttemptRun {
-    /// Runs the attempt to its only end.
+impl AttemptTask {
+    /// Runs the attempt and returns how it ended.
     async fn run(&self, mut cancelled: oneshot::Receiver<()>) -> AttemptEnd {
-        let begun = Instant::now();
+        let start = Instant::now();
         let idle_max = self.d.once.then_some(ONCE_IDLE_MAX);
         let lent = tokio::select! {
             biased;
             _ = &mut cancelled => return AttemptEnd::NotSent,
-            lent = self.lane.take_recent(self.d.attempt_timeout, idle_max) => lent,
+            lent = self.pool.take_recent(self.d.attempt_timeout, idle_max) => lent,
         };
         let mut lent = match lent {
             Ok(lent) => lent,
@@ -179,7 +184,7 @@
                 return AttemptEnd::NotSent;
             }
         };
-        let left = self.d.time_left.saturating_sub(begun.elapsed());
+        let left = self.d.time_left.saturating_sub(start.elapsed());
         let req = match self.codec.request(&self.d, left) {
             Ok(req) => req,
             Err(e) => {
@@ -190,19 +195,19 @@
                 return AttemptEnd::NotSent;
             }
         };
-        let done = tokio::select! {
+        let result = tokio::select! {
             biased;
-            done = exchange(&mut lent, req, ANSWER_MAX) => done,
-            () = past(begun + self.d.attempt_timeout) => {
+            result = exchange(&mut lent, req, ANSWER_BYTES_MAX) => result,
+            () = sleep_past(start + self.d.attempt_timeout) => {
                 return AttemptEnd::Late(self.d.attempt_timeout);
             }
             _ = &mut cancelled => return AttemptEnd::Cancelled,
         };
-        match done {
+        match result {
             Ok(whole) => {
-                let judged = self.codec.reply(&self.d, whole);
-                self.give_back(lent, &judged);
-                judged.end
+                let reply = self.codec.reply(&self.d, whole);
+                self.return_connection(lent, &reply);
+                reply.end
             }
             Err(ExchangeError::NotSent) => AttemptEnd::NotSent,
             Err(ExchangeError::Broken(e)) => {
@@ -216,20 +221,20 @@
         }
     }
 
-    fn give_back(&self, mut lent: Lent, judged: &ParsedReply) {
-        if !judged.is_connection_reusable || !self.d.keep_connection {
+    fn return_connection(&self, mut lent: Lent, reply: &ParsedReply) {
+        if !reply.is_connection_reusable || !self.d.keep_connection {
             return;
         }
-        if let Some(idle) = judged.idle_max {
-            lent.set_idle_max(idle.mul_f64(IDLE_PART));
+        if let Some(idle) = reply.idle_max {
+            lent.set_idle_max(idle.mul_f64(IDLE_FRACTION));
         }
-        self.lane.put_back(lent);
+        self.pool.put_back(lent);
     }
 }
 
-/// Waits until this time has passed, and after a stand-still of the process a little longer, so that an answer which
-/// came meanwhile is read.
-async fn past(due: Instant) {
+/// Sleeps until the given time, and a little longer if the process was paused (not scheduled) meanwhile, so that an
+/// answer which arrived during the pause is still read.
+async fn sleep_past(due: Instant) {
     tokio::time::sleep_until(due).await;
     if let Some(more) = pause_grace(due.into_std(), Instant::now().into_std()) {
         tokio::time::sleep(more).await;
--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -1,4 +1,4 @@
-//! The border to where routes are declared and servers registered.
+//! The interface to the directory where routes are declared and servers registered.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use gs_relay::ServerEntry;
 use gs_types::prelude::*;
 
-/// What a directory lists.
+/// A kind of objects in a directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub enum DirectoryKind {
@@ -20,7 +20,7 @@
     Servers,
 }
 
-/// A state of the directory; a larger one is newer.
+/// A revision of the directory; a larger one is newer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Revision(pub u64);
 
@@ -30,16 +30,16 @@
     }
 }
 
-/// What an object says.
+/// The content of an object.
 #[derive(Clone, Debug)]
 pub enum ItemContent {
     /// A version of the routes.
     Routes(Arc<RouteTable>),
     /// A backend server.
     Server(Arc<ServerEntry>),
-    /// It cannot be read; it names nothing to use.
+    /// Content that cannot be read.
     Unreadable(Error),
-    /// It is gone.
+    /// None: the object is removed.
     Removed,
 }
 
@@ -48,23 +48,23 @@
 pub struct Item {
     /// Its name within its kind.
     pub name: String,
-    /// What it says.
+    /// Its content.
     pub content: ItemContent,
 }
 
-/// Everything of a kind.
+/// All objects of a kind.
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
-    /// The state to watch from.
+    /// The revision to watch from.
     pub at: Revision,
     /// The objects.
     pub items: Vec<Item>,
 }
 
-/// Who told of changes.
+/// Where changes were learned from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Origin {
-    /// The platform, for which each answer is a call that is paid for.
+    /// The platform, each of whose answers is a call that is paid for.
     #[default]
     Platform,
     /// Another VM.
@@ -74,15 +74,15 @@
 /// What changed since a revision.
 #[derive(Clone, Debug, Default)]
 pub struct Changes {
-    /// The state to watch on from.
+    /// The revision to continue watching from.
     pub at: Revision,
-    /// What changed, in order; empty if nothing did in the time given.
+    /// The changed objects, in order; empty if nothing changed in the given time.
     pub items: Vec<Item>,
-    /// Who told.
+    /// Where they were learned from.
     pub origin: Origin,
 }
 
-/// Tells one renewal of an announcement from the one before, over restarts too.
+/// Distinguishes a renewal of an announcement from earlier ones, across restarts too.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Renewal(pub u64);
 
@@ -91,88 +91,91 @@
 pub struct VmAnnouncement {
     /// The VM.
     pub vm: PeerVm,
-    /// The state in which it was renewed last.
+    /// The revision of its last renewal.
     pub at: Revision,
 }
 
 /// The VMs that are announced.
 #[derive(Clone, Debug, Default)]
 pub struct VmListing {
-    /// The state in which they were listed.
+    /// The revision at which they were listed.
     pub at: Revision,
     /// The announcements.
     pub vms: Vec<VmAnnouncement>,
 }
 
-/// Where routes are declared and servers registered.
+/// The directory where routes are declared and servers registered.
 #[async_trait]
 pub trait Directory: Send + Sync + 'static {
-    /// Lists everything of a kind, as of now.
+    /// Lists all present objects of a kind.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Unavailable`] if it cannot be reached, [`ErrorKind::TooMuch`] over a rate.
+    /// [`ErrorKind::Unavailable`] if it cannot be reached, [`ErrorKind::TooMuch`] if a rate limit is exceeded.
     async fn list(&self, kind: DirectoryKind) -> Result<Listing>;
 
-    /// Waits until something of a kind changed after a revision, or until `wait` is over.
+    /// Waits until objects of a kind change after a revision, or until `wait` is over.
     ///
     /// # Errors
     ///
-    /// As for [`Directory::list`], and [`ErrorKind::NotFound`] if the revision is forgotten: list again.
+    /// As for [`Directory::list`], and [`ErrorKind::NotFound`] if changes after the revision are no longer
+    /// available and a new list is needed.
     async fn watch(&self, kind: DirectoryKind, after: Revision, wait: Duration) -> Result<Changes>;
 
-    /// Announces a VM of ours to the others, in place of what an earlier process of it said.
+    /// Announces a VM to the others, replacing the announcement of an earlier incarnation.
     ///
     /// # Errors
     ///
-    /// As for [`Directory::list`]; it may have been done all the same, and may be done again.
+    /// As for [`Directory::list`]; the announcement may have been written all the same, and the call may be repeated.
     async fn announce(&self, vm: &PeerVm, renewal: Renewal) -> Result<()>;
 
-    /// Says that a VM that is announced still lives.
+    /// Renews the announcement of a VM, which shows that it is live.
     ///
     /// # Errors
     ///
     /// As for [`Directory::announce`], also if it is not announced.
     async fn renew(&self, vm: &PeerVm, renewal: Renewal) -> Result<()>;
 
-    /// The requests that any VM found to crash servers; the list may be seconds old. There are few or none,
-    /// so that it also serves as a sign that the directory is in reach.
+    /// Returns the requests that any VM found to crash servers; the list may be seconds old.
+    ///
+    /// There are few or none, so the call also serves as a check whether the directory is reachable.
     ///
     /// # Errors
     ///
     /// As for [`Directory::list`].
     async fn quarantined(&self) -> Result<Vec<Fingerprint>>;
 
-    /// Tells every VM that a request crashes servers.
+    /// Reports to every VM that a request crashes servers.
     ///
     /// # Errors
     ///
     /// As for [`Directory::announce`].
     async fn quarantine(&self, request: Fingerprint) -> Result<()>;
 
-    /// Takes that back.
+    /// Withdraws such a report.
     ///
     /// # Errors
     ///
     /// As for [`Directory::announce`].
     async fn release(&self, request: Fingerprint) -> Result<()>;
 
-    /// Takes the announcement of a VM that leaves back.
+    /// Withdraws the announcement of a VM that is shutting down.
     ///
     /// # Errors
     ///
     /// As for [`Directory::announce`].
     async fn withdraw(&self, vm: &VmId) -> Result<()>;
 
-    /// The VMs announced; the list may be seconds old. `None` if whoever is asked knows of none as new as what
-    /// is known already.
+    /// Returns the VMs announced; the list may be seconds old.
+    ///
+    /// Returns `None` if the queried source has no list as recent as the one already known.
     ///
     /// # Errors
     ///
     /// As for [`Directory::list`].
     async fn vms(&self) -> Result<Option<VmListing>>;
 
-    /// Removes the announcement of a VM that is gone, unless it has been renewed since this revision.
+    /// Removes the expired announcement of a VM, unless it has been renewed since the given revision.
     ///
     /// # Errors
     ///
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,33 +1,33 @@
-//! One process that relays callers' requests on routes: the relay's decisions joined to sockets.
+//! The process that relays callers' requests by routes: connects the relay's state machine to sockets.
 //!
-//! Three borders say what is spoken: [`CallerCodec`] towards callers, [`ServerCodec`] towards backend
-//! servers and [`Directory`] towards whoever declares routes and registers servers. This crate holds
-//! no policy and knows no wire format.
+//! Three interfaces define the protocols: [`CallerCodec`] to callers, [`ServerCodec`] to backend servers and
+//! [`Directory`] to the platform where routes are declared and servers registered. Decisions are made in `gs_relay`;
+//! the wire formats to callers, servers and the platform are left to implementations of these interfaces.
 //!
-//! [`serve()`] runs a process from its settings to its graceful end.
+//! [`serve()`] runs a process from its settings to its graceful shutdown.
 
+mod announcer;
 mod body;
 mod callers;
-mod contact;
-mod desk;
+mod connection_pools;
 mod directory;
-mod ends;
-mod follow;
-mod lanes;
+mod directory_reachability;
+mod directory_watcher;
 mod metrics;
 mod peers;
 mod process;
-mod readiness;
 mod register;
+mod relay_client;
 mod reload;
-mod roster;
+mod request_log;
 mod seed;
 mod serve;
 mod servers;
 mod settings;
+mod shared_state;
 mod shell;
 mod shutdown;
-mod state;
+mod status;
 
 pub use callers::CallerCodec;
 pub use directory::Changes;
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a relaying process.
+//! Metrics of a relay process.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::Histogram;
 
-/// Upper bounds of the latency histogram, in seconds: around the objectives of 100 to 500 ms.
-const LATENCY: [f64; 14] = [
+/// The upper bounds of the latency histogram's buckets, in seconds: dense around the objectives of 100 to 500 ms.
+const LATENCY_BOUNDS_S: [f64; 14] = [
     0.01, 0.02, 0.035, 0.05, 0.075, 0.1, 0.125, 0.15, 0.2, 0.3, 0.5, 1.0, 2.5, 8.0,
 ];
 
-/// The series of totals and states.
+/// The names of the series of totals and states.
 const NAMES: Names = Names {
     totals: "gentiansill_relay_events",
     states: "gentiansill_relay_state",
@@ -26,7 +26,7 @@
 }
 
 impl Metrics {
-    /// Sets the instruments up.
+    /// Creates the instruments.
     ///
     /// # Errors
     ///
@@ -38,13 +38,18 @@
             .f64_histogram("gentiansill_request_latency")
             .with_unit("s")
             .with_description("Time from a request's arrival to its end, by how it ended.")
-            .with_boundaries(LATENCY.to_vec())
+            .with_boundaries(LATENCY_BOUNDS_S.to_vec())
             .build();
         Ok(Self { scrape, latency })
     }
 
-    /// Notes the end of a request.
-    pub(crate) fn request(&self, outcome: &'static str, reason: &'static str, took: Duration) {
+    /// Records the latency of a request by how it ended.
+    pub(crate) fn record_request(
+        &self,
+        outcome: &'static str,
+        reason: &'static str,
+        took: Duration,
+    ) {
         let by = [
             KeyValue::new("outcome", outcome),
             KeyValue::new("reason", reason),
@@ -52,7 +57,7 @@
         self.latency.record(took.as_secs_f64(), &by);
     }
 
-    /// The scrape, with these running totals and present states.
+    /// Returns the text of a scrape, with the given running totals and present states.
     pub(crate) fn text(
         &self,
         totals: &[(&'static str, u64)],
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -1,7 +1,7 @@
-//! What VMs say to each other: a request with the shards that are wanted, and the page that comes of it.
+//! The protocol between VMs: a request delegated with the shards that are wanted, and the page returned for it.
 //!
-//! The caller's request goes on as it is, with headers of our own beside it. The peer answers with a
-//! page of what came in time, or says that it has run nothing.
+//! The caller's request is forwarded unchanged, with `gs-` headers added. The peer answers with a page of the parts
+//! that were ready in time, or reports that it has run nothing.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -39,62 +39,62 @@
 use tokio::time::Instant;
 
 use crate::body::read_body;
-use crate::desk::Desk;
 use crate::register::REGISTER_PATH;
 use crate::register::Register;
+use crate::relay_client::RelayClient;
 use crate::servers::ParsedReply;
 use crate::servers::ServerCodec;
 use crate::servers::opaque_request;
 
-/// The caller's id of the request.
+/// The request id that the caller gave.
 const ID: HeaderName = HeaderName::from_static("gs-id");
-/// The host that the caller named.
+/// The host that the caller addressed.
 const HOST: HeaderName = HeaderName::from_static("gs-host");
-/// The route by its content at the VM that asks.
+/// The fingerprint of the route's content at the sending VM.
 const ROUTE: HeaderName = HeaderName::from_static("gs-route");
-/// The numbers of the shards wanted, with commas.
+/// The numbers of the wanted shards, separated by commas.
 const SHARDS: HeaderName = HeaderName::from_static("gs-shards");
-/// VMs that the request has passed.
+/// The number of VMs that the request has passed.
 const HOPS: HeaderName = HeaderName::from_static("gs-hops");
 /// How long the caller still waits, in milliseconds.
-const PATIENCE_MS: HeaderName = HeaderName::from_static("gs-patience-ms");
-/// The time in which the page must leave the peer, in milliseconds.
+const CALLER_TIMEOUT_MS: HeaderName = HeaderName::from_static("gs-patience-ms");
+/// The time within which the peer should send the page, in milliseconds.
 const ON_TIME_MS: HeaderName = HeaderName::from_static("gs-on-time-ms");
-/// The time in which it must leave to be of any use, in milliseconds.
+/// The time within which the page is still of use, in milliseconds.
 const LATEST_MS: HeaderName = HeaderName::from_static("gs-latest-ms");
-/// The fewest parts that are of use in time.
-const LEAST: HeaderName = HeaderName::from_static("gs-least");
-/// How long the peer had the request before it answered, in microseconds.
+/// The fewest parts that are of use to the sending VM in time.
+const PARTS_WANTED: HeaderName = HeaderName::from_static("gs-least");
+/// The time from the request's arrival at the peer to its answer, in microseconds.
 const HELD_US: HeaderName = HeaderName::from_static("gs-held-us");
-/// The stamps of a page's parts, with commas.
+/// The stamps of a page's parts, separated by commas.
 const STAMPS: HeaderName = HeaderName::from_static("gs-stamps");
-/// The shards that a page leaves out, with semicolons: the number, `=`, and the servers that may have run
-/// the part, with commas, or `*` for any.
+/// The shards missing from a page, separated by semicolons: the number, `=`, and the servers that may have run the
+/// part, separated by commas, or `*` if they are unknown.
 const LEFT_OUT: HeaderName = HeaderName::from_static("gs-left-out");
-/// The headers beside the caller's own.
+/// The headers of a delegated request that are added to the caller's own.
 const OWN_HEADERS: [HeaderName; 9] = [
     ID,
     HOST,
-    PATIENCE_MS,
+    CALLER_TIMEOUT_MS,
     ON_TIME_MS,
     LATEST_MS,
-    LEAST,
+    PARTS_WANTED,
     ROUTE,
     SHARDS,
     HOPS,
 ];
-/// Where a VM that starts asks what a peer knows.
-pub(crate) const KNOWLEDGE_PATH: &str = "/knowledge";
+/// The path at which a starting VM fetches the state of a peer.
+pub(crate) const SEED_STATE_PATH: &str = "/knowledge";
 /// Stands for servers that are not known.
-const ANY: &str = "*";
-/// When a request for which there is no room may come again, in milliseconds.
+const UNKNOWN_SERVERS: &str = "*";
+/// The time after which a request rejected for overload may be retried, in milliseconds.
 const RETRY_MS: HeaderName = HeaderName::from_static("gs-retry-ms");
-/// The same if a peer does not say.
-const RETRY_UNTOLD_MS: u64 = 500;
-/// Why a request was not run.
+/// The time before such a retry if the peer gives none, in milliseconds.
+const DEFAULT_RETRY_MS: u64 = 500;
+/// The reason why a request was not run.
 const REASON: HeaderName = HeaderName::from_static("gs-reason");
 
-/// Speaks with peers.
+/// The protocol of peers, for the sending VM.
 pub(crate) struct PeerCodec;
 
 impl ServerCodec for PeerCodec {
@@ -102,15 +102,15 @@
         let mut req = opaque_request(&d.content)?;
         let headers = req.headers_mut();
         headers.insert(ID, text_value(&d.id)?);
-        headers.insert(PATIENCE_MS, millis(left));
+        headers.insert(CALLER_TIMEOUT_MS, millis(left));
         if let Some(h) = &d.delegation {
             headers.insert(HOST, text_value(&h.host)?);
             headers.insert(ROUTE, HeaderValue::from(h.route.0));
-            headers.insert(SHARDS, text_value(&join(&h.shards))?);
+            headers.insert(SHARDS, text_value(&join_numbers(&h.shards))?);
             headers.insert(HOPS, HeaderValue::from(u16::from(h.hops)));
             headers.insert(ON_TIME_MS, millis(h.on_time));
             headers.insert(LATEST_MS, millis(h.latest));
-            headers.insert(LEAST, HeaderValue::from(h.parts_wanted));
+            headers.insert(PARTS_WANTED, HeaderValue::from(h.parts_wanted));
         }
         Ok(req)
     }
@@ -118,17 +118,17 @@
     fn reply(&self, _: &Dispatch, whole: Whole) -> ParsedReply {
         let end = match whole.status {
             StatusCode::OK => {
-                let held = number(&whole.headers, &HELD_US).map(Duration::from_micros);
-                page(whole).map_or(AttemptEnd::Garbled, |page| {
+                let held = parse_number(&whole.headers, &HELD_US).map(Duration::from_micros);
+                parse_page(whole).map_or(AttemptEnd::Garbled, |page| {
                     AttemptEnd::Paged(Box::new(page), held)
                 })
             }
             StatusCode::TOO_MANY_REQUESTS => {
-                let retry_ms = number(&whole.headers, &RETRY_MS).unwrap_or(RETRY_UNTOLD_MS);
+                let retry_ms = parse_number(&whole.headers, &RETRY_MS).unwrap_or(DEFAULT_RETRY_MS);
                 AttemptEnd::Overloaded(Duration::from_millis(retry_ms))
             }
-            // Nothing was run there: it leaves, has no routes yet, or others than this VM, or it cannot read
-            // what another version of the program says.
+            // Nothing was run there: the peer is shutting down, has no routes yet or other routes than this VM, or
+            // cannot read what another version of the program sent.
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::BAD_REQUEST => AttemptEnd::Shed(None),
             _ => AttemptEnd::Garbled,
         };
@@ -140,49 +140,50 @@
     }
 }
 
-/// A page as a peer sends it; `None` if it is none.
-fn page(whole: Whole) -> Option<Page> {
+/// Parses the page in a peer's reply; returns `None` if it is malformed.
+fn parse_page(whole: Whole) -> Option<Page> {
     let stamps = whole.headers.get(STAMPS)?.as_bytes();
     let stamps = stamps.split(|b| *b == b',').filter(|s| !s.is_empty());
     Some(Page {
         stamps: stamps.map(Bytes::copy_from_slice).collect(),
-        missing: left_out(whole.headers.get(LEFT_OUT)?.to_str().ok()?)?,
+        missing: parse_missing(whole.headers.get(LEFT_OUT)?.to_str().ok()?)?,
         body: whole.body,
     })
 }
 
-/// What a page says of a shard that it leaves out.
-fn told(missing: &Missing) -> String {
+/// Formats a missing shard for [`LEFT_OUT`].
+fn format_missing(missing: &Missing) -> String {
     let names = missing
         .possible_servers
         .servers()
         .iter()
         .map(ServerName::as_str);
     let names: Vec<&str> = names.collect();
-    let asked = match missing.possible_servers {
-        PossibleServers::Unknown => ANY.to_owned(),
+    let servers = match missing.possible_servers {
+        PossibleServers::Unknown => UNKNOWN_SERVERS.to_owned(),
         PossibleServers::None | PossibleServers::Servers(_) => names.join(","),
     };
-    format!("{}={asked}", missing.shard)
+    format!("{}={servers}", missing.shard)
 }
 
-/// Reads the shards that a page leaves out; `None` if one cannot be read.
-fn left_out(text: &str) -> Option<SmallVec<[Missing; 4]>> {
+/// Parses the shards missing from a page; returns `None` if one is malformed.
+fn parse_missing(text: &str) -> Option<SmallVec<[Missing; 4]>> {
     let each = text.split(';').filter(|m| !m.is_empty());
     each.map(|m| {
-        let (shard, asked) = m.split_once('=')?;
+        let (shard, servers) = m.split_once('=')?;
         Some(Missing {
             shard: shard.parse().ok()?,
-            possible_servers: asked_of(asked)?,
+            possible_servers: parse_possible_servers(servers)?,
         })
     })
     .collect()
 }
 
-fn asked_of(text: &str) -> Option<PossibleServers> {
+/// Parses the servers that may have run a part; returns `None` if one is malformed.
+fn parse_possible_servers(text: &str) -> Option<PossibleServers> {
     match text {
         "" => Some(PossibleServers::None),
-        ANY => Some(PossibleServers::Unknown),
+        UNKNOWN_SERVERS => Some(PossibleServers::Unknown),
         names => {
             let names = names.split(',').map(|n| n.parse().ok());
             names.collect::<Option<_>>().map(PossibleServers::Servers)
@@ -190,67 +191,72 @@
     }
 }
 
-/// Runs what peers hand over, and tells those that start what is known here.
-pub(crate) struct Peers {
-    pub(crate) desk: Desk,
+/// Runs requests that peers delegate, answers followers' queries about the register, and sends starting peers this
+/// VM's state.
+pub(crate) struct PeerHandler {
+    pub(crate) relay_client: RelayClient,
     pub(crate) relay: Shared<Relay>,
     pub(crate) register: Arc<Register>,
 }
 
-impl Peers {
+impl PeerHandler {
     async fn answer(&self, req: Request<Incoming>) -> Response<Full<Bytes>> {
-        // A hand-over has the caller's id beside the caller's own path.
-        if req.uri().path() == KNOWLEDGE_PATH && !req.headers().contains_key(ID) {
-            return self.knowledge();
+        // A delegated request carries the caller's own path, which may equal ours, but always has an id header.
+        if req.uri().path() == SEED_STATE_PATH && !req.headers().contains_key(ID) {
+            return self.seed_state();
         }
         if req.uri().path().starts_with(REGISTER_PATH) && !req.headers().contains_key(ID) {
             return self.register.answer(req.uri()).await;
         }
-        let begun = Instant::now();
+        let start = Instant::now();
         let (head, body) = req.into_parts();
-        let body = read_body(body, self.desk.body_max()).await;
-        let (req, handed) = match body.and_then(|body| read(head, body)) {
-            Ok(read) => read,
+        let body = read_body(body, self.relay_client.body_max()).await;
+        let (req, delegated) = match body.and_then(|body| parse_delegation(head, body)) {
+            Ok(parsed) => parsed,
             Err(e) => {
                 log::warn!("event=hand-over-unreadable error=\"{e}\"");
-                return said(StatusCode::BAD_REQUEST, "unreadable");
+                return empty_response(StatusCode::BAD_REQUEST, "unreadable");
             }
         };
-        if !self.desk.is_ready() {
-            return said(StatusCode::SERVICE_UNAVAILABLE, "leaving");
+        if !self.relay_client.is_ready() {
+            return empty_response(StatusCode::SERVICE_UNAVAILABLE, "leaving");
         }
-        match self.desk.ask(req, Some(handed)).await {
-            Outcome::Page(page) => write(*page, begun.elapsed()),
+        match self.relay_client.submit(req, Some(delegated)).await {
+            Outcome::Page(page) => page_response(*page, start.elapsed()),
             Outcome::Refused(RefuseReason::Overload, retry) => {
-                let mut res = said(StatusCode::TOO_MANY_REQUESTS, "overload");
-                let retry = retry.unwrap_or(Duration::from_millis(RETRY_UNTOLD_MS));
+                let mut res = empty_response(StatusCode::TOO_MANY_REQUESTS, "overload");
+                let retry = retry.unwrap_or(Duration::from_millis(DEFAULT_RETRY_MS));
                 res.headers_mut().insert(RETRY_MS, millis(retry));
                 res
             }
-            Outcome::Refused(reason, _) => said(StatusCode::SERVICE_UNAVAILABLE, reason.into()),
-            Outcome::Failed(_) | Outcome::Relayed(_) => said(StatusCode::BAD_GATEWAY, "failed"),
+            Outcome::Refused(reason, _) => {
+                empty_response(StatusCode::SERVICE_UNAVAILABLE, reason.into())
+            }
+            Outcome::Failed(_) | Outcome::Relayed(_) => {
+                empty_response(StatusCode::BAD_GATEWAY, "failed")
+            }
         }
     }
 }
 
-impl Peers {
-    /// Everything that a VM must know to serve, for one that starts.
-    fn knowledge(&self) -> Response<Full<Bytes>> {
-        let known = lock(&self.relay).seed_state();
-        let Some(known) = known.filter(|_| self.desk.is_ready()) else {
-            return said(StatusCode::SERVICE_UNAVAILABLE, "not-ready");
+impl PeerHandler {
+    /// Returns everything that a starting VM must know in order to serve.
+    fn seed_state(&self) -> Response<Full<Bytes>> {
+        let seed_state = lock(&self.relay).seed_state();
+        let Some(seed_state) = seed_state.filter(|_| self.relay_client.is_ready()) else {
+            return empty_response(StatusCode::SERVICE_UNAVAILABLE, "not-ready");
         };
-        match serde_json::to_vec(&known) {
+        match serde_json::to_vec(&seed_state) {
             Ok(body) => Response::new(Full::new(Bytes::from(body))),
             Err(e) => {
                 log::error!("event=knowledge-unwritable error=\"{e}\"");
-                said(StatusCode::INTERNAL_SERVER_ERROR, "unwritable")
+                empty_response(StatusCode::INTERNAL_SERVER_ERROR, "unwritable")
             }
         }
     }
 }
 
-impl Handler for Peers {
+impl Handler for PeerHandler {
     fn handle(
         self: Arc<Self>,
         _: SocketAddr,
@@ -260,32 +266,38 @@
     }
 }
 
-fn read(mut head: Parts, body: Bytes) -> Result<(CallerRequest, DelegatedParts)> {
+/// Splits a delegated request into the caller's request and the parts that the peer wants.
+///
+/// # Errors
+///
+/// [`ErrorKind::BadInput`] if a header is missing or malformed.
+fn parse_delegation(mut head: Parts, body: Bytes) -> Result<(CallerRequest, DelegatedParts)> {
     let missing = |name: &HeaderName| {
-        Error::new(ErrorKind::BadInput, format!("no `{name}`")).at("read hand-over")
+        Error::new(ErrorKind::BadInput, format!("no `{name}`")).at("read delegated request")
     };
     let h = &head.headers;
     let text = |name: &HeaderName| h.get(name).and_then(|v| v.to_str().ok());
     let id: Arc<str> = text(&ID).ok_or_else(|| missing(&ID))?.into();
     let host: Box<str> = text(&HOST).ok_or_else(|| missing(&HOST))?.into();
-    let patience = number(h, &PATIENCE_MS).ok_or_else(|| missing(&PATIENCE_MS))?;
-    let on_time = number(h, &ON_TIME_MS).ok_or_else(|| missing(&ON_TIME_MS))?;
-    let latest = number(h, &LATEST_MS).ok_or_else(|| missing(&LATEST_MS))?;
-    let least = number(h, &LEAST).ok_or_else(|| missing(&LEAST))?;
-    let route = number(h, &ROUTE).ok_or_else(|| missing(&ROUTE))?;
-    let shards = numbers(h, &SHARDS).ok_or_else(|| missing(&SHARDS))?;
-    let hops = number(h, &HOPS).ok_or_else(|| missing(&HOPS))?;
+    let caller_timeout =
+        parse_number(h, &CALLER_TIMEOUT_MS).ok_or_else(|| missing(&CALLER_TIMEOUT_MS))?;
+    let on_time = parse_number(h, &ON_TIME_MS).ok_or_else(|| missing(&ON_TIME_MS))?;
+    let latest = parse_number(h, &LATEST_MS).ok_or_else(|| missing(&LATEST_MS))?;
+    let parts_wanted = parse_number(h, &PARTS_WANTED).ok_or_else(|| missing(&PARTS_WANTED))?;
+    let route = parse_number(h, &ROUTE).ok_or_else(|| missing(&ROUTE))?;
+    let shards = parse_numbers(h, &SHARDS).ok_or_else(|| missing(&SHARDS))?;
+    let hops = parse_number(h, &HOPS).ok_or_else(|| missing(&HOPS))?;
     for name in OWN_HEADERS {
         head.headers.remove(name);
     }
-    // The length is set anew for each server.
+    // The length is set again for each server.
     head.headers.remove(http::header::CONTENT_LENGTH);
     let target = head.uri.path_and_query().map_or("/", |t| t.as_str());
     let req = CallerRequest {
         host,
         path: head.uri.path().into(),
         id,
-        caller_timeout: Some(Duration::from_millis(patience)),
+        caller_timeout: Some(Duration::from_millis(caller_timeout)),
         content: Arc::new(OpaqueRequest {
             target: target.into(),
             method: head.method,
@@ -293,25 +305,26 @@
             body,
         }),
     };
-    let handed = DelegatedParts {
+    let delegated = DelegatedParts {
         route: Fingerprint(route),
         on_time: Duration::from_millis(on_time),
         latest: Duration::from_millis(latest),
-        parts_wanted: least,
+        parts_wanted,
         shards,
         hops,
     };
-    Ok((req, handed))
+    Ok((req, delegated))
 }
 
-fn write(page: Page, held: Duration) -> Response<Full<Bytes>> {
+/// Builds the response that carries a page; `held` is the time that this VM took for it.
+fn page_response(page: Page, held: Duration) -> Response<Full<Bytes>> {
     let Ok(stamps) = HeaderValue::from_bytes(&page.stamps.join(&b","[..])) else {
-        return said(StatusCode::BAD_GATEWAY, "stamps");
+        return empty_response(StatusCode::BAD_GATEWAY, "stamps");
     };
     let mut res = Response::new(Full::new(page.body));
-    let left_out: Vec<String> = page.missing.iter().map(told).collect();
+    let left_out: Vec<String> = page.missing.iter().map(format_missing).collect();
     let Ok(left_out) = text_value(&left_out.join(";")) else {
-        return said(StatusCode::BAD_GATEWAY, "left-out");
+        return empty_response(StatusCode::BAD_GATEWAY, "left-out");
     };
     res.headers_mut().insert(STAMPS, stamps);
     res.headers_mut().insert(LEFT_OUT, left_out);
@@ -319,7 +332,8 @@
     res
 }
 
-fn said(status: StatusCode, reason: &'static str) -> Response<Full<Bytes>> {
+/// Builds a response without a body that gives the reason why there is no page.
+fn empty_response(status: StatusCode, reason: &'static str) -> Response<Full<Bytes>> {
     let mut res = Response::new(Full::default());
     *res.status_mut() = status;
     res.headers_mut()
@@ -327,18 +341,18 @@
     res
 }
 
-fn number<T: FromStr>(headers: &HeaderMap, name: &HeaderName) -> Option<T> {
+fn parse_number<T: FromStr>(headers: &HeaderMap, name: &HeaderName) -> Option<T> {
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-/// Numbers with commas; none for an empty value.
-fn numbers(headers: &HeaderMap, name: &HeaderName) -> Option<Vec<u16>> {
+/// Parses numbers separated by commas; an empty value gives no numbers.
+fn parse_numbers(headers: &HeaderMap, name: &HeaderName) -> Option<Vec<u16>> {
     let text = headers.get(name)?.to_str().ok()?;
     let each = text.split(',').filter(|n| !n.is_empty());
     each.map(|n| n.parse().ok()).collect()
 }
 
-fn join(numbers: &[u16]) -> String {
+fn join_numbers(numbers: &[u16]) -> String {
     let texts: Vec<String> = numbers.iter().map(u16::to_string).collect();
     texts.join(",")
 }
--- a/crates/edge/src/process.rs
+++ b/crates/edge/src/process.rs
@@ -1,4 +1,4 @@
-//! One process, put together.
+//! Assembles a process from its components.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -16,46 +16,46 @@
 use gs_types::prelude::*;
 use tokio::sync::watch;
 
-use crate::callers::Callers;
-use crate::contact::Contact;
-use crate::desk::Desk;
-use crate::desk::Pending;
+use crate::announcer::VmAnnouncer;
+use crate::callers::CallerHandler;
+use crate::connection_pools::ConnectionPools;
 use crate::directory::Directory;
 use crate::directory::DirectoryKind;
-use crate::ends::Ends;
-use crate::follow::Follower;
-use crate::lanes::Lanes;
+use crate::directory_reachability::DirectoryReachability;
+use crate::directory_watcher::DirectoryWatcher;
 use crate::metrics::Metrics;
-use crate::peers::Peers;
-use crate::readiness::Status;
+use crate::peers::PeerHandler;
 use crate::register::PeerClient;
 use crate::register::Register;
 use crate::register::RegisterOptions;
-use crate::roster::RosterKeeper;
+use crate::relay_client::PendingRequests;
+use crate::relay_client::RelayClient;
+use crate::request_log::RequestLog;
 use crate::seed::Seeder;
 use crate::serve::Protocols;
 use crate::settings::EdgeSettings;
+use crate::shared_state::DEFAULT_LIMITS;
+use crate::shared_state::SharedState;
 use crate::shell::RelayShell;
-use crate::shutdown::Leaver;
-use crate::state::FIRST_LIMITS;
-use crate::state::State;
+use crate::shutdown::GracefulShutdown;
+use crate::status::StatusHandler;
 
-/// One process.
+/// The components of a running process.
 pub(crate) struct Process {
     settings: EdgeSettings,
     protocols: Protocols,
     relay: Shared<Relay>,
     pub(crate) feed: Feed<Event>,
-    lanes: Arc<Lanes>,
-    pending: Arc<Pending>,
-    state: Arc<State>,
-    ends: Arc<Ends>,
+    connection_pools: Arc<ConnectionPools>,
+    pending: Arc<PendingRequests>,
+    state: Arc<SharedState>,
+    request_log: Arc<RequestLog>,
     metrics: Arc<Metrics>,
     register: Arc<Register>,
 }
 
 impl Process {
-    /// Starts the relay and what feeds it; takes no callers yet.
+    /// Starts the relay and the tasks that feed it events; accepts no callers yet.
     ///
     /// # Errors
     ///
@@ -90,10 +90,10 @@
         ));
         let this = Self {
             relay: Arc::new(Mutex::new(Relay::new(settings.relay(), seed))),
-            lanes: Arc::new(Lanes::new(codec, feed.clone(), opts)),
+            connection_pools: Arc::new(ConnectionPools::new(codec, feed.clone(), opts)),
             pending: Arc::default(),
             state: Arc::default(),
-            ends: Arc::new(Ends::new(Arc::clone(&metrics))),
+            request_log: Arc::new(RequestLog::new(Arc::clone(&metrics))),
             metrics,
             register,
             settings,
@@ -101,27 +101,27 @@
             feed,
         };
         let shell = RelayShell {
-            lanes: Arc::clone(&this.lanes),
+            connection_pools: Arc::clone(&this.connection_pools),
             pending: Arc::clone(&this.pending),
             directory: this.directory(),
         };
         slot.start(Arc::clone(&this.relay), shell, clock);
-        let contact = Contact::new(this.feed.clone());
+        let reachability = DirectoryReachability::new(this.feed.clone());
         for kind in [DirectoryKind::Routes, DirectoryKind::Servers] {
-            tokio::spawn(this.follower(kind, &contact, seed).run());
+            tokio::spawn(this.watcher(kind, &reachability, seed).run());
         }
-        let keeper = RosterKeeper {
+        let announcer = VmAnnouncer {
             me: this.settings.as_peer(),
             directory: this.directory(),
             register: Arc::clone(&this.register),
             feed: this.feed.clone(),
-            contact,
+            reachability,
             first_start: this.settings.vm.first_start,
             renew_every: this.settings.platform.renew_every,
             seed,
         };
-        tokio::spawn(keeper.run());
-        // At the first start of all nobody knows more.
+        tokio::spawn(announcer.run());
+        // At the first start of the fleet no peer knows more than this VM.
         if !this.settings.vm.first_start {
             let seeder = Seeder {
                 seeds: this.settings.seeds(),
@@ -136,49 +136,49 @@
         Ok(this)
     }
 
-    /// Takes callers; gives what ends the process.
+    /// Starts listening for callers, peers and status requests; returns what shuts the process down.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Io`] with the address that is not to be had.
-    pub(crate) async fn open(&self) -> Result<Leaver> {
+    /// [`ErrorKind::Io`] with the address that cannot be listened on.
+    pub(crate) async fn open(&self) -> Result<GracefulShutdown> {
         let listen_on = &self.settings.listen;
-        let callers = Server::new(listen(listen_on.callers, "callers").await?, FIRST_LIMITS);
+        let callers = Server::new(listen(listen_on.callers, "callers").await?, DEFAULT_LIMITS);
         self.state.set_callers(callers.limits());
-        let peers = Server::new(listen(listen_on.peers, "peers").await?, FIRST_LIMITS);
-        let status = Server::new(listen(listen_on.status, "status").await?, FIRST_LIMITS);
+        let peers = Server::new(listen(listen_on.peers, "peers").await?, DEFAULT_LIMITS);
+        let status = Server::new(listen(listen_on.status, "status").await?, DEFAULT_LIMITS);
         let counts = callers.state();
         let (stop, stopped) = watch::channel(false);
-        let answers = Status {
+        let status_handler = StatusHandler {
             state: Arc::clone(&self.state),
             relay: Arc::clone(&self.relay),
-            lanes: Arc::clone(&self.lanes),
+            connection_pools: Arc::clone(&self.connection_pools),
             callers: Arc::clone(&counts),
             metrics: Arc::clone(&self.metrics),
             register: Arc::clone(&self.register),
         };
-        let handed = Peers {
-            desk: self.desk(),
+        let peer_handler = PeerHandler {
+            relay_client: self.relay_client(),
             relay: Arc::clone(&self.relay),
             register: Arc::clone(&self.register),
         };
-        tokio::spawn(peers.run(Arc::new(handed), stopped.clone()));
-        // It answers until the process is gone, so that the balancer is told `not ready` to the end.
+        tokio::spawn(peers.run(Arc::new(peer_handler), stopped.clone()));
+        // The status server answers until the process exits, so that the balancer receives `not ready` to the end.
         let (forever, never) = watch::channel(false);
-        let answers = Arc::new(answers);
+        let status_handler = Arc::new(status_handler);
         if let Some(addr) = listen_on.metrics {
-            let scrapes = Server::new(listen(addr, "metrics").await?, FIRST_LIMITS);
-            tokio::spawn(scrapes.run(Arc::<Status>::clone(&answers), never.clone()));
+            let scrapes = Server::new(listen(addr, "metrics").await?, DEFAULT_LIMITS);
+            tokio::spawn(scrapes.run(Arc::<StatusHandler>::clone(&status_handler), never.clone()));
         }
         tokio::spawn(async move {
-            status.run(answers, never).await;
+            status.run(status_handler, never).await;
             drop(forever);
         });
-        let handler = Callers {
+        let handler = CallerHandler {
             codec: Arc::clone(&self.protocols.callers),
-            desk: self.desk(),
+            relay_client: self.relay_client(),
         };
-        Ok(Leaver {
+        Ok(GracefulShutdown {
             vm: self.settings.vm.name.clone(),
             directory: self.directory(),
             cfg: self.settings.shutdown.clone(),
@@ -190,12 +190,12 @@
         })
     }
 
-    fn desk(&self) -> Desk {
-        Desk {
+    fn relay_client(&self) -> RelayClient {
+        RelayClient {
             pending: Arc::clone(&self.pending),
             feed: self.feed.clone(),
             state: Arc::clone(&self.state),
-            ends: Arc::clone(&self.ends),
+            request_log: Arc::clone(&self.request_log),
         }
     }
 
@@ -203,14 +203,22 @@
         Arc::<Register>::clone(&self.register)
     }
 
-    fn follower(&self, kind: DirectoryKind, contact: &Arc<Contact>, seed: u64) -> Follower {
-        Follower {
+    fn watcher(
+        &self,
+        kind: DirectoryKind,
+        reachability: &Arc<DirectoryReachability>,
+        seed: u64,
+    ) -> DirectoryWatcher {
+        DirectoryWatcher {
             kind,
             directory: self.directory(),
             feed: self.feed.clone(),
-            state: Arc::clone(&self.state),
-            contact: Arc::clone(contact),
-            settle: CoalesceDelay::new(self.settings.servers.drain, self.settings.vm.first_start),
+            shared_state: Arc::clone(&self.state),
+            reachability: Arc::clone(reachability),
+            coalesce_delay: CoalesceDelay::new(
+                self.settings.servers.drain,
+                self.settings.vm.first_start,
+            ),
             seed: seed ^ kind as u64,
         }
     }
--- a/crates/edge/src/register/client.rs
+++ b/crates/edge/src/register/client.rs
@@ -1,4 +1,4 @@
-//! Questions to peers: over few connections each, which are kept.
+//! Queries peers over a few persistent connections each.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,47 +19,47 @@
 use hyper::StatusCode;
 use serde::de::DeserializeOwned;
 
-/// The most bytes of an answer: some 250 a server, so that of tens of thousands there is room.
-const ANSWER_MAX: usize = 32 << 20;
+/// The largest answer, in bytes: at some 250 bytes per server, enough for tens of thousands of servers.
+const ANSWER_BYTES_MAX: usize = 32 << 20;
 
-/// Connections to a peer: a question that waits for each kind, and one beside them.
-const CONNECTIONS: Connections = Connections(4);
+/// The largest number of connections to a peer: a waiting query for each kind, and others in parallel.
+const CONNECTIONS_MAX: Connections = Connections(4);
 
-/// What a peer is called in errors; its own name may not be known.
+/// The name of every peer in errors; its own name may not be known.
 const PEER_NAME: &str = "peer";
 
-/// Asks peers.
+/// A client for queries to peers.
 pub(crate) struct PeerClient {
     opts: LaneOptions,
-    lanes: Mutex<HashMap<SocketAddr, Arc<Lane>>>,
+    pools: Mutex<HashMap<SocketAddr, Arc<Lane>>>,
 }
 
 impl PeerClient {
     pub(crate) fn new(opts: LaneOptions) -> Self {
         Self {
             opts,
-            lanes: Mutex::default(),
+            pools: Mutex::default(),
         }
     }
 
-    /// Asks a peer, which may take so long.
+    /// Queries a peer and parses its answer, which must arrive within `timeout`.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Unavailable`] if it does not answer or says that it cannot, [`ErrorKind::NotFound`] if what
-    /// was asked for is forgotten, [`ErrorKind::BadInput`] if its answer cannot be read.
+    /// [`ErrorKind::Unavailable`] if it does not answer or reports an error, [`ErrorKind::NotFound`] if it has
+    /// forgotten the requested changes, [`ErrorKind::BadInput`] if its answer is malformed.
     pub(crate) async fn get<T: DeserializeOwned>(
         &self,
         addr: SocketAddr,
         path: &str,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<T> {
         let failed = |kind, text: String| {
             Error::new(kind, text)
                 .at(format!("GET {path}"))
                 .from_peer(addr.to_string())
         };
-        let whole = tokio::time::timeout(limit, self.fetch(addr, path, limit))
+        let whole = tokio::time::timeout(timeout, self.fetch(addr, path, timeout))
             .await
             .map_err(|_| failed(ErrorKind::Unavailable, "no answer in time".into()))?
             .map_err(|text| failed(ErrorKind::Unavailable, text))?;
@@ -71,41 +71,46 @@
         }
     }
 
-    /// Gives the peer's answer, or says what kept it away.
+    /// Returns the peer's response, or a text that says why there is none.
     async fn fetch(
         &self,
         addr: SocketAddr,
         path: &str,
-        limit: Duration,
+        timeout: Duration,
     ) -> std::result::Result<Whole, String> {
-        let lane = self.lane(addr).map_err(|e| e.to_string())?;
-        let mut lent = lane.take(limit).await.map_err(|e| e.to_string())?;
+        let pool = self.pool(addr).map_err(|e| e.to_string())?;
+        let mut lent = pool.take(timeout).await.map_err(|e| e.to_string())?;
         let req = Request::get(path)
             .body(Full::new(Bytes::new()))
             .map_err(|e| e.to_string())?;
-        let whole = exchange(&mut lent, req, ANSWER_MAX)
+        let whole = exchange(&mut lent, req, ANSWER_BYTES_MAX)
             .await
             .map_err(|e| format!("{e:?}"))?;
-        lane.put_back(lent);
+        pool.put_back(lent);
         Ok(whole)
     }
 
-    fn lane(&self, addr: SocketAddr) -> Result<Arc<Lane>> {
-        let mut lanes = lock(&self.lanes);
-        if let Some(lane) = lanes.get(&addr) {
-            return Ok(Arc::clone(lane));
+    fn pool(&self, addr: SocketAddr) -> Result<Arc<Lane>> {
+        let mut pools = lock(&self.pools);
+        if let Some(pool) = pools.get(&addr) {
+            return Ok(Arc::clone(pool));
         }
-        let lane = Lane::new(PEER_NAME.parse()?, addr, self.opts, Arc::new(Unwatched));
-        lane.set_share(CONNECTIONS);
-        lanes.insert(addr, Arc::clone(&lane));
-        Ok(lane)
+        let pool = Lane::new(
+            PEER_NAME.parse()?,
+            addr,
+            self.opts,
+            Arc::new(IgnoreConnections),
+        );
+        pool.set_share(CONNECTIONS_MAX);
+        pools.insert(addr, Arc::clone(&pool));
+        Ok(pool)
     }
 }
 
-/// Nobody counts the connections to peers that are asked.
-struct Unwatched;
+/// A sink that ignores the events of connections to peers: they appear in no metric.
+struct IgnoreConnections;
 
-impl ConnectionSink for Unwatched {
+impl ConnectionSink for IgnoreConnections {
     fn opened(&self, _: &ServerName, _: Duration) {}
 
     fn closed(&self, _: &ServerName, _: bool) {}
--- a/crates/edge/src/register/directory.rs
+++ b/crates/edge/src/register/directory.rs
@@ -1,4 +1,4 @@
-//! The register as a directory: each call goes to the platform or to the peer that is followed.
+//! Implements [`Directory`] for the register: calls go to the platform or to the followed peer.
 
 use std::time::Duration;
 
@@ -17,30 +17,30 @@
 use crate::directory::Revision;
 use crate::directory::VmListing;
 use crate::register::Register;
-use crate::register::ask::Touched;
-use crate::register::ask::out_of_touch;
+use crate::register::peer_queries::PeersPlatformStatus;
+use crate::register::peer_queries::platform_unreachable;
 
 #[async_trait]
 impl Directory for Register {
     async fn list(&self, kind: DirectoryKind) -> Result<Listing> {
-        let begun = Instant::now();
+        let start = Instant::now();
         loop {
-            let listing = match self.decided().await {
+            let listing = match self.wait_for_source().await {
                 RegisterSource::Undecided | RegisterSource::Register => {
-                    self.note(self.platform.list(kind).await)?
+                    self.record_platform_call(self.platform.list(kind).await)?
                 }
-                RegisterSource::Peer(vm) => match self.list_at(&vm, kind).await {
+                RegisterSource::Peer(vm) => match self.list_from_peer(&vm, kind).await {
                     Ok(Some(listing)) => listing,
-                    _ if self.may_list_yet(begun).await => continue,
-                    // Whether another one is in touch with the platform, or this VM alone, shows the heartbeat.
-                    Ok(None) => return Err(out_of_touch(vm.name.as_str())),
+                    _ if self.wait_to_retry_list(start).await => continue,
+                    // The heartbeat finds out whether another peer, or only this VM, reaches the platform.
+                    Ok(None) => return Err(platform_unreachable(vm.name.as_str())),
                     Err(e) => {
-                        self.failed(&vm, &e);
+                        self.on_peer_failed(&vm, &e);
                         continue;
                     }
                 },
             };
-            self.book.note_list(kind, &listing);
+            self.cache.apply_list(kind, &listing);
             return Ok(listing);
         }
     }
@@ -59,18 +59,22 @@
                     }
                 }
                 RegisterSource::Peer(vm) => {
-                    match self.watch_at(&vm, kind, after, self.wait).await {
+                    match self
+                        .watch_peer(&vm, kind, after, self.peer_watch_wait)
+                        .await
+                    {
                         Ok(changes) => changes,
                         Err(e) if e.kind() == ErrorKind::NotFound => return Err(e),
                         Err(e) => {
-                            self.failed(&vm, &e);
+                            self.on_peer_failed(&vm, &e);
                             continue;
                         }
                     }
                 }
             };
-            self.book.note_changes(kind, &changes);
-            // A peer's word that nothing changed is free, and no sign that the platform is in reach.
+            self.cache.apply_changes(kind, &changes);
+            // An answer of a peer that nothing changed costs nothing and does not show that the platform is reachable,
+            // so the watch continues.
             let is_over = changes.origin == Origin::Platform && Instant::now() >= until;
             if !changes.items.is_empty() || is_over {
                 return Ok(changes);
@@ -80,60 +84,62 @@
     }
 
     async fn announce(&self, vm: &PeerVm, renewal: Renewal) -> Result<()> {
-        self.note(self.platform.announce(vm, renewal).await)
+        self.record_platform_call(self.platform.announce(vm, renewal).await)
     }
 
     async fn renew(&self, vm: &PeerVm, renewal: Renewal) -> Result<()> {
-        self.note(self.platform.renew(vm, renewal).await)
+        self.record_platform_call(self.platform.renew(vm, renewal).await)
     }
 
     async fn quarantined(&self) -> Result<Vec<Fingerprint>> {
-        let peers = match self.touch_peers().await {
-            Touched::InTouch(requests) => {
-                self.book.note_quarantined(&requests);
+        let unreachable_peers = match self.query_platform_status().await {
+            PeersPlatformStatus::Reachable(requests) => {
+                self.cache.set_quarantined(&requests);
                 return Ok(requests);
             }
-            Touched::NotYet => return Err(out_of_touch("the peer that is followed")),
-            Touched::OutOfTouch(peers) => peers,
+            PeersPlatformStatus::FollowedUnreachable => {
+                return Err(platform_unreachable("the followed peer"));
+            }
+            PeersPlatformStatus::Unreachable(peers) => peers,
         };
-        let requests = self.note(self.platform.quarantined().await)?;
-        if !self.may_turn_to_platform(&peers) {
-            return Err(out_of_touch("all peers that may be followed"));
+        let requests = self.record_platform_call(self.platform.quarantined().await)?;
+        if !self.may_use_platform(&unreachable_peers) {
+            return Err(platform_unreachable("all candidate peers"));
         }
-        self.book.note_quarantined(&requests);
+        self.cache.set_quarantined(&requests);
         Ok(requests)
     }
 
     async fn quarantine(&self, request: Fingerprint) -> Result<()> {
-        self.note(self.platform.quarantine(request).await)
+        self.record_platform_call(self.platform.quarantine(request).await)
     }
 
     async fn release(&self, request: Fingerprint) -> Result<()> {
-        self.note(self.platform.release(request).await)
+        self.record_platform_call(self.platform.release(request).await)
     }
 
     async fn withdraw(&self, vm: &VmId) -> Result<()> {
-        self.note(self.platform.withdraw(vm).await)
+        self.record_platform_call(self.platform.withdraw(vm).await)
     }
 
     async fn vms(&self) -> Result<Option<VmListing>> {
         let listing = loop {
             let source = self.source.borrow().clone();
             match source {
-                RegisterSource::Peer(vm) => match self.vms_at(&vm).await {
+                RegisterSource::Peer(vm) => match self.vms_from_peer(&vm).await {
                     Ok(listing) => break listing,
-                    Err(e) => self.failed(&vm, &e),
+                    Err(e) => self.on_peer_failed(&vm, &e),
                 },
                 RegisterSource::Undecided | RegisterSource::Register => {
-                    let result = self.note(self.platform.vms().await);
-                    break result.inspect_err(|_| self.book.withhold_vms())?;
+                    let result = self.record_platform_call(self.platform.vms().await);
+                    break result.inspect_err(|_| self.cache.hide_vms())?;
                 }
             }
         };
-        Ok(listing.filter(|l| self.book.note_vms(l)))
+        Ok(listing.filter(|l| self.cache.apply_vms(l)))
     }
 
     async fn remove_vm(&self, vm: &VmId, unless_after: Revision) -> Result<()> {
-        self.note(self.platform.remove_vm(vm, unless_after).await)
+        self.record_platform_call(self.platform.remove_vm(vm, unless_after).await)
     }
 }
--- a/crates/edge/src/register/mod.rs
+++ b/crates/edge/src/register/mod.rs
@@ -1,15 +1,15 @@
-//! The register as this VM knows it: asked by itself, or told by a peer that asks.
+//! The register as this VM knows it: learned from the platform directly, or from a peer that queries the platform.
 //!
-//! [`Register`] stands where the platform's directory stood and is one itself, so that who follows it need
-//! not know from whom it hears. Whom it asks is decided by [`gs_follow::SourceSelector`].
+//! [`Register`] wraps the platform's [`Directory`] and implements that interface itself, so its users need not know
+//! where its contents come from. [`gs_follow::SourceSelector`] decides which source it queries.
 
-mod ask;
-mod book;
+mod answers;
+mod cache;
 mod client;
-mod desk;
 mod directory;
 mod options;
 mod overdue;
+mod peer_queries;
 mod report;
 mod wire;
 
@@ -36,46 +36,47 @@
 use crate::directory::Directory;
 use crate::directory::DirectoryKind;
 use crate::directory::Revision;
-use crate::register::book::Book;
+use crate::register::cache::RegisterCache;
 
-/// The part of the time that a leaving server goes on serving for which a question to a peer waits. A peer
-/// that fell silent is noticed soon after that.
-const WAIT_PART: f64 = 0.1;
+/// The time that a watch at a peer waits, as a fraction of the time that a removed server continues to serve. A silent
+/// peer is noticed soon after the wait is over.
+const PEER_WATCH_WAIT_FRACTION: f64 = 0.1;
 
-/// The bounds of that wait.
-const WAIT_RANGE: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(1));
+/// The least and the greatest wait of a watch at a peer.
+const PEER_WATCH_WAIT_RANGE: (Duration, Duration) =
+    (Duration::from_millis(200), Duration::from_secs(1));
 
-/// How long the list of VMs is waited for before this VM asks the register itself, and how long peers that
-/// start with it are asked again.
-const START_PATIENCE: Duration = Duration::from_millis(500);
+/// How long after its start this VM waits for the list of VMs before it queries the register directly, and retries
+/// peers that start together with it.
+const SOURCE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The same at the first start of all, when nobody is listed yet and there are no callers.
-const FIRST_START_PATIENCE: Duration = Duration::from_millis(4000);
+/// The same at the first start of the fleet, when no VM is listed yet and there are no callers.
+const FIRST_START_SOURCE_TIMEOUT: Duration = Duration::from_millis(4000);
 
 /// The register as this VM knows it.
 pub(crate) struct Register {
     platform: Arc<dyn Directory>,
     peers: Arc<PeerClient>,
-    sources: Mutex<SourceSelector>,
-    /// The source in use, for those that wait on it.
+    selector: Mutex<SourceSelector>,
+    /// The source in use, for tasks that wait for another one.
     source: watch::Sender<RegisterSource>,
-    /// Whether the platform answered when it was last asked.
-    is_in_touch: AtomicBool,
-    /// When it answered last.
-    heard: Mutex<Instant>,
-    /// When the other peers were last asked since the one that is followed is overdue.
-    looked_around: Mutex<Option<Instant>>,
-    book: Book,
-    /// How long a question to a peer waits for a change.
-    wait: Duration,
+    /// Whether the platform answered its last call.
+    is_platform_reachable: AtomicBool,
+    /// When the platform last answered.
+    last_contact: Mutex<Instant>,
+    /// When the other peers were last queried because the followed one was overdue.
+    peers_polled_at: Mutex<Option<Instant>>,
+    cache: RegisterCache,
+    /// How long a watch at a peer waits for a change.
+    peer_watch_wait: Duration,
     may_follow: bool,
-    begun: Instant,
-    /// How long after `begun` the first source is waited for.
-    patience: Duration,
-    /// Calls to the platform so far.
-    calls: AtomicU64,
-    /// Questions to peers so far.
-    questions: AtomicU64,
+    started_at: Instant,
+    /// How long after `started_at` the first source is waited for.
+    source_timeout: Duration,
+    /// The number of calls to the platform so far.
+    platform_calls: AtomicU64,
+    /// The number of queries to peers so far.
+    peer_queries: AtomicU64,
 }
 
 impl Register {
@@ -84,54 +85,57 @@
         peers: Arc<PeerClient>,
         opts: RegisterOptions,
     ) -> Self {
-        let (least, most) = WAIT_RANGE;
-        let mut sources = SourceSelector::new(opts.vm, opts.data_centre);
+        let (wait_min, wait_max) = PEER_WATCH_WAIT_RANGE;
+        let mut selector = SourceSelector::new(opts.vm, opts.data_centre);
         if !opts.may_follow {
-            sources.default_to_register();
+            selector.default_to_register();
         }
         Self {
             platform,
             peers,
-            source: watch::channel(sources.source().clone()).0,
-            sources: Mutex::new(sources),
-            is_in_touch: AtomicBool::new(false),
-            heard: Mutex::new(Instant::now()),
-            looked_around: Mutex::default(),
-            book: Book::default(),
-            wait: opts.drain.mul_f64(WAIT_PART).clamp(least, most),
+            source: watch::channel(selector.source().clone()).0,
+            selector: Mutex::new(selector),
+            is_platform_reachable: AtomicBool::new(false),
+            last_contact: Mutex::new(Instant::now()),
+            peers_polled_at: Mutex::default(),
+            cache: RegisterCache::default(),
+            peer_watch_wait: opts
+                .drain
+                .mul_f64(PEER_WATCH_WAIT_FRACTION)
+                .clamp(wait_min, wait_max),
             may_follow: opts.may_follow,
-            begun: Instant::now(),
-            patience: if opts.first_start {
-                FIRST_START_PATIENCE
+            started_at: Instant::now(),
+            source_timeout: if opts.first_start {
+                FIRST_START_SOURCE_TIMEOUT
             } else {
-                START_PATIENCE
+                SOURCE_TIMEOUT
             },
-            calls: AtomicU64::new(0),
-            questions: AtomicU64::new(0),
+            platform_calls: AtomicU64::new(0),
+            peer_queries: AtomicU64::new(0),
         }
     }
 
-    /// Takes in the VMs that are there, from wherever they are known.
+    /// Applies the list of VMs, whichever source it comes from.
     pub(crate) fn set_vms(&self, vms: &[PeerVm]) {
         if self.may_follow {
-            self.change(|sources| sources.set_vms(now(), vms));
+            self.update_selector(|selector| selector.set_vms(now(), vms));
         }
     }
 
-    /// Changes the choice of a source, and wakes those that wait on another one.
-    fn change<R>(&self, f: impl FnOnce(&mut SourceSelector) -> R) -> R {
-        let mut sources = lock(&self.sources);
-        let result = f(&mut sources);
-        let chosen = sources.source().clone();
-        drop(sources);
+    /// Updates the selector, and notifies the tasks that wait on the source if it changes.
+    fn update_selector<R>(&self, f: impl FnOnce(&mut SourceSelector) -> R) -> R {
+        let mut selector = lock(&self.selector);
+        let result = f(&mut selector);
+        let chosen = selector.source().clone();
+        drop(selector);
         self.source.send_if_modified(|source| {
             let is_other = *source != chosen;
             if is_other {
-                let told = match &chosen {
+                let name = match &chosen {
                     RegisterSource::Peer(vm) => vm.name.as_str(),
                     RegisterSource::Undecided | RegisterSource::Register => "register",
                 };
-                log::info!("event=register-source source={told}");
+                log::info!("event=register-source source={name}");
                 *source = chosen;
             }
             is_other
@@ -139,47 +143,52 @@
         result
     }
 
-    fn failed(&self, vm: &PeerVm, e: &Error) {
+    /// Puts a peer that failed into backoff.
+    fn on_peer_failed(&self, vm: &PeerVm, e: &Error) {
         log::info!("event=register-peer-failed peer={} error=\"{e}\"", vm.name);
-        self.change(|sources| sources.on_peer_failed(now(), &vm.name));
+        self.update_selector(|selector| selector.on_peer_failed(now(), &vm.name));
     }
 
-    /// Notes whether the platform answered a call.
-    fn note<T>(&self, result: Result<T>) -> Result<T> {
-        self.calls.fetch_add(1, Ordering::Relaxed);
-        let is_away = result
+    /// Counts a call to the platform, and records whether the platform answered it.
+    fn record_platform_call<T>(&self, result: Result<T>) -> Result<T> {
+        self.platform_calls.fetch_add(1, Ordering::Relaxed);
+        let is_unreachable = result
             .as_ref()
             .is_err_and(|e| e.kind() != ErrorKind::NotFound);
-        self.is_in_touch.store(!is_away, Ordering::Relaxed);
-        if !is_away {
-            *lock(&self.heard) = Instant::now();
+        self.is_platform_reachable
+            .store(!is_unreachable, Ordering::Relaxed);
+        if !is_unreachable {
+            *lock(&self.last_contact) = Instant::now();
         }
         result
     }
 
-    /// How long ago, in ms, the platform answered.
-    fn heard_ms(&self) -> u64 {
+    /// Returns the time since the platform last answered, in milliseconds.
+    fn last_contact_ms(&self) -> u64 {
         // A process runs for far less than 2^64 ms.
-        lock(&self.heard).elapsed().as_millis() as u64
+        lock(&self.last_contact).elapsed().as_millis() as u64
     }
 
+    /// Returns whether the source timeout is not yet over.
     fn is_starting(&self) -> bool {
-        self.begun.elapsed() < self.patience
+        self.started_at.elapsed() < self.source_timeout
     }
 
-    /// The source to ask; waits for the first one, within bounds.
-    async fn decided(&self) -> RegisterSource {
+    /// Returns the source to query; waits for the first one until the source timeout.
+    async fn wait_for_source(&self) -> RegisterSource {
         let mut rx = self.source.subscribe();
-        let left = self.patience.saturating_sub(self.begun.elapsed());
+        let left = self
+            .source_timeout
+            .saturating_sub(self.started_at.elapsed());
         let known = rx.wait_for(|source| *source != RegisterSource::Undecided);
-        // Past the time, or if nobody can decide any more, it asks by itself.
+        // After the timeout, or if the source can no longer change, this VM queries the register directly.
         if !matches!(tokio::time::timeout(left, known).await, Ok(Ok(_))) {
-            self.change(SourceSelector::default_to_register);
+            self.update_selector(SourceSelector::default_to_register);
         }
         self.source.borrow().clone()
     }
 
-    /// Watches at the platform until something changed, or there is a peer to hear from.
+    /// Watches at the platform until something changes; returns `None` once there is a peer to follow.
     async fn watch_platform(
         &self,
         kind: DirectoryKind,
@@ -189,18 +198,20 @@
         let mut rx = self.source.subscribe();
         let is_peer = |source: &RegisterSource| matches!(source, RegisterSource::Peer(_));
         tokio::select! {
-            result = self.platform.watch(kind, after, wait) => Some(self.note(result)),
+            result = self.platform.watch(kind, after, wait) => Some(self.record_platform_call(result)),
             Ok(_) = rx.wait_for(is_peer) => None,
         }
     }
 
-    /// Whether this VM's own look at the platform counts; not at first while peers have yet to regain it.
-    fn may_turn_to_platform(&self, out_of_touch: &[PeerVm]) -> bool {
-        out_of_touch.is_empty() || self.change(|s| s.on_only_self_connected(now(), out_of_touch))
+    /// Returns whether this VM may use the platform's answer to its own call; not at first while the given peers still
+    /// have to reconnect to the platform.
+    fn may_use_platform(&self, unreachable_peers: &[PeerVm]) -> bool {
+        unreachable_peers.is_empty()
+            || self.update_selector(|s| s.on_only_self_connected(now(), unreachable_peers))
     }
 }
 
-/// The time as decisions take it.
+/// Returns the present time in the type that the state machines use.
 pub(crate) fn now() -> std::time::Instant {
     Instant::now().into_std()
 }
--- a/crates/edge/src/register/overdue.rs
+++ b/crates/edge/src/register/overdue.rs
@@ -1,7 +1,7 @@
-//! Peers that the platform has not answered for longer than their heartbeats take.
+//! Detects that the followed peer has had no answer from the platform for longer than its heartbeats take.
 //!
-//! The failure it answers: the peer that is followed is cut off from the platform without a word. Its own heartbeat
-//! shows that after its timeout, this VM's next one after that; together they take longer than a change may.
+//! The followed peer may be partitioned from the platform without notice. Its own heartbeat shows that after its
+//! timeout, and this VM's next heartbeat after that; together they take longer than a change may take to arrive.
 
 use std::time::Duration;
 
@@ -11,47 +11,53 @@
 
 use crate::register::Register;
 use crate::register::now;
-use crate::register::wire::TOUCH;
-use crate::register::wire::Touch;
+use crate::register::wire::PLATFORM_STATUS;
+use crate::register::wire::PlatformStatus;
 
-/// Longer than a heartbeat and its answer take.
-const OVERDUE: Duration = Duration::from_secs(2);
+/// The age of the last contact to the platform at which a peer is overdue: longer than a heartbeat and its answer take.
+const OVERDUE_THRESHOLD: Duration = Duration::from_secs(2);
 
-/// The least time between two rounds of questions to the other peers.
-const LOOK_AROUND_EVERY: Duration = Duration::from_millis(300);
+/// The least time between two rounds of queries to the other peers.
+const PEER_POLL_INTERVAL: Duration = Duration::from_millis(300);
 
 impl Register {
-    /// Turns to another peer if the platform answered that of late, and has not answered the one that is followed
-    /// for so long.
-    pub(super) async fn check_overdue(&self, followed: &PeerVm, heard_ms: u64) {
-        if !is_overdue(heard_ms) || !self.may_look_around() {
+    /// Follows another peer if the platform answered that peer recently while the followed one is overdue.
+    ///
+    /// `last_contact_ms` is the time since the platform last answered the followed peer, in milliseconds.
+    pub(super) async fn check_overdue(&self, followed: &PeerVm, last_contact_ms: u64) {
+        if !is_overdue(last_contact_ms) || !self.may_poll_peers() {
             return;
         }
-        let to_ask = lock(&self.sources).peers_to_query(now());
-        for vm in to_ask.iter().filter(|vm| vm.name != followed.name) {
-            match self.ask::<Touch>(vm, TOUCH, Duration::ZERO).await {
-                Ok(touch) if touch.is_in_touch && !is_overdue(touch.heard_ms) => {
+        let peers = lock(&self.selector).peers_to_query(now());
+        for vm in peers.iter().filter(|vm| vm.name != followed.name) {
+            match self
+                .query_peer::<PlatformStatus>(vm, PLATFORM_STATUS, Duration::ZERO)
+                .await
+            {
+                Ok(status) if status.is_in_touch && !is_overdue(status.heard_ms) => {
                     log::info!(
-                        "event=register-peer-overdue peer={} heard_ms={heard_ms} other={}",
+                        "event=register-peer-overdue peer={} heard_ms={last_contact_ms} other={}",
                         followed.name,
                         vm.name
                     );
-                    self.change(|s| s.on_peer_connected(vm, std::slice::from_ref(followed)));
+                    self.update_selector(|s| {
+                        s.on_peer_connected(vm, std::slice::from_ref(followed))
+                    });
                     return;
                 }
                 Ok(_) => {}
-                Err(e) => self.failed(vm, &e),
+                Err(e) => self.on_peer_failed(vm, &e),
             }
         }
     }
 
-    /// Whether the other peers are asked now; in an outage the heartbeat asks them.
-    fn may_look_around(&self) -> bool {
-        if lock(&self.sources).is_outage() {
+    /// Returns whether to query the other peers now, and records that; in an outage the heartbeat queries them.
+    fn may_poll_peers(&self) -> bool {
+        if lock(&self.selector).is_outage() {
             return false;
         }
-        let mut last = lock(&self.looked_around);
-        let may = last.is_none_or(|at| at.elapsed() >= LOOK_AROUND_EVERY);
+        let mut last = lock(&self.peers_polled_at);
+        let may = last.is_none_or(|at| at.elapsed() >= PEER_POLL_INTERVAL);
         if may {
             *last = Some(Instant::now());
         }
@@ -59,6 +65,6 @@
     }
 }
 
-fn is_overdue(heard_ms: u64) -> bool {
-    Duration::from_millis(heard_ms) >= OVERDUE
+fn is_overdue(last_contact_ms: u64) -> bool {
+    Duration::from_millis(last_contact_ms) >= OVERDUE_THRESHOLD
 }
--- a/crates/edge/src/register/report.rs
+++ b/crates/edge/src/register/report.rs
@@ -1,4 +1,4 @@
-//! What a register tells operators.
+//! The state of the register for dumps and metrics.
 
 use std::sync::atomic::Ordering;
 
@@ -9,27 +9,27 @@
 use crate::directory::DirectoryKind;
 use crate::register::Register;
 
-/// From whom the register is known, and how far, for dumps.
+/// The source of the register's contents and the revisions known, for dumps.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) struct RegisterDump {
-    /// The VM that is followed, if any.
+    /// The peer that is followed, if any.
     follows: Option<VmId>,
-    /// Whether this VM asks the platform and is answered.
+    /// Whether the platform answered this VM's last call.
     is_in_touch: bool,
     routes_at: u64,
     servers_at: u64,
 }
 
-/// What a register has asked, for metrics.
+/// Counts of the register's calls and queries, for metrics.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RegisterCounts {
-    /// Calls to the platform.
-    pub(crate) calls: u64,
-    /// Questions to peers.
-    pub(crate) questions: u64,
-    /// Whether this VM asks the platform itself.
-    pub(crate) asks: bool,
+    /// The number of calls to the platform.
+    pub(crate) platform_calls: u64,
+    /// The number of queries to peers.
+    pub(crate) peer_queries: u64,
+    /// Whether this VM queries the platform directly.
+    pub(crate) queries_platform: bool,
 }
 
 impl Register {
@@ -40,17 +40,17 @@
         };
         RegisterDump {
             follows,
-            is_in_touch: self.is_in_touch.load(Ordering::Relaxed),
-            routes_at: self.book.at(DirectoryKind::Routes),
-            servers_at: self.book.at(DirectoryKind::Servers),
+            is_in_touch: self.is_platform_reachable.load(Ordering::Relaxed),
+            routes_at: self.cache.revision(DirectoryKind::Routes),
+            servers_at: self.cache.revision(DirectoryKind::Servers),
         }
     }
 
     pub(crate) fn counts(&self) -> RegisterCounts {
         RegisterCounts {
-            calls: self.calls.load(Ordering::Relaxed),
-            questions: self.questions.load(Ordering::Relaxed),
-            asks: *self.source.borrow() == RegisterSource::Register,
+            platform_calls: self.platform_calls.load(Ordering::Relaxed),
+            peer_queries: self.peer_queries.load(Ordering::Relaxed),
+            queries_platform: *self.source.borrow() == RegisterSource::Register,
         }
     }
 }
--- a/crates/edge/src/register/wire.rs
+++ b/crates/edge/src/register/wire.rs
@@ -1,4 +1,4 @@
-//! What VMs tell each other of the register.
+//! The format in which VMs exchange the register's contents.
 
 use std::sync::Arc;
 
@@ -15,14 +15,14 @@
 use crate::directory::VmAnnouncement;
 use crate::directory::VmListing;
 
-/// Where a peer is asked what the register says; the kind follows.
+/// The path prefix of queries to a peer for the register's contents, followed by the kind.
 pub(crate) const REGISTER_PATH: &str = "/register/";
-/// In place of a kind: the VMs that are announced.
+/// Stands in place of a kind for the announced VMs.
 pub(crate) const VMS: &str = "vms";
-/// In place of a kind: whether the peer is in touch with the register.
-pub(crate) const TOUCH: &str = "touch";
+/// Stands in place of a kind for whether the peer reaches the register.
+pub(crate) const PLATFORM_STATUS: &str = "touch";
 
-/// An object.
+/// An object of the register.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Object {
@@ -43,7 +43,7 @@
 }
 
 impl Object {
-    /// What an item says; `None` if it names nothing to use.
+    /// Returns the object with the given content; `None` if that is unreadable or removed.
     pub(crate) fn of(content: &ItemContent) -> Option<Self> {
         match content {
             ItemContent::Routes(table) => Some(Self::Routes(Arc::clone(table))),
@@ -53,7 +53,7 @@
     }
 }
 
-/// An object by its name; without it, it is gone.
+/// An object with its name; removed if `object` is `None`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) struct Named {
@@ -76,77 +76,77 @@
     }
 }
 
-/// Objects up to a revision: all of a kind, or those that changed.
+/// Objects of a kind as of a revision: all of them, or those that changed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) struct Told {
+pub(crate) struct PeerObjects {
     pub(crate) at: u64,
     pub(crate) items: Vec<Named>,
-    /// How long ago, in ms, the register answered the peer.
+    /// The time since the register last answered the peer, in milliseconds.
     pub(crate) heard_ms: u64,
 }
 
-/// The answer to a question for everything of a kind.
+/// The answer to a query for all objects of a kind.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) enum ToldList {
-    /// What the register says.
-    All(Told),
-    /// The peer asks the register, and has not been answered of late.
+pub(crate) enum PeerListing {
+    /// All objects of the kind.
+    All(PeerObjects),
+    /// The peer queries the register but has no recent answer from it.
     NotYet,
 }
 
-/// Whether a peer is in touch with the register, and which requests crash servers.
+/// Whether a peer reaches the register, and which requests crash servers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) struct Touch {
+pub(crate) struct PlatformStatus {
     pub(crate) is_in_touch: bool,
-    /// How long ago, in ms, the register answered it.
+    /// The time since the register last answered it, in milliseconds.
     pub(crate) heard_ms: u64,
     pub(crate) quarantined: Vec<Fingerprint>,
 }
 
-/// The answer to a question for the VMs.
+/// The answer to a query for the VMs.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) enum ToldVms {
-    /// As they were listed in this state of the register.
-    Listed { at: u64, vms: Vec<ToldVm> },
-    /// The peer asks the register, and has not been answered of late.
+pub(crate) enum PeerVmListing {
+    /// The VMs, as listed at this revision of the register.
+    Listed { at: u64, vms: Vec<PeerVmEntry> },
+    /// The peer queries the register but has no recent answer from it.
     NotYet,
 }
 
-impl From<ToldVms> for Option<VmListing> {
-    fn from(told: ToldVms) -> Self {
+impl From<PeerVmListing> for Option<VmListing> {
+    fn from(told: PeerVmListing) -> Self {
         match told {
-            ToldVms::Listed { at, vms } => Some(VmListing {
+            PeerVmListing::Listed { at, vms } => Some(VmListing {
                 at: Revision(at),
                 vms: vms.into_iter().map(VmAnnouncement::from).collect(),
             }),
-            ToldVms::NotYet => None,
+            PeerVmListing::NotYet => None,
         }
     }
 }
 
-impl From<VmListing> for ToldVms {
+impl From<VmListing> for PeerVmListing {
     fn from(l: VmListing) -> Self {
         Self::Listed {
             at: l.at.0,
-            vms: l.vms.into_iter().map(ToldVm::from).collect(),
+            vms: l.vms.into_iter().map(PeerVmEntry::from).collect(),
         }
     }
 }
 
-/// A VM that is announced.
+/// An announced VM.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) struct ToldVm {
+pub(crate) struct PeerVmEntry {
     pub(crate) vm: PeerVm,
     pub(crate) at: u64,
 }
 
-impl From<ToldVm> for VmAnnouncement {
-    fn from(t: ToldVm) -> Self {
+impl From<PeerVmEntry> for VmAnnouncement {
+    fn from(t: PeerVmEntry) -> Self {
         Self {
             vm: t.vm,
             at: Revision(t.at),
@@ -154,7 +154,7 @@
     }
 }
 
-impl From<VmAnnouncement> for ToldVm {
+impl From<VmAnnouncement> for PeerVmEntry {
     fn from(a: VmAnnouncement) -> Self {
         Self {
             vm: a.vm,
--- a/crates/edge/src/ends.rs
+++ b/crates/edge/src/request_log.rs
@@ -1,4 +1,4 @@
-//! One log line for each request that did not end whole and on time, and the totals of all.
+//! Logs each request that was not answered completely and on time, and records the latency of all requests.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -12,39 +12,39 @@
 
 use crate::metrics::Metrics;
 
-/// The most requests told of in a second; each is told whole, with its attempts, or not at all. How many
-/// were left out is told with the next one.
-const REQUESTS_PER_SECOND: u32 = 10;
+/// The largest number of requests logged per second. Each is logged completely, with its attempts, or not at all; the
+/// number of suppressed ones is logged with the next.
+const LOGGED_REQUESTS_PER_S_MAX: u32 = 10;
 
-/// Writes what an engineer wants to know of requests that went wrong, and measures all.
-pub(crate) struct Ends {
+/// Logs what operators need to know of requests that went wrong, and records the latency of all.
+pub(crate) struct RequestLog {
     pace: Mutex<Pace>,
     metrics: Arc<Metrics>,
 }
 
-impl Ends {
+impl RequestLog {
     pub(crate) fn new(metrics: Arc<Metrics>) -> Self {
         Self {
-            pace: Mutex::new(Pace::new(REQUESTS_PER_SECOND)),
+            pace: Mutex::new(Pace::new(LOGGED_REQUESTS_PER_S_MAX)),
             metrics,
         }
     }
 
-    /// Notes the end of a request.
-    pub(crate) fn note(&self, id: &str, path: &str, is_handed: bool, e: &RequestReport) {
-        let (outcome, reason) = kind_of(e);
-        self.metrics.request(outcome, reason, e.took);
+    /// Records the end of a request.
+    pub(crate) fn record(&self, id: &str, path: &str, is_delegated: bool, e: &RequestReport) {
+        let (outcome, reason) = outcome_and_reason(e);
+        self.metrics.record_request(outcome, reason, e.took);
         if outcome == WHOLE {
             return;
         }
-        let Some(left_out) = lock(&self.pace).take(Instant::now()) else {
+        let Some(suppressed) = lock(&self.pace).take(Instant::now()) else {
             return;
         };
         let (whole, parts) = e.parts;
         log::info!(
-            "event=request-end id={id} path={path} route={} version={} handed={is_handed} \
+            "event=request-end id={id} path={path} route={} version={} handed={is_delegated} \
              outcome={outcome} reason={reason} took_ms={} objective_ms={} parts={whole}/{parts} \
-             given_up={} extra={} left_out={left_out}",
+             given_up={} extra={} left_out={suppressed}",
             e.route.as_ref().map_or("", LookupName::as_str),
             e.version.unwrap_or_default(),
             e.took.as_millis(),
@@ -68,11 +68,11 @@
     }
 }
 
-/// The outcome of a request that was whole and on time.
+/// The outcome of a request that was answered completely and on time.
 const WHOLE: &str = "whole";
 
-/// How a request ended, and why if it was refused or failed.
-fn kind_of(e: &RequestReport) -> (&'static str, &'static str) {
+/// Returns how a request ended, and why if it was refused or failed.
+fn outcome_and_reason(e: &RequestReport) -> (&'static str, &'static str) {
     let is_late = e.took > e.objective;
     match &e.outcome {
         Outcome::Relayed(a) if !a.status.is_success() => ("relayed-failure", ""),
--- a/crates/edge/src/seed.rs
+++ b/crates/edge/src/seed.rs
@@ -1,8 +1,8 @@
-//! Starts with what a peer knows while the directory is away.
+//! Seeds a starting process with the state of a peer while the directory is unreachable.
 //!
-//! The failure it answers: a VM that is restarted during an outage of the directory knows no routes, takes no
-//! callers until the outage is over, and with enough such VMs a data centre that could serve is dark. What a
-//! peer knows is as old as the outage, which is what every VM serves by then.
+//! A VM that restarts during an outage of the directory knows no routes, and without a seed would accept no callers
+//! until the outage is over; with enough such VMs, a data centre that could serve would be unresponsive. A peer's state
+//! is as old as the outage, which is what every VM serves from by then.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,40 +14,40 @@
 use gs_store::Backoff;
 use gs_types::prelude::*;
 
-use crate::peers::KNOWLEDGE_PATH;
+use crate::peers::SEED_STATE_PATH;
 use crate::register::PeerClient;
 use crate::register::Register;
-use crate::state::State;
+use crate::shared_state::SharedState;
 
-/// How long the directory is waited for first: it answers in milliseconds if it is there.
-const FIRST_WAIT: Duration = Duration::from_millis(500);
+/// How long to wait for the directory before any peer is queried: a reachable directory answers in milliseconds.
+const DIRECTORY_WAIT: Duration = Duration::from_millis(500);
 
-/// The longest that a peer may take.
-const ASK_TIMEOUT: Duration = Duration::from_secs(1);
+/// The timeout of a query to a peer.
+const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The first wait after all peers were asked in vain.
-const BACKOFF: Duration = Duration::from_millis(500);
+/// The first backoff after all peers were queried without success.
+const BACKOFF_MIN: Duration = Duration::from_millis(500);
 
-/// The longest such wait.
+/// The longest such backoff.
 const BACKOFF_MAX: Duration = Duration::from_secs(3);
 
-/// Asks peers for what they know until that or the directory's own word is there.
+/// Queries peers for their state until routes and servers are known, from a peer or from the directory.
 pub(crate) struct Seeder {
-    /// Peers by their address.
+    /// The addresses of the peers to query.
     pub(crate) seeds: Vec<SocketAddr>,
     pub(crate) peers: Arc<PeerClient>,
     pub(crate) register: Arc<Register>,
-    pub(crate) state: Arc<State>,
+    pub(crate) state: Arc<SharedState>,
     pub(crate) feed: Feed<Event>,
     pub(crate) seed: u64,
 }
 
 impl Seeder {
-    /// Runs until routes and servers are known, from wherever.
+    /// Queries peers until routes and servers are known.
     pub(crate) async fn run(self) {
-        tokio::time::sleep(FIRST_WAIT).await;
-        let mut backoff = Backoff::new(BACKOFF, BACKOFF_MAX, self.seed);
-        while !self.state.knows_all() {
+        tokio::time::sleep(DIRECTORY_WAIT).await;
+        let mut backoff = Backoff::new(BACKOFF_MIN, BACKOFF_MAX, self.seed);
+        while !self.state.has_routes_and_servers() {
             for addr in &self.seeds {
                 if self.try_peer(*addr).await {
                     return;
@@ -57,12 +57,12 @@
         }
     }
 
-    /// Asks one peer; `true` if nothing more has to be asked for.
+    /// Queries one peer and applies its state; returns `true` if routes and servers are then known.
     async fn try_peer(&self, addr: SocketAddr) -> bool {
-        match self.ask(addr).await {
-            Ok(known) => {
-                self.take(addr, known);
-                self.state.knows_all()
+        match self.fetch(addr).await {
+            Ok(seed_state) => {
+                self.apply(addr, seed_state);
+                self.state.has_routes_and_servers()
             }
             Err(e) => {
                 log::info!("event=seed-failed peer={addr} error=\"{e}\"");
@@ -71,23 +71,27 @@
         }
     }
 
-    fn take(&self, addr: SocketAddr, known: SeedState) {
-        let names = known.servers.iter().map(|s| s.name.to_string()).collect();
-        let (version, servers) = (known.table.version(), known.servers.len());
-        if self.state.take_table(&known.table) {
-            self.feed.push(Event::Table(known.table));
+    fn apply(&self, addr: SocketAddr, seed_state: SeedState) {
+        let names = seed_state
+            .servers
+            .iter()
+            .map(|s| s.name.to_string())
+            .collect();
+        let (version, servers) = (seed_state.table.version(), seed_state.servers.len());
+        if self.state.apply_table(&seed_state.table) {
+            self.feed.push(Event::Table(seed_state.table));
         }
-        self.register.set_vms(&known.vms);
-        let is_taken = self.state.take_told(names, || {
-            for entry in known.servers {
+        self.register.set_vms(&seed_state.vms);
+        let is_taken = self.state.apply_from_peer(names, || {
+            for entry in seed_state.servers {
                 self.feed.push(Event::Server(Arc::new(entry)));
             }
-            self.feed.push(Event::Vms(known.vms));
+            self.feed.push(Event::Vms(seed_state.vms));
         });
         log::info!("event=seeded peer={addr} version={version} servers={servers} taken={is_taken}");
     }
 
-    async fn ask(&self, addr: SocketAddr) -> Result<SeedState> {
-        self.peers.get(addr, KNOWLEDGE_PATH, ASK_TIMEOUT).await
+    async fn fetch(&self, addr: SocketAddr) -> Result<SeedState> {
+        self.peers.get(addr, SEED_STATE_PATH, PEER_TIMEOUT).await
     }
 }
--- a/crates/edge/src/serve.rs
+++ b/crates/edge/src/serve.rs
@@ -1,4 +1,4 @@
-//! Runs a process from its settings to its graceful end.
+//! Runs a process from its settings to its graceful shutdown.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -14,20 +14,20 @@
 use crate::settings::EdgeSettings;
 use crate::shutdown::Signals;
 
-/// What is spoken at the process's borders.
+/// The protocols at the process's interfaces.
 #[derive(Clone)]
 pub struct Protocols {
-    /// Towards callers.
+    /// The protocol of callers.
     pub callers: Arc<dyn CallerCodec>,
-    /// Towards backend servers.
+    /// The protocol of backend servers.
     pub servers: Arc<dyn ServerCodec>,
-    /// Towards whoever declares routes and registers servers.
+    /// The directory where routes are declared and servers registered.
     pub directory: Arc<dyn Directory>,
 }
 
-/// Runs a process until it is told to leave by SIGTERM or SIGINT and has finished its work.
+/// Runs a process until SIGTERM or SIGINT has shut it down.
 ///
-/// `path` is the settings' file, which is read again at SIGHUP.
+/// `path` is the settings file, which is reloaded on SIGHUP.
 ///
 /// # Errors
 ///
@@ -39,12 +39,12 @@
         "event=start vm={vm} seed={seed} version={}",
         env!("CARGO_PKG_VERSION")
     );
-    let (mut ending, hup) = Signals::install()?.split();
+    let (mut stop_signals, hup) = Signals::install()?.split();
     let process = Process::start(settings.clone(), protocols, Arc::new(SystemClock), seed)?;
-    let leaver = process.open().await?;
+    let shutdown = process.open().await?;
     tokio::spawn(reload::run(hup, path, process.feed.clone(), settings));
-    ending.first().await;
-    leaver.leave().await;
+    stop_signals.recv().await;
+    shutdown.run().await;
     log::info!("event=exit vm={vm}");
     Ok(())
 }
--- a/crates/edge/src/servers.rs
+++ b/crates/edge/src/servers.rs
@@ -1,4 +1,4 @@
-//! The border to backend servers.
+//! The interface to backend servers.
 
 use std::time::Duration;
 
@@ -11,20 +11,20 @@
 use http_body_util::Full;
 use hyper::Request;
 
-/// What backend servers speak.
+/// The protocol of backend servers.
 pub trait ServerCodec: Send + Sync + 'static {
-    /// The request of an attempt, with the time that its caller still waits.
+    /// Builds the request of an attempt; `left` is the time that its caller still waits.
     ///
     /// # Errors
     ///
     /// [`ErrorKind::BadInput`] if it cannot be put into a request.
     fn request(&self, d: &Dispatch, left: Duration) -> Result<Request<Full<Bytes>>>;
 
-    /// Reads a whole reply to an attempt.
+    /// Parses the complete reply to an attempt.
     fn reply(&self, d: &Dispatch, whole: Whole) -> ParsedReply;
 }
 
-/// The caller's request as it goes on: its method, target, headers and body, unchanged.
+/// Returns the caller's request to forward: its method, target, headers and body, unchanged.
 ///
 /// # Errors
 ///
@@ -39,11 +39,11 @@
     Ok(req)
 }
 
-/// A reply as it was read.
+/// The parsed reply to an attempt.
 pub struct ParsedReply {
     /// How the attempt ended.
     pub end: AttemptEnd,
-    /// Whether the connection may be used again.
+    /// Whether the connection may be reused.
     pub is_connection_reusable: bool,
     /// How long the server keeps the connection idle, if it says so.
     pub idle_max: Option<Duration>,
--- a/crates/edge/src/settings.rs
+++ b/crates/edge/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a relaying process: a TOML file, read and checked whole.
+//! The settings of a relay process: a TOML file that is parsed and checked as a whole.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,51 +16,51 @@
 use serde::Serialize;
 
 /// The largest settings file, in bytes.
-const FILE_MAX: u64 = 256 * 1024;
+const FILE_BYTES_MAX: u64 = 256 * 1024;
 
-/// The longest time before the end of an objective: beyond it a unit has been mistaken.
+/// The largest margin before the end of an objective; a larger one suggests a mistaken unit.
 const MARGIN_MAX: Duration = Duration::from_secs(10);
 
-/// The least time between two renewals: an answer of a slow platform takes as long.
-const RENEW_MIN: Duration = Duration::from_secs(1);
+/// The least time between two renewals: a slow platform takes this long to answer.
+const RENEW_INTERVAL_MIN: Duration = Duration::from_secs(1);
 
-/// The least part of a core that is reckoned with.
+/// The least fraction of a core that is assumed when the work on an answer is estimated.
 const CORES_MIN: f64 = 0.05;
 
-/// The part of an allowance that is used, so that two VMs' windows that do not begin together keep it.
-const ALLOWANCE_PART: f64 = 0.9;
+/// The fraction of an allowance that is used, so that VMs whose windows do not begin together still keep within it.
+const ALLOWANCE_FRACTION: f64 = 0.9;
 
-/// The settings of one relaying process.
+/// The settings of one relay process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct EdgeSettings {
     /// This VM.
     pub vm: Vm,
-    /// Where it listens.
+    /// The addresses on which it listens.
     pub listen: Listen,
-    /// Where routes are declared and servers registered.
+    /// The platform where routes are declared and servers registered.
     pub platform: Platform,
     /// Other VMs.
     #[serde(default)]
     pub peers: Peers,
-    /// When answers leave.
+    /// The time at which answers are sent.
     #[serde(default)]
     pub answers: Answers,
-    /// Extra attempts at servers.
+    /// The budget of extra attempts at servers.
     #[serde(default)]
     pub budget: Budget,
     /// Backend servers.
     #[serde(default)]
     pub servers: Servers,
-    /// How it ends.
+    /// The shutdown of the process.
     #[serde(default)]
     pub shutdown: Shutdown,
-    /// Its log.
+    /// The log of the process.
     #[serde(default)]
     pub log: Log,
 }
 
-/// This VM.
+/// The VM that the process runs on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Vm {
@@ -70,7 +70,7 @@
     pub data_centre: DataCentre,
     /// Its data centre's region.
     pub region: Region,
-    /// What it can do in a second.
+    /// What it can process in a second.
     pub capacity: Capacity,
     /// Whether the whole fleet starts for the first time.
     #[serde(default)]
@@ -80,34 +80,34 @@
     pub data_centres: HashMap<DataCentre, Region>,
 }
 
-/// Where a process listens.
+/// The addresses on which a process listens.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Listen {
     /// For callers.
     pub callers: SocketAddr,
-    /// For the balancer's questions, metrics and dumps.
+    /// For the balancer's probes, metrics and dumps.
     pub status: SocketAddr,
-    /// For other VMs that ask for parts.
+    /// For other VMs that delegate requests or follow this VM.
     pub peers: SocketAddr,
-    /// For metrics beside `status`, on a port that is known beforehand.
+    /// For metrics in addition to `status`, on a port that is known in advance.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
 }
 
-/// Where routes are declared and servers registered.
+/// The platform where routes are declared and servers registered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Platform {
     /// The address of the platform's store.
     pub addr: SocketAddr,
-    /// The time between two renewals of this VM's announcement there; longer if the VMs are many. One that
-    /// has missed three and a half is gone.
+    /// The time between two renewals of this VM's announcement there; longer if there are many VMs. A VM
+    /// that has missed three and a half renewals has expired.
     #[serde(default = "renew_usual", with = "humantime_serde")]
     pub renew_every: Duration,
 }
 
-/// A write a minute from each VM is far below what the platform takes.
+/// Returns the default of `renew-every`: a write per minute from each VM is far below what the platform admits.
 fn renew_usual() -> Duration {
     Duration::from_secs(60)
 }
@@ -116,11 +116,10 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Peers {
-    /// Where some of them listen for peers; a VM that starts while the platform is away asks them what they
-    /// know.
+    /// The addresses on which some of them listen for peers; a VM that starts while the platform is unreachable queries
+    /// them for their state.
     pub seeds: Vec<SocketAddr>,
-    /// Whether this VM may hear of routes, servers and VMs from others of its data centre that ask the
-    /// platform.
+    /// Whether this VM may learn of routes, servers and VMs from others of its data centre that query the platform.
     pub follow: bool,
 }
 
@@ -133,27 +132,27 @@
     }
 }
 
-/// When answers leave.
+/// The time at which answers are sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Answers {
-    /// The way of a request from its caller and of the answer back.
+    /// The network latency of a request from its caller and of the answer back.
     #[serde(with = "humantime_serde")]
     pub margin: Duration,
 }
 
-/// Extra attempts at servers, that is hedges and retries.
+/// The budget of extra attempts at servers: hedges and retries.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Budget {
-    /// The most extra attempts for each request for a service, over all VMs.
+    /// The largest number of extra attempts per request for a service, over all VMs.
     pub extra_ratio: f64,
     /// The window in which they are counted.
     #[serde(with = "humantime_serde")]
     pub window: Duration,
-    /// The most extra attempts besides in a window, over all VMs.
+    /// The number of extra attempts allowed on top in a window, over all VMs.
     pub slack: f64,
-    /// The most VMs that may be there at the same time.
+    /// The largest number of VMs that may run at the same time.
     pub peers: u32,
 }
 
@@ -161,7 +160,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Servers {
-    /// How long a server that is gone from the register goes on serving.
+    /// How long a server that was removed from the register continues to serve.
     #[serde(with = "humantime_serde")]
     pub drain: Duration,
     /// The longest that opening a connection may take.
@@ -169,15 +168,15 @@
     pub connect_timeout: Duration,
 }
 
-/// How a process ends.
+/// The shutdown of a process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Shutdown {
-    /// How long it goes on accepting once it says that it is not ready; at least the time in which the
-    /// balancer notices.
+    /// How long it continues to accept connections after it reports not ready; at least the time in which the balancer
+    /// notices.
     #[serde(with = "humantime_serde")]
     pub lag: Duration,
-    /// When it ends at the latest.
+    /// The longest time from the start of the shutdown to the exit.
     #[serde(with = "humantime_serde")]
     pub deadline: Duration,
 }
@@ -186,7 +185,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Log {
-    /// The least level that is written.
+    /// The lowest level that is logged.
     pub level: LogLevel,
 }
 
@@ -236,12 +235,12 @@
 }
 
 impl EdgeSettings {
-    /// Reads and checks a settings file.
+    /// Loads and checks a settings file.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Io`] if it cannot be read, [`ErrorKind::BadInput`] with the place and the reason if
-    /// something in it is wrong.
+    /// [`ErrorKind::Io`] if it cannot be read, [`ErrorKind::TooMuch`] if it is too large, [`ErrorKind::BadInput`]
+    /// with the place and the reason if its content is invalid.
     pub fn load(path: &Path) -> Result<Self> {
         let failed = |e: std::io::Error| {
             Error::new(ErrorKind::Io, e.to_string())
@@ -249,16 +248,16 @@
                 .from_peer(path.display().to_string())
                 .with_hint("check that the file exists and may be read")
         };
-        if std::fs::metadata(path).map_err(failed)?.len() > FILE_MAX {
+        if std::fs::metadata(path).map_err(failed)?.len() > FILE_BYTES_MAX {
             return Err(
-                Error::new(ErrorKind::TooMuch, format!("over {FILE_MAX} bytes"))
+                Error::new(ErrorKind::TooMuch, format!("over {FILE_BYTES_MAX} bytes"))
                     .at("read settings"),
             );
         }
         Self::parse(&std::fs::read_to_string(path).map_err(failed)?)
     }
 
-    /// Reads and checks the text of a settings file.
+    /// Parses and checks the text of a settings file.
     ///
     /// # Errors
     ///
@@ -293,7 +292,7 @@
         if self.budget.window < Duration::from_millis(100) {
             return bad("budget.window", "at least 100ms");
         }
-        if self.platform.renew_every < RENEW_MIN {
+        if self.platform.renew_every < RENEW_INTERVAL_MIN {
             return bad("platform.renew-every", "at least 1s");
         }
         if self.answers.margin > MARGIN_MAX {
@@ -305,7 +304,7 @@
         Ok(())
     }
 
-    /// This VM as the others see it.
+    /// Returns this VM as a peer of the others.
     #[must_use]
     pub fn as_peer(&self) -> PeerVm {
         PeerVm {
@@ -317,20 +316,21 @@
         }
     }
 
-    /// The VMs to ask at the start, this one aside.
+    /// Returns the addresses of the VMs to query at the start, without this VM's own.
     #[must_use]
     pub fn seeds(&self) -> Vec<SocketAddr> {
         let seeds = self.peers.seeds.iter().copied();
         seeds.filter(|addr| *addr != self.listen.peers).collect()
     }
 
-    /// How long before the end of its objective an answer leaves: its way, and the work on it here.
+    /// Returns how long before the end of its objective an answer is sent: the network latency, and the time of the work
+    /// on it here.
     fn answer_margin(&self) -> Duration {
         let cores = self.vm.capacity.cores.clamp(CORES_MIN, 1.0);
         self.answers.margin + ANSWER_WORK.div_f64(cores)
     }
 
-    /// The relay's settings.
+    /// Returns the options of the relay.
     #[must_use]
     pub fn relay(&self) -> RelayOptions {
         let mut regions = self.vm.data_centres.clone();
@@ -342,9 +342,9 @@
             .data_centre(self.vm.data_centre.clone())
             .peers(self.budget.peers)
             .answer_margin(self.answer_margin())
-            .extra_ratio(self.budget.extra_ratio * ALLOWANCE_PART)
+            .extra_ratio(self.budget.extra_ratio * ALLOWANCE_FRACTION)
             .extra_window(self.budget.window)
-            .extra_slack(self.budget.slack * ALLOWANCE_PART)
+            .extra_slack(self.budget.slack * ALLOWANCE_FRACTION)
             .drain(self.servers.drain)
             .build()
     }
--- /dev/null
+++ b/crates/edge/src/shared_state.rs
@@ -0,0 +1,113 @@
+//! State that the components of a process share besides events.
+
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::sync::atomic::AtomicBool;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+
+use gs_actor::lock;
+use gs_http::Limits;
+use gs_http::LiveLimits;
+use gs_relay::CallerLimits;
+use gs_relay::RouteTable;
+
+/// The limits on connections before any routes are known; the routes set those of callers from then on.
+pub(crate) const DEFAULT_LIMITS: Limits = Limits {
+    headers: 32 * 1024,
+    header_timeout: Duration::from_secs(10),
+    idle_timeout: Duration::from_secs(60),
+    connections: 2048,
+};
+
+/// State that the components of a process share besides events.
+#[derive(Debug, Default)]
+pub(crate) struct SharedState {
+    table: Mutex<Option<Arc<RouteTable>>>,
+    /// The limits of the callers' server, which follow the routes in force.
+    callers: Mutex<Option<LiveLimits>>,
+    has_servers: AtomicBool,
+    /// The servers known from a peer before the directory listed any.
+    seeded_servers: Mutex<Vec<String>>,
+    is_leaving: AtomicBool,
+}
+
+impl SharedState {
+    /// Applies a version of the routes; returns `false` if it is not newer than the one in force.
+    pub(crate) fn apply_table(&self, table: &Arc<RouteTable>) -> bool {
+        let mut current = lock(&self.table);
+        let is_newer = current
+            .as_ref()
+            .is_none_or(|t| t.version() < table.version());
+        if is_newer {
+            *current = Some(Arc::clone(table));
+        }
+        drop(current);
+        self.apply_limits();
+        is_newer
+    }
+
+    /// Sets the callers' server limits to follow the routes in force, now and as they change.
+    pub(crate) fn set_callers(&self, limits: LiveLimits) {
+        *lock(&self.callers) = Some(limits);
+        self.apply_limits();
+    }
+
+    /// Sets the limits of the callers' server to those of the routes in force, if both are known.
+    fn apply_limits(&self) {
+        let Some(bounds) = self.limits() else {
+            return;
+        };
+        if let Some(callers) = lock(&self.callers).as_ref() {
+            callers.set(Limits {
+                headers: bounds.headers,
+                header_timeout: bounds.header_timeout,
+                idle_timeout: bounds.idle_timeout,
+                ..DEFAULT_LIMITS
+            });
+        }
+    }
+
+    /// Returns the limits on callers' requests by the routes in force; `None` before any are known.
+    pub(crate) fn limits(&self) -> Option<CallerLimits> {
+        lock(&self.table).as_ref().map(|t| t.limits().clone())
+    }
+
+    /// Records that the directory listed the servers; returns the names of those known from a peer before.
+    pub(crate) fn on_servers_listed(&self) -> Vec<String> {
+        let mut seeded_servers = lock(&self.seeded_servers);
+        self.has_servers.store(true, Ordering::Relaxed);
+        std::mem::take(&mut *seeded_servers)
+    }
+
+    /// Calls `apply` to apply the servers known from a peer, unless the directory has listed the servers; returns
+    /// whether it did.
+    ///
+    /// The names are kept for a server that was removed while the directory was unreachable: the first list after the
+    /// outage does not contain it, and only these names show that it was removed.
+    pub(crate) fn apply_from_peer(&self, servers: Vec<String>, apply: impl FnOnce()) -> bool {
+        let mut seeded_servers = lock(&self.seeded_servers);
+        if self.has_servers.load(Ordering::Relaxed) {
+            return false;
+        }
+        apply();
+        *seeded_servers = servers;
+        self.has_servers.store(true, Ordering::Relaxed);
+        true
+    }
+
+    /// Returns whether routes and servers are known.
+    pub(crate) fn has_routes_and_servers(&self) -> bool {
+        self.has_servers.load(Ordering::Relaxed) && lock(&self.table).is_some()
+    }
+
+    /// Records that the process is shutting down.
+    pub(crate) fn set_leaving(&self) {
+        self.is_leaving.store(true, Ordering::Relaxed);
+    }
+
+    /// Returns whether new callers are accepted: routes and servers are known and the process is not shutting down.
+    pub(crate) fn is_ready(&self) -> bool {
+        !self.is_leaving.load(Ordering::Relaxed) && self.has_routes_and_servers()
+    }
+}
--- a/crates/edge/src/shell.rs
+++ b/crates/edge/src/shell.rs
@@ -1,4 +1,4 @@
-//! Carries out what the relay asks for.
+//! The I/O driver (shell) of the relay: performs the actions that it returns.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,9 +12,9 @@
 use gs_relay::Relay;
 use gs_types::prelude::*;
 
-use crate::desk::Pending;
+use crate::connection_pools::ConnectionPools;
 use crate::directory::Directory;
-use crate::lanes::Lanes;
+use crate::relay_client::PendingRequests;
 
 impl Machine<RelayShell> for Relay {
     type Event = Event;
@@ -33,18 +33,19 @@
     }
 }
 
-/// Carries out what the relay asks for.
+/// The I/O driver (shell) of the relay: performs the actions that it returns.
 pub(crate) struct RelayShell {
-    pub(crate) lanes: Arc<Lanes>,
-    pub(crate) pending: Arc<Pending>,
+    pub(crate) connection_pools: Arc<ConnectionPools>,
+    pub(crate) pending: Arc<PendingRequests>,
     pub(crate) directory: Arc<dyn Directory>,
 }
 
-/// How long a request that crashes servers stays noted; VMs that hear of it refuse it for as long.
-const NOTED_FOR: Duration = Duration::from_secs(30);
+/// How long a request that crashes servers stays listed in the directory; VMs that learn of it quarantine it for the
+/// same time.
+const QUARANTINE_DURATION: Duration = Duration::from_secs(30);
 
 impl RelayShell {
-    /// Notes a request for the other VMs, and takes the note back later.
+    /// Lists a request in the directory for the other VMs, and removes it after [`QUARANTINE_DURATION`].
     fn quarantine(&self, request: Fingerprint) {
         let directory = Arc::clone(&self.directory);
         tokio::spawn(async move {
@@ -52,7 +53,7 @@
                 log::warn!("event=quarantine-untold request={request} error=\"{e}\"");
                 return;
             }
-            tokio::time::sleep(NOTED_FOR).await;
+            tokio::time::sleep(QUARANTINE_DURATION).await;
             if let Err(e) = directory.release(request).await {
                 log::info!("event=release-failed request={request} error=\"{e}\"");
             }
@@ -63,9 +64,9 @@
 impl Shell<Relay> for RelayShell {
     fn perform(&mut self, action: Action, _: &Feed<Event>) -> Option<Duration> {
         match action {
-            Action::Send(d) => self.lanes.send(d),
-            Action::Cancel(id) => self.lanes.cancel(id),
-            Action::Answer(seq, ending) => self.pending.settle(seq, *ending),
+            Action::Send(d) => self.connection_pools.send(d),
+            Action::Cancel(id) => self.connection_pools.cancel(id),
+            Action::Answer(seq, report) => self.pending.complete(seq, *report),
             Action::Quarantine(request) => self.quarantine(request),
             Action::Wake(after) => return Some(after),
             Action::Connect {
@@ -73,9 +74,9 @@
                 connections_min,
                 connections_max,
             } => self
-                .lanes
+                .connection_pools
                 .connect(&server, connections_min, connections_max),
-            Action::Disconnect(server) => self.lanes.disconnect(&server),
+            Action::Disconnect(server) => self.connection_pools.disconnect(&server),
         }
         None
     }
--- a/crates/edge/src/shutdown.rs
+++ b/crates/edge/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The graceful end of a process: no request cut.
+//! Graceful shutdown of a process, which lets requests in flight complete.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,14 +17,14 @@
 
 use crate::directory::Directory;
 use crate::settings::Shutdown;
-use crate::state::State;
+use crate::shared_state::SharedState;
 
-/// How often it is looked whether everything has finished.
-const LOOK: Duration = Duration::from_millis(20);
+/// The time between two checks whether requests are still in flight.
+const IN_FLIGHT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The signals that a process takes.
+/// The signals that a process handles.
 ///
-/// They are installed before the process listens: one that comes earlier would end it at once.
+/// The handlers are installed before the process listens: an earlier signal would kill it at once.
 pub(crate) struct Signals {
     term: Signal,
     int: Signal,
@@ -32,7 +32,7 @@
 }
 
 impl Signals {
-    /// Begins to receive them.
+    /// Installs the signal handlers.
     ///
     /// # Errors
     ///
@@ -48,9 +48,9 @@
         })
     }
 
-    /// Splits off the signal that asks to read the settings again.
-    pub(crate) fn split(self) -> (Ending, Signal) {
-        let ending = Ending {
+    /// Splits off the signal that requests a reload of the settings.
+    pub(crate) fn split(self) -> (StopSignals, Signal) {
+        let ending = StopSignals {
             term: self.term,
             int: self.int,
         };
@@ -58,15 +58,15 @@
     }
 }
 
-/// The signals that tell a process to leave.
-pub(crate) struct Ending {
+/// The signals that request a shutdown: SIGTERM and SIGINT.
+pub(crate) struct StopSignals {
     term: Signal,
     int: Signal,
 }
 
-impl Ending {
-    /// Waits for the first.
-    pub(crate) async fn first(&mut self) {
+impl StopSignals {
+    /// Waits for the first of them.
+    pub(crate) async fn recv(&mut self) {
         tokio::select! {
             _ = self.term.recv() => {}
             _ = self.int.recv() => {}
@@ -74,26 +74,27 @@
     }
 }
 
-/// Ends a process.
-pub(crate) struct Leaver {
+/// The graceful shutdown of a process.
+pub(crate) struct GracefulShutdown {
     pub(crate) cfg: Shutdown,
     pub(crate) vm: VmId,
     pub(crate) directory: Arc<dyn Directory>,
-    pub(crate) state: Arc<State>,
+    pub(crate) state: Arc<SharedState>,
     pub(crate) relay: Shared<Relay>,
     pub(crate) callers: Arc<ServerState>,
     pub(crate) stop: watch::Sender<bool>,
     pub(crate) serving: JoinHandle<()>,
 }
 
-impl Leaver {
-    /// Leaves: unready first, then a lag, then no new connections, then the rest finished.
-    pub(crate) async fn leave(self) {
-        let begun = Instant::now();
+impl GracefulShutdown {
+    /// Shuts down: first reports not ready, after a lag stops accepting connections, then waits for the requests in
+    /// flight, until the deadline at the latest.
+    pub(crate) async fn run(self) {
+        let start = Instant::now();
         log::info!("event=leaving step=unready");
         self.state.set_leaving();
         self.callers.announce_close();
-        // It goes on beside the rest: a platform that is away must not hold a leaving process up.
+        // Runs concurrently: an unreachable platform must not delay the shutdown.
         let (vm, directory) = (self.vm.clone(), Arc::clone(&self.directory));
         tokio::spawn(async move {
             if let Err(e) = directory.withdraw(&vm).await {
@@ -103,15 +104,15 @@
         tokio::time::sleep(self.cfg.lag).await;
         log::info!("event=leaving step=stop-accepting");
         let _ = self.stop.send(true);
-        let left = self.cfg.deadline.saturating_sub(begun.elapsed());
-        let finish = async {
-            // The listener's task ends by itself; its result tells nothing more.
+        let left = self.cfg.deadline.saturating_sub(start.elapsed());
+        let drain = async {
+            // The listener's task ends by itself; its result carries no information.
             drop(self.serving.await);
             while lock(&self.relay).in_flight() > 0 {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(IN_FLIGHT_POLL_INTERVAL).await;
             }
         };
-        match tokio::time::timeout(left, finish).await {
+        match tokio::time::timeout(left, drain).await {
             Ok(()) => log::info!("event=left step=finished"),
             Err(_) => log::warn!("event=left step=deadline hint=\"raise shutdown.deadline\""),
         }
--- a/crates/edge/src/readiness.rs
+++ b/crates/edge/src/status.rs
@@ -1,4 +1,4 @@
-//! Answers the balancer's questions, and those of whoever looks after the process.
+//! Serves the balancer's readiness probes, and metrics and dumps for operators.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -19,22 +19,22 @@
 use hyper::body::Incoming;
 use serde_json::json;
 
-use crate::lanes::Lanes;
+use crate::connection_pools::ConnectionPools;
 use crate::metrics::Metrics;
 use crate::register::Register;
-use crate::state::State;
+use crate::shared_state::SharedState;
 
-/// Answers `/ready`, `/metrics` and `/dump`.
-pub(crate) struct Status {
-    pub(crate) state: Arc<State>,
+/// Handles requests for `/ready`, `/metrics` and `/dump`.
+pub(crate) struct StatusHandler {
+    pub(crate) state: Arc<SharedState>,
     pub(crate) relay: Shared<Relay>,
-    pub(crate) lanes: Arc<Lanes>,
+    pub(crate) connection_pools: Arc<ConnectionPools>,
     pub(crate) callers: Arc<ServerState>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) register: Arc<Register>,
 }
 
-impl Status {
+impl StatusHandler {
     fn answer(&self, path: &str) -> (StatusCode, String) {
         match path {
             "/ready" if self.state.is_ready() => (StatusCode::OK, String::new()),
@@ -48,14 +48,14 @@
         }
     }
 
-    /// The scrape.
+    /// Returns the metrics in the text format of a scrape.
     fn scrape(&self) -> String {
         let relay = lock(&self.relay);
         let c = *relay.counters();
         let in_flight = relay.in_flight();
         let version = relay.version().unwrap_or_default();
         drop(relay);
-        let counts = &self.lanes.counts;
+        let counts = &self.connection_pools.counts;
         let register = self.register.counts();
         let totals = [
             ("requests", c.arrivals),
@@ -76,26 +76,33 @@
             ("connections-opened", counts.opened.load(Ordering::Relaxed)),
             ("connections-lost", counts.lost.load(Ordering::Relaxed)),
             ("callers-accepted", self.callers.accepted()),
-            ("register-calls", register.calls),
-            ("register-questions", register.questions),
+            ("register-calls", register.platform_calls),
+            ("register-questions", register.peer_queries),
         ];
         let states = [
             ("requests-in-flight", in_flight as f64),
-            ("attempts-under-way", self.lanes.running() as f64),
+            (
+                "attempts-under-way",
+                self.connection_pools.in_flight() as f64,
+            ),
             ("callers-open", self.callers.open() as f64),
             ("routes-version", version.0 as f64),
             ("ready", f64::from(u8::from(self.state.is_ready()))),
-            ("register-asked", f64::from(u8::from(register.asks))),
+            (
+                "register-asked",
+                f64::from(u8::from(register.queries_platform)),
+            ),
         ];
         self.metrics.text(&totals, &states)
     }
 
+    /// Returns the state of the process as JSON.
     fn dump(&self) -> String {
         let relay = lock(&self.relay);
         let dump = json!({
             "version": relay.version(),
             "in-flight": relay.in_flight(),
-            "attempts": self.lanes.running(),
+            "attempts": self.connection_pools.in_flight(),
             "callers": self.callers.open(),
             "counters": relay.counters(),
             "register": self.register.dump(),
@@ -105,7 +112,7 @@
     }
 }
 
-impl Handler for Status {
+impl Handler for StatusHandler {
     fn handle(
         self: Arc<Self>,
         _: SocketAddr,
--- a/crates/edge/tests/settings.rs
+++ b/crates/edge/tests/settings.rs
@@ -1,18 +1,18 @@
-//! The settings file: what is read, and what is refused with a place and a reason.
+//! Tests of the settings file: defaults, and errors with a place and a reason.
 
 use gs_edge::EdgeSettings;
 use gs_types::prelude::*;
 use rstest::rstest;
 
-/// The documented example.
+/// Returns the example of the documentation.
 fn example() -> String {
     let page = include_str!("../../../docs/SETTINGS-relay.md");
     let (_, rest) = page.split_once("```toml\n").expect("an example");
     rest.split_once("```").expect("its end").0.to_owned()
 }
 
-/// The keys without a default.
-const LEAST: &str = r#"
+/// A file with only the keys that have no default.
+const MINIMAL: &str = r#"
 [vm]
 name = "front-hobart-a-1"
 data-centre = "hobart-a"
@@ -31,19 +31,19 @@
 
 #[test]
 fn the_documented_defaults_are_those_in_force() {
-    let documented = EdgeSettings::parse(&example()).expect("it reads");
-    let least = EdgeSettings::parse(LEAST).expect("it reads");
-    assert_eq!(documented, least);
+    let documented = EdgeSettings::parse(&example()).expect("it parses");
+    let minimal = EdgeSettings::parse(MINIMAL).expect("it parses");
+    assert_eq!(documented, minimal);
 }
 
 #[rstest]
 #[case::not_toml("[vm", "unclosed table")]
 #[case::unknown_key("[vm]\nnam = 1", "unknown field `nam`")]
 #[case::nothing("", "missing field `vm`")]
-fn what_cannot_be_read(#[case] text: &str, #[case] told: &str) {
-    let e = EdgeSettings::parse(text).expect_err("it is refused");
+fn what_cannot_be_read(#[case] text: &str, #[case] expected: &str) {
+    let e = EdgeSettings::parse(text).expect_err("it is rejected");
     assert_eq!(e.kind(), ErrorKind::BadInput);
-    assert!(e.to_string().contains(told), "{e}");
+    assert!(e.to_string().contains(expected), "{e}");
     assert!(
         e.hint().is_some_and(|h| h.contains("SETTINGS-relay")),
         "{e:?}"
@@ -59,26 +59,26 @@
 #[case("[answers]\nmargin = \"11s\"", "answers.margin")]
 #[case("[shutdown]\nlag = \"9s\"", "shutdown.lag")]
 fn what_is_out_of_range(#[case] more: &str, #[case] key: &str) {
-    let e = EdgeSettings::parse(&format!("{LEAST}{more}\n")).expect_err("it is refused");
+    let e = EdgeSettings::parse(&format!("{MINIMAL}{more}\n")).expect_err("it is rejected");
     assert!(e.to_string().contains(key), "{e}");
     assert!(e.hint().is_some_and(|h| h.contains(key)), "{e:?}");
 }
 
 #[test]
 fn a_file_that_is_not_there() {
-    let e = EdgeSettings::load("no/such.toml".as_ref()).expect_err("it is refused");
+    let e = EdgeSettings::load("no/such.toml".as_ref()).expect_err("it is rejected");
     assert_eq!((e.kind(), e.peer()), (ErrorKind::Io, Some("no/such.toml")));
 }
 
-/// Pages of a VM with an eighth of a core come after their objective: they left as late as those of a strong
-/// VM, and then took eight times as long to be put together and sent.
+/// Pages of a VM with an eighth of a core must not arrive after their objective: they take eight times as long to
+/// build and send as those of a strong VM, so they must be started earlier.
 #[rstest]
 #[case(1.0, 11_200)]
 #[case(0.5, 12_400)]
 #[case(0.12, 20_000)]
 #[case(0.0, 34_000)]
 fn a_weak_vm_answers_sooner(#[case] cores: f64, #[case] margin_us: u128) {
-    let mut cfg = EdgeSettings::parse(LEAST).expect("it reads");
+    let mut cfg = EdgeSettings::parse(MINIMAL).expect("it parses");
     cfg.vm.capacity.cores = cores;
     assert_eq!(cfg.relay().answer_margin.as_micros(), margin_us);
 }
