--- a/crates/edge/src/callers.rs
+++ b/crates/edge/src/callers.rs
@@ -52,6 +52,7 @@
     }
 }
 
+/// Logs a request that could not be parsed, and builds the response to it.
 fn error_response(e: &Error) -> Response<Full<Bytes>> {
     log::info!("event=request-unreadable kind={} error=\"{e}\"", e.kind());
     let mut res = Response::new(Full::new(Bytes::from(format!("{e}\n"))));
--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -74,7 +74,7 @@
 /// What changed since a revision.
 #[derive(Clone, Debug, Default)]
 pub struct Changes {
-    /// The revision to continue watching from.
+    /// The revision to continue the watch from.
     pub at: Revision,
     /// The changed objects, in order; empty if nothing changed in the given time.
     pub items: Vec<Item>,
--- a/crates/edge/src/directory_watcher.rs
+++ b/crates/edge/src/directory_watcher.rs
@@ -68,13 +68,13 @@
             coalesce_delay: self.coalesce_delay,
         };
         let mut outage_ends = self.reachability.outage_ends();
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             // A watch that began before an outage may wait on a dead connection and receive nothing until its time is
             // over, so the end of an outage cancels it. A list then takes fewer calls than the changes that have
             // accumulated, which come in pages.
             let result = tokio::select! {
-                result = self.list_or_watch(&mut state, begun) => result,
+                result = self.list_or_watch(&mut state, started) => result,
                 _ = outage_ends.changed() => {
                     state.at = None;
                     continue;
@@ -99,10 +99,10 @@
     }
 
     /// Makes one call: a list if none has succeeded yet, else a watch.
-    async fn list_or_watch(&self, state: &mut WatchState, begun: Instant) -> Result<()> {
+    async fn list_or_watch(&self, state: &mut WatchState, started: Instant) -> Result<()> {
         match state.at {
             None => self.list(state).await,
-            Some(after) => self.watch(state, after, begun).await,
+            Some(after) => self.watch(state, after, started).await,
         }
     }
 
@@ -138,7 +138,7 @@
     }
 
     async fn watch(&self, state: &mut WatchState, after: Revision, started: Instant) -> Result<()> {
-        let begun = Instant::now();
+        let watch_start = Instant::now();
         let changes = self.directory.watch(self.kind, after, WATCH_WAIT).await?;
         let is_full_page = changes.items.len() >= FULL_PAGE_LEN;
         let is_from_peer = changes.origin == Origin::Peer;
@@ -147,7 +147,7 @@
         } else {
             state
                 .coalesce_delay
-                .on_changes(begun.elapsed(), started.elapsed());
+                .on_changes(watch_start.elapsed(), started.elapsed());
         }
         for item in changes.items {
             self.apply(state, item);
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -273,7 +273,11 @@
 /// [`ErrorKind::BadInput`] if a header is missing or malformed.
 fn parse_delegation(mut head: Parts, body: Bytes) -> Result<(CallerRequest, DelegatedParts)> {
     let missing = |name: &HeaderName| {
-        Error::new(ErrorKind::BadInput, format!("no `{name}`")).at("read delegated request")
+        Error::new(
+            ErrorKind::BadInput,
+            format!("header `{name}` is missing or malformed"),
+        )
+        .at("read delegated request")
     };
     let h = &head.headers;
     let text = |name: &HeaderName| h.get(name).and_then(|v| v.to_str().ok());
--- a/crates/edge/src/register/answers.rs
+++ b/crates/edge/src/register/answers.rs
@@ -40,7 +40,7 @@
 
 impl PeerQuery {
     /// Parses a query; returns `None` if it is malformed.
-    fn read(uri: &Uri) -> Option<Self> {
+    fn parse(uri: &Uri) -> Option<Self> {
         let kind = match uri.path().strip_prefix(REGISTER_PATH)? {
             VMS => return Some(Self::Vms),
             PLATFORM_STATUS => return Some(Self::PlatformStatus),
@@ -64,7 +64,7 @@
 impl Register {
     /// Answers a query.
     pub(crate) async fn answer(&self, uri: &Uri) -> Response<Full<Bytes>> {
-        let Some(query) = PeerQuery::read(uri) else {
+        let Some(query) = PeerQuery::parse(uri) else {
             log::warn!("event=register-question-unreadable uri=\"{uri:.80}\"");
             return empty_response(StatusCode::BAD_REQUEST);
         };
--- a/crates/edge/src/register/client.rs
+++ b/crates/edge/src/register/client.rs
@@ -65,9 +65,15 @@
             .map_err(|text| failed(ErrorKind::Unavailable, text))?;
         match whole.status {
             StatusCode::OK => serde_json::from_slice(&whole.body)
-                .map_err(|e| failed(ErrorKind::BadInput, format!("unreadable: {e}"))),
-            StatusCode::GONE => Err(failed(ErrorKind::NotFound, "forgotten".into())),
-            status => Err(failed(ErrorKind::Unavailable, format!("answered {status}"))),
+                .map_err(|e| failed(ErrorKind::BadInput, format!("malformed answer: {e}"))),
+            StatusCode::GONE => Err(failed(
+                ErrorKind::NotFound,
+                "the requested changes are no longer available".into(),
+            )),
+            status => Err(failed(
+                ErrorKind::Unavailable,
+                format!("peer answered {status}"),
+            )),
         }
     }
 
--- a/crates/edge/src/register/wire.rs
+++ b/crates/edge/src/register/wire.rs
@@ -117,8 +117,8 @@
 }
 
 impl From<PeerVmListing> for Option<VmListing> {
-    fn from(told: PeerVmListing) -> Self {
-        match told {
+    fn from(listing: PeerVmListing) -> Self {
+        match listing {
             PeerVmListing::Listed { at, vms } => Some(VmListing {
                 at: Revision(at),
                 vms: vms.into_iter().map(VmAnnouncement::from).collect(),
--- a/crates/edge/src/request_log.rs
+++ b/crates/edge/src/request_log.rs
@@ -18,14 +18,14 @@
 
 /// Logs what operators need to know of requests that went wrong, and records the latency of all.
 pub(crate) struct RequestLog {
-    pace: Mutex<Pace>,
+    rate_limit: Mutex<Pace>,
     metrics: Arc<Metrics>,
 }
 
 impl RequestLog {
     pub(crate) fn new(metrics: Arc<Metrics>) -> Self {
         Self {
-            pace: Mutex::new(Pace::new(LOGGED_REQUESTS_PER_S_MAX)),
+            rate_limit: Mutex::new(Pace::new(LOGGED_REQUESTS_PER_S_MAX)),
             metrics,
         }
     }
@@ -37,7 +37,7 @@
         if outcome == WHOLE {
             return;
         }
-        let Some(suppressed) = lock(&self.pace).take(Instant::now()) else {
+        let Some(suppressed) = lock(&self.rate_limit).take(Instant::now()) else {
             return;
         };
         let (whole, parts) = e.parts;
--- a/crates/edge/src/settings.rs
+++ b/crates/edge/src/settings.rs
@@ -249,10 +249,11 @@
                 .with_hint("check that the file exists and may be read")
         };
         if std::fs::metadata(path).map_err(failed)?.len() > FILE_BYTES_MAX {
-            return Err(
-                Error::new(ErrorKind::TooMuch, format!("over {FILE_BYTES_MAX} bytes"))
-                    .at("read settings"),
-            );
+            return Err(Error::new(
+                ErrorKind::TooMuch,
+                format!("the file is larger than {FILE_BYTES_MAX} bytes"),
+            )
+            .at("read settings"));
         }
         Self::parse(&std::fs::read_to_string(path).map_err(failed)?)
     }
--- a/crates/edge/src/shared_state.rs
+++ b/crates/edge/src/shared_state.rs
@@ -29,7 +29,7 @@
     has_servers: AtomicBool,
     /// The servers known from a peer before the directory listed any.
     seeded_servers: Mutex<Vec<String>>,
-    is_leaving: AtomicBool,
+    is_shutting_down: AtomicBool,
 }
 
 impl SharedState {
@@ -102,12 +102,12 @@
     }
 
     /// Records that the process is shutting down.
-    pub(crate) fn set_leaving(&self) {
-        self.is_leaving.store(true, Ordering::Relaxed);
+    pub(crate) fn set_shutting_down(&self) {
+        self.is_shutting_down.store(true, Ordering::Relaxed);
     }
 
     /// Returns whether new callers are accepted: routes and servers are known and the process is not shutting down.
     pub(crate) fn is_ready(&self) -> bool {
-        !self.is_leaving.load(Ordering::Relaxed) && self.has_routes_and_servers()
+        !self.is_shutting_down.load(Ordering::Relaxed) && self.has_routes_and_servers()
     }
 }
--- a/crates/edge/src/shutdown.rs
+++ b/crates/edge/src/shutdown.rs
@@ -50,11 +50,11 @@
 
     /// Splits off the signal that requests a reload of the settings.
     pub(crate) fn split(self) -> (StopSignals, Signal) {
-        let ending = StopSignals {
+        let stop_signals = StopSignals {
             term: self.term,
             int: self.int,
         };
-        (ending, self.hup)
+        (stop_signals, self.hup)
     }
 }
 
@@ -92,7 +92,7 @@
     pub(crate) async fn run(self) {
         let start = Instant::now();
         log::info!("event=leaving step=unready");
-        self.state.set_leaving();
+        self.state.set_shutting_down();
         self.callers.announce_close();
         // Runs concurrently: an unreachable platform must not delay the shutdown.
         let (vm, directory) = (self.vm.clone(), Arc::clone(&self.directory));
--- a/crates/follow/src/source_selector.rs
+++ b/crates/follow/src/source_selector.rs
@@ -54,7 +54,7 @@
     is_outage: bool,
 }
 
-/// A peer that failed and is not queried for a while.
+/// The backoff of a peer that failed: it is not queried meanwhile.
 #[derive(Clone, Copy, Debug)]
 struct PeerBackoff {
     until: Instant,
