--- a/crates/edge/src/register/client.rs
+++ b/crates/edge/src/register/client.rs
@@ -66,10 +66,7 @@
         match whole.status {
             StatusCode::OK => serde_json::from_slice(&whole.body)
                 .map_err(|e| failed(ErrorKind::BadInput, format!("malformed answer: {e}"))),
-            StatusCode::GONE => Err(failed(
-                ErrorKind::NotFound,
-                "the requested changes are no longer available".into(),
-            )),
+            StatusCode::GONE => Err(failed(ErrorKind::NotFound, "forgotten".into())),
             status => Err(failed(
                 ErrorKind::Unavailable,
                 format!("peer answered {status}"),
