--- a/crates/edge/src/register/wire.rs
+++ b/crates/edge/src/register/wire.rs
@@ -1,4 +1,4 @@
-//! What VMs tell each other of the register.
+//! The format in which VMs exchange the register's contents.
 
 use std::sync::Arc;
 
@@ -9,20 +9,20 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::directory::Announced;
 use crate::directory::Item;
+use crate::directory::ItemContent;
 use crate::directory::Revision;
-use crate::directory::Thing;
+use crate::directory::VmAnnouncement;
 use crate::directory::VmListing;
 
-/// Where a peer is asked what the register says; the kind follows.
+/// The path prefix of queries to a peer for the register's contents, followed by the kind.
 pub(crate) const REGISTER_PATH: &str = "/register/";
-/// In place of a kind: the VMs that are announced.
+/// Stands in place of a kind for the announced VMs.
 pub(crate) const VMS: &str = "vms";
-/// In place of a kind: whether the peer is in touch with the register.
-pub(crate) const TOUCH: &str = "touch";
+/// Stands in place of a kind for whether the peer reaches the register.
+pub(crate) const PLATFORM_STATUS: &str = "touch";
 
-/// An object.
+/// An object of the register.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Object {
@@ -43,17 +43,17 @@
 }
 
 impl Object {
-    /// What an item says; `None` if it names nothing to use.
-    pub(crate) fn of(thing: &Thing) -> Option<Self> {
-        match thing {
-            Thing::Routes(table) => Some(Self::Routes(Arc::clone(table))),
-            Thing::Server(entry) => Some(Self::Server(Arc::clone(entry))),
-            Thing::Unreadable(_) | Thing::Gone => None,
+    /// Returns the object with the given content; `None` if that is unreadable or removed.
+    pub(crate) fn of(content: &ItemContent) -> Option<Self> {
+        match content {
+            ItemContent::Routes(table) => Some(Self::Routes(Arc::clone(table))),
+            ItemContent::Server(entry) => Some(Self::Server(Arc::clone(entry))),
+            ItemContent::Unreadable(_) | ItemContent::Removed => None,
         }
     }
 }
 
-/// An object by its name; without it, it is gone.
+/// An object with its name; removed if `object` is `None`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) struct Named {
@@ -64,89 +64,89 @@
 
 impl From<Named> for Item {
     fn from(n: Named) -> Self {
-        let thing = match n.object {
-            None => Thing::Gone,
-            Some(Object::Routes(table)) => Thing::Routes(table),
-            Some(Object::Server(entry)) => Thing::Server(entry),
+        let content = match n.object {
+            None => ItemContent::Removed,
+            Some(Object::Routes(table)) => ItemContent::Routes(table),
+            Some(Object::Server(entry)) => ItemContent::Server(entry),
         };
         Self {
             name: n.name,
-            thing,
+            content,
         }
     }
 }
 
-/// Objects up to a revision: all of a kind, or those that changed.
+/// Objects of a kind as of a revision: all of them, or those that changed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) struct Told {
+pub(crate) struct PeerObjects {
     pub(crate) at: u64,
     pub(crate) items: Vec<Named>,
-    /// How long ago, in ms, the register answered the peer.
+    /// The time since the register last answered the peer, in milliseconds.
     pub(crate) heard_ms: u64,
 }
 
-/// The answer to a question for everything of a kind.
+/// The answer to a query for all objects of a kind.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) enum ToldList {
-    /// What the register says.
-    All(Told),
-    /// The peer asks the register, and has not been answered of late.
+pub(crate) enum PeerListing {
+    /// All objects of the kind.
+    All(PeerObjects),
+    /// The peer queries the register but has no recent answer from it.
     NotYet,
 }
 
-/// Whether a peer is in touch with the register, and which requests crash servers.
+/// Whether a peer reaches the register, and which requests crash servers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) struct Touch {
+pub(crate) struct PlatformStatus {
     pub(crate) is_in_touch: bool,
-    /// How long ago, in ms, the register answered it.
+    /// The time since the register last answered it, in milliseconds.
     pub(crate) heard_ms: u64,
     pub(crate) quarantined: Vec<Fingerprint>,
 }
 
-/// The answer to a question for the VMs.
+/// The answer to a query for the VMs.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) enum ToldVms {
-    /// As they were listed in this state of the register.
-    Listed { at: u64, vms: Vec<ToldVm> },
-    /// The peer asks the register, and has not been answered of late.
+pub(crate) enum PeerVmListing {
+    /// The VMs, as listed at this revision of the register.
+    Listed { at: u64, vms: Vec<PeerVmEntry> },
+    /// The peer queries the register but has no recent answer from it.
     NotYet,
 }
 
-impl From<ToldVms> for Option<VmListing> {
-    fn from(told: ToldVms) -> Self {
-        match told {
-            ToldVms::Listed { at, vms } => Some(VmListing {
+impl From<PeerVmListing> for Option<VmListing> {
+    fn from(listing: PeerVmListing) -> Self {
+        match listing {
+            PeerVmListing::Listed { at, vms } => Some(VmListing {
                 at: Revision(at),
-                vms: vms.into_iter().map(Announced::from).collect(),
+                vms: vms.into_iter().map(VmAnnouncement::from).collect(),
             }),
-            ToldVms::NotYet => None,
+            PeerVmListing::NotYet => None,
         }
     }
 }
 
-impl From<VmListing> for ToldVms {
+impl From<VmListing> for PeerVmListing {
     fn from(l: VmListing) -> Self {
         Self::Listed {
             at: l.at.0,
-            vms: l.vms.into_iter().map(ToldVm::from).collect(),
+            vms: l.vms.into_iter().map(PeerVmEntry::from).collect(),
         }
     }
 }
 
-/// A VM that is announced.
+/// An announced VM.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(crate) struct ToldVm {
+pub(crate) struct PeerVmEntry {
     pub(crate) vm: PeerVm,
     pub(crate) at: u64,
 }
 
-impl From<ToldVm> for Announced {
-    fn from(t: ToldVm) -> Self {
+impl From<PeerVmEntry> for VmAnnouncement {
+    fn from(t: PeerVmEntry) -> Self {
         Self {
             vm: t.vm,
             at: Revision(t.at),
@@ -154,8 +154,8 @@
     }
 }
 
-impl From<Announced> for ToldVm {
-    fn from(a: Announced) -> Self {
+impl From<VmAnnouncement> for PeerVmEntry {
+    fn from(a: VmAnnouncement) -> Self {
         Self {
             vm: a.vm,
             at: a.at.0,
--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -1,30 +1,30 @@
-//! Who asks the register, and who hears of it from whom.
+//! Chooses which VMs query the register directly and which peer the others follow.
 //!
-//! A few VMs of each data centre ask the platform's register, the askers; the others follow one of them.
-//! Nothing is agreed on: every VM works the same candidates out from the list of VMs, and where two lists
-//! differ, a VM that does not ask says so and the follower turns to the next.
+//! A few VMs of each data centre query the platform's register directly; each of the others follows one of them.
+//! This needs no agreement between VMs: every VM computes the same candidates from the list of VMs. Where two lists
+//! differ, a VM that does not query the register reports so, and its follower tries the next candidate.
 //!
-//! [`candidates()`] ranks the VMs, [`Sources`] is the state machine that chooses whom to follow, [`Rounds`] says when
-//! to look, and [`Mirror`] is what a VM knows of a kind of objects and tells others of.
+//! [`candidates()`] ranks the VMs, [`SourceSelector`] is the state machine that chooses whom to follow, [`PollSchedule`] schedules
+//! the polls of the list of VMs, and [`Mirror`] holds the known objects of one kind and their changes, for followers.
 //!
 //! ```
 //! use gs_follow::Mirror;
 //!
 //! let mut mirror = Mirror::default();
-//! mirror.list(5, vec![("a".into(), 1)]);
-//! mirror.change(7, vec![("a".into(), None), ("b".into(), Some(2))]);
-//! let since = mirror.since(5).expect("not forgotten");
+//! mirror.apply_list(5, vec![("a".into(), 1)]);
+//! mirror.apply_changes(7, vec![("a".into(), None), ("b".into(), Some(2))]);
+//! let since = mirror.changes_since(5).expect("not forgotten");
 //! assert_eq!(since, [("a".to_owned(), None), ("b".to_owned(), Some(2))]);
 //! ```
 
 mod candidates;
 mod mirror;
-mod rounds;
-mod sources;
+mod poll_schedule;
+mod source_selector;
 
-pub use candidates::ASKERS;
+pub use candidates::DIRECT_VMS;
 pub use candidates::candidates;
 pub use mirror::Mirror;
-pub use rounds::Rounds;
-pub use sources::Source;
-pub use sources::Sources;
+pub use poll_schedule::PollSchedule;
+pub use source_selector::RegisterSource;
+pub use source_selector::SourceSelector;
