--- a/crates/limit/src/adaptive.rs
+++ b/crates/limit/src/adaptive.rs
@@ -5,10 +5,10 @@
 
 use gs_types::prelude::*;
 
+use crate::admission::AdmissionDecision;
 use crate::admission::AdmissionPolicy;
-use crate::admission::Ask;
-use crate::admission::Ended;
-use crate::admission::Verdict;
+use crate::admission::AdmissionRequest;
+use crate::admission::LookupEnd;
 use crate::dump::AdmissionDump;
 
 /// The most and the least of a lookup's time that its parts may need on the mean, wait included: its
@@ -92,7 +92,7 @@
     }
 
     /// Whether the lookup's parts can be in by its deadline.
-    fn fits(&self, ask: &Ask) -> bool {
+    fn fits(&self, ask: &AdmissionRequest) -> bool {
         let part = |fill: f64| ask.budget.mul_f64(fill.min(1.0));
         match ask.promise {
             Promise::Urgent => ask.typical <= part(self.fill * URGENT_FACTOR),
@@ -104,19 +104,19 @@
 }
 
 impl AdmissionPolicy for Adaptive {
-    fn admit(&mut self, now: Instant, ask: &Ask) -> Verdict {
+    fn admit(&mut self, now: Instant, ask: &AdmissionRequest) -> AdmissionDecision {
         self.count_calm(now);
         // With nothing in flight, nobody would learn that the servers are fast again.
         let is_probe = ask.in_flight == 0;
         if is_probe || (ask.in_flight < self.max && self.fits(ask)) {
-            return Verdict::Admit;
+            return AdmissionDecision::Admit;
         }
         self.overloaded_at = Some(now);
         self.calm_from = Some(now + CALM_AFTER);
-        Verdict::Refuse(ask.worst.clamp(RETRY_MIN, RETRY_MAX))
+        AdmissionDecision::Refuse(ask.worst.clamp(RETRY_MIN, RETRY_MAX))
     }
 
-    fn ended(&mut self, now: Instant, ended: &Ended) {
+    fn on_lookup_end(&mut self, now: Instant, ended: &LookupEnd) {
         if ended.congested {
             self.overloaded_at = Some(now);
         }
@@ -124,7 +124,7 @@
         self.fill = (self.fill + step).clamp(FILL_MIN, FILL_MAX);
     }
 
-    fn overloaded(&self, now: Instant) -> bool {
+    fn is_overloaded(&self, now: Instant) -> bool {
         self.overloaded_at
             .is_some_and(|at| now.saturating_duration_since(at) < OVERLOAD_HOLD)
     }
@@ -134,7 +134,7 @@
             policy: "adaptive",
             limit: self.max as f64,
             fill: self.fill,
-            overloaded: self.overloaded(now),
+            overloaded: self.is_overloaded(now),
         }
     }
 }
--- a/crates/limit/src/admission.rs
+++ b/crates/limit/src/admission.rs
@@ -10,7 +10,7 @@
 
 /// A lookup that asks to be taken on.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct AdmissionRequest {
     /// What it is promised.
     pub promise: Promise,
     /// The time left to answer it.
@@ -25,7 +25,7 @@
 
 /// Whether a lookup is taken on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AdmissionDecision {
     /// The whole of it is begun.
     Admit,
     /// None of it is begun; worth asking again after this time.
@@ -34,7 +34,7 @@
 
 /// How a lookup that was taken on ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended {
+pub struct LookupEnd {
     /// Whether it ended before its deadline ended it.
     pub in_time: bool,
     /// Whether a part was shed by a server, or still waited for a connection at the end.
@@ -44,13 +44,13 @@
 /// Decides which lookups are taken on.
 pub trait AdmissionPolicy: Debug + Send {
     /// Whether to begin a lookup.
-    fn admit(&mut self, now: Instant, ask: &Ask) -> Verdict;
+    fn admit(&mut self, now: Instant, ask: &AdmissionRequest) -> AdmissionDecision;
 
     /// A lookup that was taken on ended.
-    fn ended(&mut self, now: Instant, ended: &Ended);
+    fn on_lookup_end(&mut self, now: Instant, ended: &LookupEnd);
 
     /// Whether there is too much load for anything extra, such as hedges.
-    fn overloaded(&self, now: Instant) -> bool;
+    fn is_overloaded(&self, now: Instant) -> bool;
 
     /// What an operator sees of it.
     fn dump(&self, now: Instant) -> AdmissionDump;
--- a/crates/limit/src/fixed.rs
+++ b/crates/limit/src/fixed.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use crate::admission::AdmissionDecision;
 use crate::admission::AdmissionPolicy;
-use crate::admission::Ask;
-use crate::admission::Ended;
-use crate::admission::Verdict;
+use crate::admission::AdmissionRequest;
+use crate::admission::LookupEnd;
 use crate::dump::AdmissionDump;
 
 /// When a refused lookup is worth asking again.
@@ -27,17 +27,17 @@
 }
 
 impl AdmissionPolicy for Fixed {
-    fn admit(&mut self, _: Instant, ask: &Ask) -> Verdict {
+    fn admit(&mut self, _: Instant, ask: &AdmissionRequest) -> AdmissionDecision {
         if ask.in_flight < self.max {
-            Verdict::Admit
+            AdmissionDecision::Admit
         } else {
-            Verdict::Refuse(RETRY_AFTER)
+            AdmissionDecision::Refuse(RETRY_AFTER)
         }
     }
 
-    fn ended(&mut self, _: Instant, _: &Ended) {}
+    fn on_lookup_end(&mut self, _: Instant, _: &LookupEnd) {}
 
-    fn overloaded(&self, _: Instant) -> bool {
+    fn is_overloaded(&self, _: Instant) -> bool {
         false
     }
 
--- a/crates/limit/src/lib.rs
+++ b/crates/limit/src/lib.rs
@@ -13,10 +13,10 @@
 mod hedge;
 
 pub use adaptive::Adaptive;
+pub use admission::AdmissionDecision;
 pub use admission::AdmissionPolicy;
-pub use admission::Ask;
-pub use admission::Ended;
-pub use admission::Verdict;
+pub use admission::AdmissionRequest;
+pub use admission::LookupEnd;
 pub use budget::ExtraBudget;
 pub use digest::LatencyDigest;
 pub use dump::AdmissionDump;
--- a/crates/limit/tests/limits.rs
+++ b/crates/limit/tests/limits.rs
@@ -4,21 +4,21 @@
 use std::time::Instant;
 
 use gs_limit::Adaptive;
+use gs_limit::AdmissionDecision;
 use gs_limit::AdmissionPolicy;
-use gs_limit::Ask;
+use gs_limit::AdmissionRequest;
 use gs_limit::Distance;
-use gs_limit::Ended;
 use gs_limit::ExtraBudget;
 use gs_limit::Fixed;
 use gs_limit::HedgePolicy;
 use gs_limit::LatencyDigest;
 use gs_limit::LearnedDelay;
-use gs_limit::Verdict;
+use gs_limit::LookupEnd;
 use gs_types::prelude::*;
 use rstest::rstest;
 
-fn ask(promise: Promise, typical_ms: u64, worst_ms: u64, in_flight: usize) -> Ask {
-    Ask {
+fn ask(promise: Promise, typical_ms: u64, worst_ms: u64, in_flight: usize) -> AdmissionRequest {
+    AdmissionRequest {
         promise,
         budget: Duration::from_millis(100),
         typical: Duration::from_millis(typical_ms),
@@ -44,11 +44,11 @@
 ) {
     let mut policy = Adaptive::new(100);
     let verdict = policy.admit(Instant::now(), &ask(promise, typical_ms, worst_ms, 1));
-    assert_eq!(verdict == Verdict::Admit, admitted);
+    assert_eq!(verdict == AdmissionDecision::Admit, admitted);
 }
 
-fn ended(in_time: bool) -> Ended {
-    Ended {
+fn ended(in_time: bool) -> LookupEnd {
+    LookupEnd {
         in_time,
         congested: !in_time,
     }
@@ -61,18 +61,18 @@
     let mut policy = Adaptive::new(100);
     let mut now = Instant::now();
     let half_full = ask(Promise::Complete, 30, 60, 5);
-    assert_eq!(policy.admit(now, &half_full), Verdict::Admit);
+    assert_eq!(policy.admit(now, &half_full), AdmissionDecision::Admit);
     for _ in 0..6 {
-        policy.ended(now, &ended(false));
+        policy.on_lookup_end(now, &ended(false));
     }
-    assert_ne!(policy.admit(now, &half_full), Verdict::Admit);
-    assert!(policy.overloaded(now));
+    assert_ne!(policy.admit(now, &half_full), AdmissionDecision::Admit);
+    assert!(policy.is_overloaded(now));
     for _ in 0..200 {
-        policy.ended(now, &ended(true));
+        policy.on_lookup_end(now, &ended(true));
     }
     now += Duration::from_secs(1);
-    assert_eq!(policy.admit(now, &half_full), Verdict::Admit);
-    assert!(!policy.overloaded(now));
+    assert_eq!(policy.admit(now, &half_full), AdmissionDecision::Admit);
+    assert!(!policy.is_overloaded(now));
 }
 
 /// A storm of resends has ended. The VM takes a few lookups a second by now, and waiting until enough of
@@ -84,14 +84,14 @@
     let start = Instant::now();
     let half_full = ask(Promise::Complete, 30, 60, 5);
     for _ in 0..20 {
-        policy.ended(start, &ended(false));
+        policy.on_lookup_end(start, &ended(false));
     }
-    assert_ne!(policy.admit(start, &half_full), Verdict::Admit);
+    assert_ne!(policy.admit(start, &half_full), AdmissionDecision::Admit);
     let small = ask(Promise::Complete, 1, 1, 5);
     let calm = start + Duration::from_millis(500);
-    assert_eq!(policy.admit(calm, &small), Verdict::Admit);
+    assert_eq!(policy.admit(calm, &small), AdmissionDecision::Admit);
     let later = calm + Duration::from_secs(1);
-    assert_eq!(policy.admit(later, &half_full), Verdict::Admit);
+    assert_eq!(policy.admit(later, &half_full), AdmissionDecision::Admit);
 }
 
 #[test]
@@ -100,11 +100,15 @@
     let start = Instant::now();
     let half_full = ask(Promise::Complete, 30, 60, 5);
     for _ in 0..20 {
-        policy.ended(start, &ended(false));
+        policy.on_lookup_end(start, &ended(false));
     }
     for step in 0..20 {
         let now = start + Duration::from_millis(400) * step;
-        assert_ne!(policy.admit(now, &half_full), Verdict::Admit, "{step}");
+        assert_ne!(
+            policy.admit(now, &half_full),
+            AdmissionDecision::Admit,
+            "{step}"
+        );
     }
 }
 
@@ -115,12 +119,12 @@
     let mut policy = Adaptive::new(100);
     let now = Instant::now();
     for _ in 0..1000 {
-        policy.ended(now, &ended(false));
+        policy.on_lookup_end(now, &ended(false));
     }
     let slow = ask(Promise::Complete, 900, 900, 0);
-    assert_eq!(policy.admit(now, &slow), Verdict::Admit);
+    assert_eq!(policy.admit(now, &slow), AdmissionDecision::Admit);
     let second = ask(Promise::Complete, 900, 900, 1);
-    assert_ne!(policy.admit(now, &second), Verdict::Admit);
+    assert_ne!(policy.admit(now, &second), AdmissionDecision::Admit);
 }
 
 #[test]
@@ -128,9 +132,9 @@
     let mut policy = Fixed::new(2);
     let now = Instant::now();
     let hopeless = ask(Promise::Complete, 900, 900, 1);
-    assert_eq!(policy.admit(now, &hopeless), Verdict::Admit);
+    assert_eq!(policy.admit(now, &hopeless), AdmissionDecision::Admit);
     let full = ask(Promise::Urgent, 0, 0, 2);
-    assert_ne!(policy.admit(now, &full), Verdict::Admit);
+    assert_ne!(policy.admit(now, &full), AdmissionDecision::Admit);
 }
 
 #[test]
--- a/crates/query/src/arrive.rs
+++ b/crates/query/src/arrive.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use gs_limit::Ask;
-use gs_limit::Verdict;
+use gs_limit::AdmissionDecision;
+use gs_limit::AdmissionRequest;
 use gs_route::Pin;
 use gs_route::Readiness;
 use gs_route::ServerIdx;
@@ -156,7 +156,7 @@
         if !needs_all {
             return Ok(());
         }
-        let is_thin = pin.readiness == Readiness::Thin;
+        let is_thin = pin.readiness == Readiness::Incomplete;
         let shards = lk.shards.iter().enumerate();
         let missing = shards.filter_map(|(at, shard)| {
             let reason = self.out_of_reach(now, lk, at)?;
@@ -194,9 +194,9 @@
         let ask = self.ask(now, lk);
         let full = ask.in_flight >= self.options.lookups_max as usize;
         let retry = match self.admission.admit(now, &ask) {
-            Verdict::Admit if !full => return Ok(()),
-            Verdict::Admit => RETRY_AFTER,
-            Verdict::Refuse(retry) => retry,
+            AdmissionDecision::Admit if !full => return Ok(()),
+            AdmissionDecision::Admit => RETRY_AFTER,
+            AdmissionDecision::Refuse(retry) => retry,
         };
         // Callers that were refused together should not come back together.
         let spread = self.rng.random_range(1.0..1.5);
@@ -207,7 +207,7 @@
     }
 
     /// What the lookup would have to wait, from the queues before it.
-    fn ask(&self, now: Instant, lk: &LookupRun) -> Ask {
+    fn ask(&self, now: Instant, lk: &LookupRun) -> AdmissionRequest {
         let mut sum = 0.0_f64;
         let mut worst = 0.0_f64;
         for at in 0..lk.shards.len() {
@@ -216,7 +216,7 @@
             worst = worst.max(wait + latency);
         }
         let mean = sum / lk.shards.len().max(1) as f64;
-        Ask {
+        AdmissionRequest {
             promise: lk.decl.promise,
             budget: lk.answer_by.saturating_duration_since(now),
             typical: micros(mean),
--- a/crates/query/src/canary.rs
+++ b/crates/query/src/canary.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use gs_route::Standing;
+use gs_route::DispatchStatus;
 use gs_types::prelude::*;
 
 use crate::action::Action;
@@ -148,9 +148,9 @@
             .replicas(at)
             .iter()
             .filter(|s| {
-                let standing = self.servers.standing(now, **s);
+                let standing = self.servers.dispatch_status(now, **s);
                 self.servers.view(**s).is_eligible(lk.snapshot.id)
-                    && matches!(standing, Standing::Free | Standing::Busy)
+                    && matches!(standing, DispatchStatus::Free | DispatchStatus::Busy)
             })
             .count();
         if up > 1 { Risk::Spare } else { Risk::Last }
--- a/crates/query/src/core.rs
+++ b/crates/query/src/core.rs
@@ -183,7 +183,7 @@
 
     /// A server said itself that it drains: its queue moves, and every peer is told.
     pub(crate) fn drain_seen(&mut self, server: ServerIdx, out: &mut Vec<Action>) {
-        if self.servers.drain_own(server) {
+        if self.servers.drain_self_reported(server) {
             self.drained(server, "own", true, out);
         }
     }
--- a/crates/query/src/engine.rs
+++ b/crates/query/src/engine.rs
@@ -6,11 +6,11 @@
 use std::time::Instant;
 
 use bon::bon;
+use gs_route::DispatchStatus;
 use gs_route::GroupView;
-use gs_route::Heard;
 use gs_route::Report;
+use gs_route::ReportEffect;
 use gs_route::ServerIdx;
-use gs_route::Standing;
 use gs_types::prelude::*;
 
 use crate::action::Action;
@@ -157,7 +157,7 @@
         let core = &mut self.core;
         let Some(idx) = core.servers.find(&r.server) else {
             if r.draining {
-                core.servers.drain_early(&r.server, r.incarnation);
+                core.servers.drain_undeclared(&r.server, r.incarnation);
             }
             return;
         };
@@ -168,9 +168,9 @@
             draining: r.draining,
         };
         match core.servers.report(now, idx, report) {
-            Heard::Nothing => {}
-            Heard::Drained => core.drained(idx, "health", true, out),
-            Heard::NewRun => {
+            ReportEffect::Nothing => {}
+            ReportEffect::Drained => core.drained(idx, "health", true, out),
+            ReportEffect::NewIncarnation => {
                 core.freed.push(idx);
                 warm(core, idx, out);
             }
@@ -180,7 +180,7 @@
     fn shares(&mut self, shares: &[(ServerName, Connections)], out: &mut Vec<Action>) {
         for (name, share) in shares {
             let Some(idx) = self.core.servers.find(name) else {
-                self.core.servers.share_early(name, *share);
+                self.core.servers.share_undeclared(name, *share);
                 continue;
             };
             self.core.servers.set_share(idx, *share);
@@ -230,7 +230,7 @@
 
     fn connection(&mut self, server: &ServerName, opened: bool) {
         if let Some(idx) = self.core.servers.find(server) {
-            self.core.servers.connection(idx, opened);
+            self.core.servers.on_connection_change(idx, opened);
         }
     }
 
@@ -276,13 +276,13 @@
 
     fn serve_queue(&mut self, now: Instant, server: ServerIdx, out: &mut Vec<Action>) {
         while let Some(ticket) = self.core.waiting.first(server) {
-            match self.core.servers.standing(now, server) {
-                Standing::Free => {}
-                Standing::Paused(until) | Standing::Resting(until) => {
+            match self.core.servers.dispatch_status(now, server) {
+                DispatchStatus::Free => {}
+                DispatchStatus::Paused(until) | DispatchStatus::Ejected(until) => {
                     self.core.timers.insert((until, Timer::Server(server)));
                     return;
                 }
-                Standing::Busy | Standing::Out => return,
+                DispatchStatus::Busy | DispatchStatus::Draining => return,
             }
             self.with(ticket.seq, |core, lk| {
                 core.serve(now, lk, ticket.at, server, out);
--- a/crates/query/src/finish.rs
+++ b/crates/query/src/finish.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use gs_limit::Ended;
+use gs_limit::LookupEnd;
 use gs_types::prelude::*;
 
 use crate::action::Action;
@@ -140,9 +140,9 @@
         self.orphan_all(now, lk);
         self.disarm(lk);
         self.suspects.ended(lk.fingerprint, lk.seq);
-        self.admission.ended(
+        self.admission.on_lookup_end(
             now,
-            &Ended {
+            &LookupEnd {
                 in_time: now < lk.answer_by,
                 congested: lk.is_congested || waited,
             },
--- a/crates/query/src/heard.rs
+++ b/crates/query/src/heard.rs
@@ -33,7 +33,7 @@
             reply,
             PartReply::NotSent | PartReply::Late | PartReply::Cancelled
         ) {
-            self.servers.heard(now, server);
+            self.servers.note_contact(now, server);
         }
     }
 
@@ -84,7 +84,7 @@
 
     /// A server said which snapshots it holds; parts that wait for it may have to move.
     pub(crate) fn holds_seen(&mut self, now: Instant, server: ServerIdx, holds: &[SnapshotId]) {
-        if self.servers.said_holds(now, server, holds) {
+        if self.servers.set_held_snapshots(now, server, holds) {
             self.changed.push(server);
         }
     }
--- a/crates/query/src/life.rs
+++ b/crates/query/src/life.rs
@@ -163,7 +163,7 @@
         let pin = group
             .view
             .pin(&self.servers, lk.floor, Some(lk.snapshot.id))
-            .filter(|p| p.readiness != Readiness::Thin);
+            .filter(|p| p.readiness != Readiness::Incomplete);
         let Some(pin) = pin.filter(|_| !stuck) else {
             return false;
         };
@@ -214,7 +214,7 @@
             let waited = now.saturating_duration_since(a.at);
             let mean = self.servers.view(a.server).latency().mean();
             if mean.is_none_or(|mean| waited > mean) {
-                self.servers.took(now, a.server, waited);
+                self.servers.record_latency(now, a.server, waited);
                 let from = if self.servers.view(a.server).is_local() {
                     Distance::Near
                 } else {
--- a/crates/query/src/orphan.rs
+++ b/crates/query/src/orphan.rs
@@ -32,7 +32,7 @@
         };
         let heard = Heard {
             server: o.server,
-            is_current: self.servers.view(o.server).speaks_of_this_run(o.at),
+            is_current: self.servers.view(o.server).is_current_incarnation(o.at),
             was_live: false,
         };
         self.hear(now, reply, o.server);
--- a/crates/query/src/place.rs
+++ b/crates/query/src/place.rs
@@ -3,9 +3,9 @@
 use std::time::Instant;
 
 use gs_route::Candidate;
+use gs_route::DispatchStatus;
 use gs_route::Holds;
 use gs_route::ServerIdx;
-use gs_route::Standing;
 use gs_types::prelude::*;
 use smallvec::SmallVec;
 
@@ -108,15 +108,15 @@
             if !fits {
                 continue;
             }
-            match view.standing(now, route) {
-                Standing::Free => found.free.push(view.candidate(*server, now, route)),
-                Standing::Busy => found.busy.push(*server),
-                Standing::Paused(until) => found.paused.push((until, *server)),
-                Standing::Resting(_) if view.has_connection() => {
+            match view.dispatch_status(now, route) {
+                DispatchStatus::Free => found.free.push(view.candidate(*server, now, route)),
+                DispatchStatus::Busy => found.busy.push(*server),
+                DispatchStatus::Paused(until) => found.paused.push((until, *server)),
+                DispatchStatus::Ejected(_) if view.has_free_connection() => {
                     found.resting.push(view.candidate(*server, now, route));
                 }
-                Standing::Resting(_) => found.busy.push(*server),
-                Standing::Out => {}
+                DispatchStatus::Ejected(_) => found.busy.push(*server),
+                DispatchStatus::Draining => {}
             }
         }
         found
--- a/crates/query/src/reply.rs
+++ b/crates/query/src/reply.rs
@@ -63,7 +63,7 @@
         }
         let heard = Heard {
             server,
-            is_current: self.servers.view(server).speaks_of_this_run(begun),
+            is_current: self.servers.view(server).is_current_incarnation(begun),
             was_live,
         };
         self.hear(now, &reply, server);
@@ -93,7 +93,7 @@
     fn learn(&mut self, now: Instant, lk: &LookupRun, at: usize, n: usize) {
         let a = &lk.shards[at].attempts[n];
         let on_server = now.saturating_duration_since(a.sent.unwrap_or(a.at));
-        self.servers.took(now, a.server, on_server);
+        self.servers.record_latency(now, a.server, on_server);
         let whole = now.saturating_duration_since(a.at);
         let from = self.distance(a.server);
         self.groups[lk.group].hedge.observe(from, whole);
--- a/crates/query/src/signs.rs
+++ b/crates/query/src/signs.rs
@@ -43,7 +43,7 @@
     ) {
         let core = &mut self.core;
         let Some(idx) = core.servers.find(server) else {
-            core.servers.drain_early(server, incarnation);
+            core.servers.drain_undeclared(server, incarnation);
             return;
         };
         if !core.servers.drain(idx, incarnation) {
--- a/crates/query/src/timers.rs
+++ b/crates/query/src/timers.rs
@@ -103,7 +103,7 @@
         begun: Instant,
     ) {
         if now.saturating_duration_since(begun) >= lost_after(lk) {
-            self.servers.unanswered(now, server, begun);
+            self.servers.note_unanswered(now, server, begun);
         }
     }
 
@@ -149,7 +149,7 @@
             self.lost(now, lk, at, Lost::Failed, out);
             return true;
         }
-        if self.admission.overloaded(now) {
+        if self.admission.is_overloaded(now) {
             return false;
         }
         let Some(server) = self.place_hedge(now, lk, at) else {
--- a/crates/route/src/early.rs
+++ b/crates/route/src/early.rs
@@ -30,7 +30,7 @@
     ///
     /// Gossip and a group's map reach a starting process in any order; forgotten, the drain would
     /// come to light only by work for the leaving server.
-    pub fn drain_early(&mut self, name: &ServerName, incarnation: Option<Incarnation>) {
+    pub fn drain_undeclared(&mut self, name: &ServerName, incarnation: Option<Incarnation>) {
         if let Some(early) = self.early_of(name)
             && !early.drains.contains(&incarnation)
             && early.drains.len() < early.drains.inline_size()
@@ -40,7 +40,7 @@
     }
 
     /// Keeps the share of a server that is not declared yet.
-    pub fn share_early(&mut self, name: &ServerName, share: Connections) {
+    pub fn share_undeclared(&mut self, name: &ServerName, share: Connections) {
         if let Some(early) = self.early_of(name) {
             early.share = Some(share);
         }
--- a/crates/route/src/group.rs
+++ b/crates/route/src/group.rs
@@ -23,11 +23,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Readiness {
     /// Some shards have no replica that may hold it.
-    Thin,
+    Incomplete,
     /// Every shard has a replica that may hold it, but some never said what they hold.
     Assumed,
     /// Every shard has a replica that says it holds it.
-    Full,
+    Confirmed,
 }
 
 /// A snapshot that a lookup can be pinned to.
@@ -137,7 +137,7 @@
         if best.is_none_or(|b| p.rank() > b.rank()) {
             best = Some(p);
         }
-        if p.readiness == Readiness::Full {
+        if p.readiness == Readiness::Confirmed {
             break;
         }
     }
@@ -145,11 +145,11 @@
 }
 
 fn assess(snapshot: &Arc<Snapshot>, servers: &Servers) -> Pin {
-    let mut readiness = Readiness::Full;
+    let mut readiness = Readiness::Confirmed;
     let mut ready = 0;
     for replicas in &snapshot.shards {
         let shard = shard_readiness(replicas, snapshot.id, servers);
-        ready += u32::from(shard != Readiness::Thin);
+        ready += u32::from(shard != Readiness::Incomplete);
         readiness = readiness.min(shard);
     }
     Pin {
@@ -160,14 +160,14 @@
 }
 
 fn shard_readiness(replicas: &[ServerIdx], id: SnapshotId, servers: &Servers) -> Readiness {
-    let mut best = Readiness::Thin;
+    let mut best = Readiness::Incomplete;
     for idx in replicas {
         let view = servers.view(*idx);
         if view.is_draining() {
             continue;
         }
         match view.holds(id) {
-            Holds::Yes => return Readiness::Full,
+            Holds::Yes => return Readiness::Confirmed,
             Holds::Unknown => best = Readiness::Assumed,
             Holds::No => {}
         }
--- a/crates/route/src/options.rs
+++ b/crates/route/src/options.rs
@@ -8,12 +8,12 @@
     /// How long a cold server takes to get its full share of attempts.
     pub slow_start: Duration,
     /// The first rest of a server that was set aside; doubled each time in a row.
-    pub rest_min: Duration,
+    pub ejection_min: Duration,
     /// The longest rest.
-    pub rest_max: Duration,
+    pub ejection_max: Duration,
     /// How much longer a server rests whose health endpoint does not answer either, so that dead
     /// servers are not probed with lookups all the time; bounded, as endpoints mislead.
-    pub rest_silent: Duration,
+    pub ejection_silent: Duration,
     /// The weight of failures in a row at which a server is set aside; see
     /// [`Failure::weight`](crate::Failure::weight).
     pub failures_max: u32,
@@ -25,9 +25,9 @@
     fn default() -> Self {
         Self {
             slow_start: Duration::from_secs(3),
-            rest_min: Duration::from_millis(250),
-            rest_max: Duration::from_secs(5),
-            rest_silent: Duration::from_secs(20),
+            ejection_min: Duration::from_millis(250),
+            ejection_max: Duration::from_secs(5),
+            ejection_silent: Duration::from_secs(20),
             failures_max: 4,
             self_report: Duration::from_secs(3),
         }
--- a/crates/route/src/runs.rs
+++ b/crates/route/src/runs.rs
@@ -24,26 +24,26 @@
 
 /// What a report or a sign changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum ReportEffect {
     /// Nothing that matters to work in flight.
     Nothing,
     /// The server has begun to drain.
     Drained,
     /// A new run of the server is there, and takes work.
-    NewRun,
+    NewIncarnation,
 }
 
 impl Servers {
     /// Takes a health report in, as a hint; one of an earlier run is dropped.
-    pub fn report(&mut self, now: Instant, idx: ServerIdx, report: Report<'_>) -> Heard {
+    pub fn report(&mut self, now: Instant, idx: ServerIdx, report: Report<'_>) -> ReportEffect {
         let view = &mut self.list[idx.index()];
         view.is_silent = report.incarnation.is_none();
         let Some(told) = report.incarnation else {
-            return Heard::Nothing;
+            return ReportEffect::Nothing;
         };
         let known = view.incarnation;
         if known.is_some_and(|known| told < known) {
-            return Heard::Nothing;
+            return ReportEffect::Nothing;
         }
         view.incarnation = Some(told);
         let is_new = known.is_some_and(|known| told > known);
@@ -52,12 +52,12 @@
         }
         self.take_hints(now, idx, report);
         if report.draining && self.drain(idx, Some(told)) {
-            return Heard::Drained;
+            return ReportEffect::Drained;
         }
         if is_new {
-            Heard::NewRun
+            ReportEffect::NewIncarnation
         } else {
-            Heard::Nothing
+            ReportEffect::Nothing
         }
     }
 
@@ -116,14 +116,14 @@
             }
             None => view.unnamed_drain = Some(view.incarnation),
         }
-        self.drain_own(idx)
+        self.drain_self_reported(idx)
     }
 
     /// Marks the run known now as draining, by the server's own word; `true` if it was not before.
     ///
     /// Unlike a sign that names no run it is never an echo, so it does not make such a sign about
     /// the next run look like one.
-    pub fn drain_own(&mut self, idx: ServerIdx) -> bool {
+    pub fn drain_self_reported(&mut self, idx: ServerIdx) -> bool {
         if self.view(idx).is_draining() {
             return false;
         }
--- a/crates/route/src/server.rs
+++ b/crates/route/src/server.rs
@@ -56,7 +56,7 @@
 
 /// Whether a server can take an attempt now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum DispatchStatus {
     /// It can.
     Free,
     /// All of this VM's share of its connections is in use.
@@ -64,9 +64,9 @@
     /// It refused for load and asked for a pause until then, or could not be reached just now.
     Paused(Instant),
     /// It failed too often and rests until then.
-    Resting(Instant),
+    Ejected(Instant),
     /// It is draining.
-    Out,
+    Draining,
 }
 
 /// One backend server as this VM sees it.
@@ -183,7 +183,7 @@
     /// A reply of the old run may arrive after the new one was heard of; taken for the new run's,
     /// a late drain answer would keep it out of service until yet another restart.
     #[must_use]
-    pub fn speaks_of_this_run(&self, handed_over: Instant) -> bool {
+    pub fn is_current_incarnation(&self, handed_over: Instant) -> bool {
         self.run_since.is_none_or(|since| handed_over >= since)
     }
 
@@ -224,26 +224,26 @@
 
     /// Whether it can take an attempt now.
     #[must_use]
-    pub fn standing(&self, now: Instant, options: &RouteOptions) -> Standing {
+    pub fn dispatch_status(&self, now: Instant, options: &RouteOptions) -> DispatchStatus {
         if self.is_draining() {
-            return Standing::Out;
+            return DispatchStatus::Draining;
         }
         if let Some(until) = self.pause_until.filter(|until| *until > now) {
-            return Standing::Paused(until);
+            return DispatchStatus::Paused(until);
         }
         if let Some(until) = self.rest(now, options) {
-            return Standing::Resting(until);
+            return DispatchStatus::Ejected(until);
         }
         if self.in_flight < self.bound(now, options) {
-            Standing::Free
+            DispatchStatus::Free
         } else {
-            Standing::Busy
+            DispatchStatus::Busy
         }
     }
 
     /// Whether a connection of our share is free, whatever else is known of the server.
     #[must_use]
-    pub fn has_connection(&self) -> bool {
+    pub fn has_free_connection(&self) -> bool {
         !self.is_draining() && self.in_flight < self.share.0
     }
 
@@ -252,7 +252,7 @@
             return None;
         }
         let longer = if self.is_silent {
-            options.rest_silent
+            options.ejection_silent
         } else {
             Duration::ZERO
         };
--- a/crates/route/src/servers.rs
+++ b/crates/route/src/servers.rs
@@ -11,9 +11,9 @@
 
 use crate::early::Early;
 use crate::options::RouteOptions;
+use crate::server::DispatchStatus;
 use crate::server::Failure;
 use crate::server::ServerView;
-use crate::server::Standing;
 use crate::state;
 use crate::state::ServerEvent;
 use crate::state::ServerState;
@@ -147,8 +147,8 @@
 
     /// Whether a server can take an attempt now.
     #[must_use]
-    pub fn standing(&self, now: Instant, idx: ServerIdx) -> Standing {
-        self.view(idx).standing(now, &self.options)
+    pub fn dispatch_status(&self, now: Instant, idx: ServerIdx) -> DispatchStatus {
+        self.view(idx).dispatch_status(now, &self.options)
     }
 
     /// Sets how many connections this VM may hold to a server.
@@ -157,7 +157,7 @@
     }
 
     /// Counts a connection that opened or closed.
-    pub fn connection(&mut self, idx: ServerIdx, opened: bool) {
+    pub fn on_connection_change(&mut self, idx: ServerIdx, opened: bool) {
         let view = &mut self.list[idx.index()];
         view.open = if opened {
             view.open.saturating_add(1)
@@ -201,7 +201,7 @@
     }
 
     /// An attempt that was sent took this long, or was given up after it.
-    pub fn took(&mut self, now: Instant, idx: ServerIdx, latency: Duration) {
+    pub fn record_latency(&mut self, now: Instant, idx: ServerIdx, latency: Duration) {
         self.list[idx.index()].latency.add(now, latency);
     }
 
@@ -248,9 +248,9 @@
         let options = &self.options;
         let view = &mut self.list[idx.index()];
         let rest = options
-            .rest_min
+            .ejection_min
             .saturating_mul(1 << view.rests.min(REST_DOUBLINGS))
-            .min(options.rest_max);
+            .min(options.ejection_max);
         view.rests = view.rests.saturating_add(1);
         view.rest_until = Some(now + rest);
         self.step(idx, event);
@@ -264,7 +264,12 @@
     }
 
     /// A server said itself which snapshots it holds, with a refusal; `true` if that is new.
-    pub fn said_holds(&mut self, now: Instant, idx: ServerIdx, holds: &[SnapshotId]) -> bool {
+    pub fn set_held_snapshots(
+        &mut self,
+        now: Instant,
+        idx: ServerIdx,
+        holds: &[SnapshotId],
+    ) -> bool {
         let until = now + self.options.self_report;
         let view = &mut self.list[idx.index()];
         view.self_report_until = Some(until);
--- a/crates/route/src/silence.rs
+++ b/crates/route/src/silence.rs
@@ -14,7 +14,7 @@
 
 impl Servers {
     /// Something came back from a server.
-    pub fn heard(&mut self, now: Instant, idx: ServerIdx) {
+    pub fn note_contact(&mut self, now: Instant, idx: ServerIdx) {
         let view = &mut self.list[idx.index()];
         view.heard_at = Some(now);
         if view.lost_at.take().is_some() {
@@ -24,7 +24,7 @@
 
     /// An attempt that began then was given up at its deadline; if nothing at all came back from its server
     /// since, that is lost.
-    pub fn unanswered(&mut self, now: Instant, idx: ServerIdx, begun: Instant) {
+    pub fn note_unanswered(&mut self, now: Instant, idx: ServerIdx, begun: Instant) {
         let view = &mut self.list[idx.index()];
         if view.heard_at.is_some_and(|at| at >= begun) {
             return;
