--- a/crates/limit/src/adaptive.rs
+++ b/crates/limit/src/adaptive.rs
@@ -1,4 +1,6 @@
-//! The chosen policy: can the deadline be met, by urgency, with a margin that follows the load.
+//! The default admission policy: admits a lookup if its expected time fits its deadline.
+//!
+//! The fraction of the deadline that a lookup may need depends on its promise and adapts to the load.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,116 +13,126 @@
 use crate::admission::LookupEnd;
 use crate::dump::AdmissionDump;
 
-/// The most and the least of a lookup's time that its parts may need on the mean, wait included: its
-/// *fill*.
+/// The largest *fill*: the fraction of a lookup's time budget that its parts may need on the mean,
+/// queueing included.
 ///
-/// The rest is kept for the parts that need longer and for what cannot be known; a longer queue
-/// would only add to latency, as the servers are busy with a short one too.
+/// The remainder is reserved for parts that take longer than the mean and for unknown delays. A
+/// longer queue would only add latency, because a short queue already keeps the servers busy.
 const FILL_MAX: f64 = 0.4;
+
+/// The smallest fill.
 const FILL_MIN: f64 = 0.15;
 
-/// What a lookup that ends late takes off the fill.
-const FILL_DOWN: f64 = 0.03;
+/// How much a lookup that ends late lowers the fill.
+const FILL_DECREASE: f64 = 0.03;
 
-/// What a lookup that ends in time adds to it; the fill then settles where one in 25 is late.
-const FILL_UP: f64 = FILL_DOWN / 25.0;
+/// How much a lookup that ends in time raises the fill; the fill converges to where one lookup in 25
+/// is late.
+const FILL_INCREASE: f64 = FILL_DECREASE / 25.0;
 
-/// How long nothing must have been refused before the fill is given back by time.
-const CALM_AFTER: Duration = Duration::from_millis(500);
+/// The time without a rejection after which the fill starts to recover with time.
+const RECOVERY_DELAY: Duration = Duration::from_millis(500);
 
-/// How much of the fill a second of calm gives back.
-const CALM_UP: f64 = FILL_MAX - FILL_MIN;
+/// How much the fill recovers per second without a rejection; one second restores all of it.
+const RECOVERY_PER_S: f64 = FILL_MAX - FILL_MIN;
 
-/// How much more an urgent lookup may fill, as it can answer without its last parts.
+/// Multiplies the fill for an urgent lookup, which can answer without its last parts.
 const URGENT_FACTOR: f64 = 1.25;
 
-/// How much more the last part may fill, of a lookup that is worth nothing without it.
+/// Multiplies the fill for the slowest part of a lookup that has no value without it.
 const LAST_PART_FACTOR: f64 = 2.0;
 
-/// How long overload is held for true after its last sign.
+/// How long overload is reported after it was last observed.
 const OVERLOAD_HOLD: Duration = Duration::from_millis(500);
 
-/// The least and the most time that a refused lookup is told to stay away.
-const RETRY_MIN: Duration = Duration::from_millis(100);
-const RETRY_MAX: Duration = Duration::from_secs(5);
+/// The shortest time after which a rejected caller is asked to retry.
+const RETRY_AFTER_MIN: Duration = Duration::from_millis(100);
+
+/// The longest time after which a rejected caller is asked to retry.
+const RETRY_AFTER_MAX: Duration = Duration::from_secs(5);
 
-/// Admits what can end by its deadline.
+/// Admits lookups that are expected to end by their deadline.
 ///
-/// An urgent lookup must fit by what its parts need on the mean, as it can answer without the last.
-/// A complete one is worth nothing without its last part, so that must fit too; under pressure
-/// complete lookups are thus refused before urgent ones.
+/// An urgent lookup is admitted if the mean time of its parts fits, because it can answer without
+/// the last parts. A complete lookup has no value without its last part, so the slowest part must
+/// fit too. Under load, complete lookups are therefore rejected before urgent ones.
 ///
-/// How much of its time a lookup may fill shrinks with each one that ends late and grows slowly with
-/// those in time. That finds the concurrency that the servers bear, whatever other VMs send them,
-/// from this VM's own outcomes alone.
+/// The fill decreases with each lookup that ends late and increases slowly with each that ends in
+/// time. This finds the concurrency that the servers can sustain from the outcomes on this VM alone,
+/// whatever load other VMs send.
 ///
-/// Guards against an overload that outlasts its cause: a storm ends, a VM takes few lookups by then,
-/// and each in time gives back a little only, so it went on refusing for a minute. While nothing is
-/// refused the fill binds nobody, so a second of calm gives all of it back.
+/// The fill also recovers with time, so that an overload does not outlast its cause. After a burst of
+/// resends a VM admits few lookups, and each one that ends in time raises the fill only a little;
+/// the VM would reject callers for another minute. While nothing is rejected the fill limits no
+/// lookup, so one second without a rejection restores all of it.
 #[derive(Debug)]
 pub struct Adaptive {
-    max: usize,
+    in_flight_max: usize,
     fill: f64,
-    /// When overload last showed.
+    /// When overload was last observed.
     overloaded_at: Option<Instant>,
-    /// When a lookup was last refused, or calm was last counted in.
-    calm_from: Option<Instant>,
+    /// From when the fill recovers: a delay after the last rejection, or the last update.
+    recovers_from: Option<Instant>,
 }
 
 impl Adaptive {
-    /// Starts with the largest fill, and never lets more lookups be in flight than `max`.
+    /// Creates the policy with the largest fill and a limit of `in_flight_max` lookups in flight.
     #[must_use]
-    pub fn new(max: usize) -> Self {
+    pub fn new(in_flight_max: usize) -> Self {
         Self {
-            max,
+            in_flight_max,
             fill: FILL_MAX,
             overloaded_at: None,
-            calm_from: None,
+            recovers_from: None,
         }
     }
 
-    /// Gives back what the calm since the last refusal has earned.
-    fn count_calm(&mut self, now: Instant) {
-        let Some(from) = self.calm_from else {
+    /// Raises the fill by the time without a rejection since the last update.
+    fn recover_fill(&mut self, now: Instant) {
+        let Some(from) = self.recovers_from else {
             return;
         };
-        let calm = now.saturating_duration_since(from);
-        if !calm.is_zero() {
-            self.fill = (self.fill + calm.as_secs_f64() * CALM_UP).min(FILL_MAX);
-            self.calm_from = Some(now);
+        let elapsed = now.saturating_duration_since(from);
+        if !elapsed.is_zero() {
+            self.fill = (self.fill + elapsed.as_secs_f64() * RECOVERY_PER_S).min(FILL_MAX);
+            self.recovers_from = Some(now);
         }
     }
 
-    /// Whether the lookup's parts can be in by its deadline.
-    fn fits(&self, ask: &AdmissionRequest) -> bool {
-        let part = |fill: f64| ask.budget.mul_f64(fill.min(1.0));
-        match ask.promise {
-            Promise::Urgent => ask.typical <= part(self.fill * URGENT_FACTOR),
+    /// Whether the lookup's parts are expected to arrive by its deadline.
+    fn fits_deadline(&self, req: &AdmissionRequest) -> bool {
+        let share = |fill: f64| req.budget.mul_f64(fill.min(1.0));
+        match req.promise {
+            Promise::Urgent => req.typical <= share(self.fill * URGENT_FACTOR),
             Promise::Complete | Promise::AtMostOnce => {
-                ask.typical <= part(self.fill) && ask.worst <= part(self.fill * LAST_PART_FACTOR)
+                req.typical <= share(self.fill) && req.worst <= share(self.fill * LAST_PART_FACTOR)
             }
         }
     }
 }
 
 impl AdmissionPolicy for Adaptive {
-    fn admit(&mut self, now: Instant, ask: &AdmissionRequest) -> AdmissionDecision {
-        self.count_calm(now);
-        // With nothing in flight, nobody would learn that the servers are fast again.
-        let is_probe = ask.in_flight == 0;
-        if is_probe || (ask.in_flight < self.max && self.fits(ask)) {
+    fn admit(&mut self, now: Instant, req: &AdmissionRequest) -> AdmissionDecision {
+        self.recover_fill(now);
+        // With nothing in flight, only a new lookup can show that the servers are fast again.
+        let is_probe = req.in_flight == 0;
+        if is_probe || (req.in_flight < self.in_flight_max && self.fits_deadline(req)) {
             return AdmissionDecision::Admit;
         }
         self.overloaded_at = Some(now);
-        self.calm_from = Some(now + CALM_AFTER);
-        AdmissionDecision::Refuse(ask.worst.clamp(RETRY_MIN, RETRY_MAX))
+        self.recovers_from = Some(now + RECOVERY_DELAY);
+        AdmissionDecision::Refuse(req.worst.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX))
     }
 
-    fn on_lookup_end(&mut self, now: Instant, ended: &LookupEnd) {
-        if ended.congested {
+    fn on_lookup_end(&mut self, now: Instant, end: &LookupEnd) {
+        if end.congested {
             self.overloaded_at = Some(now);
         }
-        let step = if ended.in_time { FILL_UP } else { -FILL_DOWN };
+        let step = if end.in_time {
+            FILL_INCREASE
+        } else {
+            -FILL_DECREASE
+        };
         self.fill = (self.fill + step).clamp(FILL_MIN, FILL_MAX);
     }
 
@@ -132,7 +144,7 @@
     fn dump(&self, now: Instant) -> AdmissionDump {
         AdmissionDump {
             policy: "adaptive",
-            limit: self.max as f64,
+            limit: self.in_flight_max as f64,
             fill: self.fill,
             overloaded: self.is_overloaded(now),
         }
--- a/crates/limit/src/admission.rs
+++ b/crates/limit/src/admission.rs
@@ -1,4 +1,4 @@
-//! The border between what is known of the load and the choice to take a lookup on.
+//! The interface of admission control: input, decision and policy trait.
 
 use std::fmt::Debug;
 use std::time::Duration;
@@ -8,50 +8,50 @@
 
 use crate::dump::AdmissionDump;
 
-/// A lookup that asks to be taken on.
+/// A lookup that requests admission.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest {
-    /// What it is promised.
+    /// The promise made for the lookup.
     pub promise: Promise,
-    /// The time left to answer it.
+    /// The time left until its deadline.
     pub budget: Duration,
-    /// How long its parts would wait for a connection and then take, as a mean over its shards.
+    /// The expected time of a part, including the wait for a connection, as a mean over its shards.
     pub typical: Duration,
-    /// The same for the part that would come last.
+    /// The same for the part that is expected to arrive last.
     pub worst: Duration,
     /// Lookups in flight.
     pub in_flight: usize,
 }
 
-/// Whether a lookup is taken on.
+/// Whether a lookup is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// The whole of it is begun.
+    /// The lookup starts at all its shards.
     Admit,
-    /// None of it is begun; worth asking again after this time.
+    /// No part of the lookup starts; a retry is useful after this time.
     Refuse(Duration),
 }
 
-/// How a lookup that was taken on ended.
+/// How an admitted lookup ended.
 #[derive(Clone, Copy, Debug)]
 pub struct LookupEnd {
-    /// Whether it ended before its deadline ended it.
+    /// Whether it ended before its deadline.
     pub in_time: bool,
     /// Whether a part was shed by a server, or still waited for a connection at the end.
     pub congested: bool,
 }
 
-/// Decides which lookups are taken on.
+/// Decides which lookups are admitted.
 pub trait AdmissionPolicy: Debug + Send {
-    /// Whether to begin a lookup.
-    fn admit(&mut self, now: Instant, ask: &AdmissionRequest) -> AdmissionDecision;
+    /// Decides whether to start a lookup.
+    fn admit(&mut self, now: Instant, req: &AdmissionRequest) -> AdmissionDecision;
 
-    /// A lookup that was taken on ended.
-    fn on_lookup_end(&mut self, now: Instant, ended: &LookupEnd);
+    /// Records the end of an admitted lookup.
+    fn on_lookup_end(&mut self, now: Instant, end: &LookupEnd);
 
-    /// Whether there is too much load for anything extra, such as hedges.
+    /// Whether the load is too high for extra attempts such as hedges.
     fn is_overloaded(&self, now: Instant) -> bool;
 
-    /// What an operator sees of it.
+    /// Returns the policy's state for operators.
     fn dump(&self, now: Instant) -> AdmissionDump;
 }
--- a/crates/limit/src/budget.rs
+++ b/crates/limit/src/budget.rs
@@ -1,59 +1,60 @@
-//! The budget for hedges and retries together.
+//! The shared budget for hedges and retries.
 
 use std::time::Instant;
 
-/// The part of the saved-up budget that only retries may use, as hedges only save time.
-const RETRY_RESERVE: f64 = 0.5;
+/// The fraction of the burst that is reserved for retries, because hedges only reduce latency.
+const RETRY_RESERVE_FRACTION: f64 = 0.5;
 
-/// A token bucket that first attempts fill and extra attempts empty.
+/// A token bucket that initial attempts fill and extra attempts drain.
 ///
-/// Extra attempts are then at most a few per cent of all, whatever fails: retries cannot turn a
-/// slow moment of the servers into a lasting overload.
+/// It limits extra attempts to a few per cent of all attempts whatever fails, so that retries cannot
+/// turn a short slowdown of the servers into a lasting overload.
 #[derive(Debug)]
 pub struct ExtraBudget {
     tokens: f64,
     ratio: f64,
     burst: f64,
-    floor: f64,
-    at: Option<Instant>,
+    refill_per_s: f64,
+    refilled_at: Option<Instant>,
 }
 
 impl ExtraBudget {
-    /// Earns `ratio` extra attempts by each first one and `floor` a second as well, and saves up
-    /// `burst` of them; starts with what is kept for retries.
+    /// Creates a budget that gains `ratio` tokens per initial attempt and `refill_per_s` tokens per
+    /// second, and holds at most `burst` tokens; starts with the reserve for retries.
     #[must_use]
-    pub fn new(ratio: f64, burst: u32, floor: f64) -> Self {
+    pub fn new(ratio: f64, burst: u32, refill_per_s: f64) -> Self {
         Self {
-            tokens: f64::from(burst) * RETRY_RESERVE,
+            tokens: f64::from(burst) * RETRY_RESERVE_FRACTION,
             ratio,
             burst: f64::from(burst),
-            floor,
-            at: None,
+            refill_per_s,
+            refilled_at: None,
         }
     }
 
-    /// A first attempt was made.
+    /// Adds the tokens earned by an initial attempt.
     pub fn earn(&mut self) {
         self.tokens = (self.tokens + self.ratio).min(self.burst);
     }
 
-    /// Takes `count` retries out; `false` and nothing taken if there are not so many.
+    /// Takes tokens for `count` retries; returns `false` and takes nothing if there are too few.
     pub fn take_retries(&mut self, now: Instant, count: u32) -> bool {
         self.take(now, f64::from(count), 0.0)
     }
 
-    /// Takes a hedge out; `false` and nothing taken if what is left is kept for retries.
+    /// Takes a token for a hedge; returns `false` and takes nothing if only the reserve for retries
+    /// is left.
     pub fn take_hedge(&mut self, now: Instant) -> bool {
-        let reserve = self.burst * RETRY_RESERVE;
+        let reserve = self.burst * RETRY_RESERVE_FRACTION;
         self.take(now, 1.0, reserve)
     }
 
-    /// Gives back what was taken for an attempt that was not made.
+    /// Returns tokens taken for attempts that were not made.
     pub fn give_back(&mut self, count: u32) {
         self.tokens = (self.tokens + f64::from(count)).min(self.burst);
     }
 
-    /// Extra attempts that may be made now.
+    /// Returns the number of extra attempts that may be made now.
     #[must_use]
     pub fn left(&self) -> f64 {
         self.tokens
@@ -69,10 +70,10 @@
     }
 
     fn refill(&mut self, now: Instant) {
-        if let Some(at) = self.at {
-            let passed = now.saturating_duration_since(at).as_secs_f64();
-            self.tokens = (self.tokens + passed * self.floor).min(self.burst);
+        if let Some(refilled_at) = self.refilled_at {
+            let passed = now.saturating_duration_since(refilled_at).as_secs_f64();
+            self.tokens = (self.tokens + passed * self.refill_per_s).min(self.burst);
         }
-        self.at = Some(now);
+        self.refilled_at = Some(now);
     }
 }
--- a/crates/limit/src/dump.rs
+++ b/crates/limit/src/dump.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of admission.
+//! The state of admission control for operators.
 
 use serde::Serialize;
 
@@ -7,10 +7,11 @@
 pub struct AdmissionDump {
     /// The policy's name.
     pub policy: &'static str,
-    /// Lookups that it lets be in flight at most.
+    /// The most lookups in flight that it admits.
     pub limit: f64,
-    /// The part of its time that a lookup's parts may need on the mean; 1 if it does not look.
+    /// The fraction of a lookup's time budget that its parts may need on the mean; 1 if the policy
+    /// does not check it.
     pub fill: f64,
-    /// Whether it sees overload.
+    /// Whether it reports overload.
     pub overloaded: bool,
 }
--- a/crates/limit/src/fixed.rs
+++ b/crates/limit/src/fixed.rs
@@ -1,4 +1,4 @@
-//! The baseline: a fixed bound on lookups in flight.
+//! The baseline admission policy: a fixed limit on lookups in flight.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,26 +9,26 @@
 use crate::admission::LookupEnd;
 use crate::dump::AdmissionDump;
 
-/// When a refused lookup is worth asking again.
+/// The time after which a rejected caller is asked to retry.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Admits everything below a fixed bound, blind to deadlines, urgency and queues.
+/// Admits every lookup below a fixed limit, regardless of deadlines, urgency and queues.
 #[derive(Debug)]
 pub struct Fixed {
-    max: usize,
+    in_flight_max: usize,
 }
 
 impl Fixed {
-    /// Bounds lookups in flight.
+    /// Creates the policy with a limit of `in_flight_max` lookups in flight.
     #[must_use]
-    pub fn new(max: usize) -> Self {
-        Self { max }
+    pub fn new(in_flight_max: usize) -> Self {
+        Self { in_flight_max }
     }
 }
 
 impl AdmissionPolicy for Fixed {
-    fn admit(&mut self, _: Instant, ask: &AdmissionRequest) -> AdmissionDecision {
-        if ask.in_flight < self.max {
+    fn admit(&mut self, _: Instant, req: &AdmissionRequest) -> AdmissionDecision {
+        if req.in_flight < self.in_flight_max {
             AdmissionDecision::Admit
         } else {
             AdmissionDecision::Refuse(RETRY_AFTER)
@@ -44,7 +44,7 @@
     fn dump(&self, _: Instant) -> AdmissionDump {
         AdmissionDump {
             policy: "fixed",
-            limit: self.max as f64,
+            limit: self.in_flight_max as f64,
             fill: 1.0,
             overloaded: false,
         }
--- a/crates/limit/src/hedge.rs
+++ b/crates/limit/src/hedge.rs
@@ -1,32 +1,32 @@
-//! When a part that is slow to come is asked for again elsewhere.
+//! Policies for when a slow part is hedged at another replica.
 
 use std::fmt::Debug;
 use std::time::Duration;
 
 use crate::digest::LatencyDigest;
 
-/// The least delay before a hedge; below it, noise of this process would cause hedges.
-const DELAY_MIN: Duration = Duration::from_millis(1);
+/// The shortest delay before a hedge; below it, scheduling noise of this process would cause hedges.
+const HEDGE_DELAY_MIN: Duration = Duration::from_millis(1);
 
-/// How far a part comes from; the link to another data centre is part of its latency.
+/// Whether a part comes from another data centre, whose network latency adds to that of the part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Distance {
-    /// From this VM's data centre.
+    /// The data centre of this VM.
     Near,
-    /// From another one.
+    /// Another data centre.
     Far,
 }
 
-/// Says after which time a part is hedged.
+/// Decides after which time a part is hedged.
 pub trait HedgePolicy: Debug + Send {
-    /// A part came after this time, or was given up after it.
+    /// Records that a part arrived, or its attempt was abandoned, after this time.
     fn observe(&mut self, from: Distance, latency: Duration);
 
-    /// The time after which a part is hedged; `None` for never.
+    /// Returns the time after which a part is hedged; `None` for never.
     fn delay(&self, from: Distance) -> Option<Duration>;
 }
 
-/// The baseline: no hedges.
+/// The baseline policy: no hedges.
 #[derive(Debug)]
 pub struct NoHedge;
 
@@ -38,7 +38,8 @@
     }
 }
 
-/// The chosen policy: hedges parts slower than a quantile of the recent ones from as far.
+/// The default policy: hedges parts that are slower than a quantile of recent parts from the same
+/// [`Distance`].
 #[derive(Debug)]
 pub struct LearnedDelay {
     near: LatencyDigest,
@@ -46,7 +47,7 @@
 }
 
 impl LearnedDelay {
-    /// Hedges above this quantile, between 0 and 1.
+    /// Creates the policy that hedges above this quantile, between 0 and 1.
     #[must_use]
     pub fn new(quantile: f64) -> Self {
         Self {
@@ -66,9 +67,9 @@
 
     fn delay(&self, from: Distance) -> Option<Duration> {
         let learned = match from {
-            Distance::Near => self.near.shown().or(self.far.shown()),
-            Distance::Far => self.far.shown(),
+            Distance::Near => self.near.estimate().or(self.far.estimate()),
+            Distance::Far => self.far.estimate(),
         };
-        learned.map(|d| d.max(DELAY_MIN))
+        learned.map(|d| d.max(HEDGE_DELAY_MIN))
     }
 }
--- a/crates/limit/src/lib.rs
+++ b/crates/limit/src/lib.rs
@@ -1,8 +1,8 @@
-//! How much this VM takes on: admission, and budgets for extra attempts.
+//! Admission control, hedging delays and the budget for extra attempts of a VM.
 //!
-//! An [`AdmissionPolicy`] says whether a lookup is begun at all, a [`HedgePolicy`] when a slow part
-//! is asked for again elsewhere, and [`ExtraBudget`] bounds hedges and retries together, so that
-//! trouble on the servers cannot multiply the load on them.
+//! An [`AdmissionPolicy`] decides whether a lookup starts, a [`HedgePolicy`] when a slow part is
+//! requested from another replica as well, and [`ExtraBudget`] limits hedges and retries together, so
+//! that failures of the servers cannot multiply the load on them.
 
 mod adaptive;
 mod admission;
--- a/crates/limit/tests/limits.rs
+++ b/crates/limit/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Admission, budgets and the learned delay.
+//! Tests of admission, the budget for extra attempts and the learned hedge delay.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,7 +17,7 @@
 use gs_types::prelude::*;
 use rstest::rstest;
 
-fn ask(promise: Promise, typical_ms: u64, worst_ms: u64, in_flight: usize) -> AdmissionRequest {
+fn request(promise: Promise, typical_ms: u64, worst_ms: u64, in_flight: usize) -> AdmissionRequest {
     AdmissionRequest {
         promise,
         budget: Duration::from_millis(100),
@@ -43,51 +43,51 @@
     #[case] admitted: bool,
 ) {
     let mut policy = Adaptive::new(100);
-    let verdict = policy.admit(Instant::now(), &ask(promise, typical_ms, worst_ms, 1));
-    assert_eq!(verdict == AdmissionDecision::Admit, admitted);
+    let decision = policy.admit(Instant::now(), &request(promise, typical_ms, worst_ms, 1));
+    assert_eq!(decision == AdmissionDecision::Admit, admitted);
 }
 
-fn ended(in_time: bool) -> LookupEnd {
+fn lookup_end(in_time: bool) -> LookupEnd {
     LookupEnd {
         in_time,
         congested: !in_time,
     }
 }
 
-/// Other VMs load the servers too, so this one's estimate says that a lookup fits, and yet lookups
-/// end late. It must take on less until they end in time, and more again afterwards.
+/// Lookups end late although the estimate of this VM says that they fit, because other VMs load the
+/// servers too. The policy must admit less until lookups end in time, and more again afterwards.
 #[test]
 fn late_lookups_lower_what_is_taken_on_until_they_are_in_time() {
     let mut policy = Adaptive::new(100);
     let mut now = Instant::now();
-    let half_full = ask(Promise::Complete, 30, 60, 5);
+    let half_full = request(Promise::Complete, 30, 60, 5);
     assert_eq!(policy.admit(now, &half_full), AdmissionDecision::Admit);
     for _ in 0..6 {
-        policy.on_lookup_end(now, &ended(false));
+        policy.on_lookup_end(now, &lookup_end(false));
     }
     assert_ne!(policy.admit(now, &half_full), AdmissionDecision::Admit);
     assert!(policy.is_overloaded(now));
     for _ in 0..200 {
-        policy.on_lookup_end(now, &ended(true));
+        policy.on_lookup_end(now, &lookup_end(true));
     }
     now += Duration::from_secs(1);
     assert_eq!(policy.admit(now, &half_full), AdmissionDecision::Admit);
     assert!(!policy.is_overloaded(now));
 }
 
-/// A storm of resends has ended. The VM takes a few lookups a second by now, and waiting until enough of
-/// them were in time it refused callers for a minute more. Half a second without a refusal is calm, and
-/// a second of calm gives everything back.
+/// After a burst of resends the VM admits few lookups a second. If the fill recovered only by lookups that
+/// end in time, the VM would reject callers for another minute. Recovery starts half a second after the last
+/// rejection and takes one second.
 #[test]
 fn calm_after_a_storm_gives_back_what_it_took() {
     let mut policy = Adaptive::new(100);
     let start = Instant::now();
-    let half_full = ask(Promise::Complete, 30, 60, 5);
+    let half_full = request(Promise::Complete, 30, 60, 5);
     for _ in 0..20 {
-        policy.on_lookup_end(start, &ended(false));
+        policy.on_lookup_end(start, &lookup_end(false));
     }
     assert_ne!(policy.admit(start, &half_full), AdmissionDecision::Admit);
-    let small = ask(Promise::Complete, 1, 1, 5);
+    let small = request(Promise::Complete, 1, 1, 5);
     let calm = start + Duration::from_millis(500);
     assert_eq!(policy.admit(calm, &small), AdmissionDecision::Admit);
     let later = calm + Duration::from_secs(1);
@@ -98,9 +98,9 @@
 fn while_lookups_are_refused_nothing_is_given_back() {
     let mut policy = Adaptive::new(100);
     let start = Instant::now();
-    let half_full = ask(Promise::Complete, 30, 60, 5);
+    let half_full = request(Promise::Complete, 30, 60, 5);
     for _ in 0..20 {
-        policy.on_lookup_end(start, &ended(false));
+        policy.on_lookup_end(start, &lookup_end(false));
     }
     for step in 0..20 {
         let now = start + Duration::from_millis(400) * step;
@@ -112,18 +112,18 @@
     }
 }
 
-/// After an overload the last latencies seen are bad ones. If every lookup were refused for them,
-/// nobody would find out that the servers are fast again.
+/// After an overload the last recorded latencies are high. If they caused every lookup to be rejected, no
+/// new sample would show that the servers are fast again.
 #[test]
 fn a_lookup_is_always_taken_on_when_none_is_in_flight() {
     let mut policy = Adaptive::new(100);
     let now = Instant::now();
     for _ in 0..1000 {
-        policy.on_lookup_end(now, &ended(false));
+        policy.on_lookup_end(now, &lookup_end(false));
     }
-    let slow = ask(Promise::Complete, 900, 900, 0);
+    let slow = request(Promise::Complete, 900, 900, 0);
     assert_eq!(policy.admit(now, &slow), AdmissionDecision::Admit);
-    let second = ask(Promise::Complete, 900, 900, 1);
+    let second = request(Promise::Complete, 900, 900, 1);
     assert_ne!(policy.admit(now, &second), AdmissionDecision::Admit);
 }
 
@@ -131,9 +131,9 @@
 fn the_baseline_looks_at_nothing_but_its_bound() {
     let mut policy = Fixed::new(2);
     let now = Instant::now();
-    let hopeless = ask(Promise::Complete, 900, 900, 1);
+    let hopeless = request(Promise::Complete, 900, 900, 1);
     assert_eq!(policy.admit(now, &hopeless), AdmissionDecision::Admit);
-    let full = ask(Promise::Urgent, 0, 0, 2);
+    let full = request(Promise::Urgent, 0, 0, 2);
     assert_ne!(policy.admit(now, &full), AdmissionDecision::Admit);
 }
 
@@ -177,17 +177,17 @@
     for n in 0..10_000_u64 {
         digest.add(Duration::from_micros(1_000 + n % 1_000));
     }
-    let p90 = digest.shown().expect("enough samples").as_micros();
+    let p90 = digest.estimate().expect("enough samples").as_micros();
     assert!((1_750..2_100).contains(&p90), "{p90}");
     for _ in 0..100_000 {
         digest.add(Duration::from_micros(100));
     }
-    let p90 = digest.shown().expect("enough samples").as_micros();
+    let p90 = digest.estimate().expect("enough samples").as_micros();
     assert!((95..115).contains(&p90), "{p90}");
 }
 
-/// A small VM sees few parts of a group. A hedge delay learned only from 128 of them left it without
-/// hedges for its first ten seconds, in which every straggler was waited for.
+/// A small VM receives few parts of a group. If a hedge delay needed 128 samples, such a VM would not
+/// hedge in its first ten seconds and would wait for every straggler.
 #[test]
 fn a_hedge_delay_is_known_after_sixteen_parts() {
     let mut hedge = LearnedDelay::new(0.975);
