--- a/crates/route/src/dump.rs
+++ b/crates/route/src/dump.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of a backend server's view.
+//! The view of a backend server for operators.
 
 use std::time::Duration;
 
@@ -14,31 +14,31 @@
     pub server: ServerName,
     /// Its service.
     pub service: ServiceName,
-    /// Where it stands.
+    /// Its data centre.
     pub data_centre: DataCentre,
-    /// Its state by the chart `server`.
+    /// Its state by the state machine definition `charts/server.toml`.
     pub state: String,
-    /// The run last heard of.
+    /// The newest known incarnation.
     pub incarnation: Option<Incarnation>,
-    /// The snapshots it is known to hold; `None` if it never said.
+    /// The snapshots that it reported to hold; `None` if it never reported any.
     pub snapshots: Option<Vec<SnapshotId>>,
-    /// Attempts of this VM in flight there.
+    /// Attempts of this VM in flight at it.
     pub in_flight: u32,
-    /// Connections that this VM may hold to it.
+    /// Connections that this VM may open to it.
     pub share: Connections,
-    /// Connections that this VM holds to it, as the shell tells.
+    /// Connections that this VM has open to it, as reported by the I/O driver (shell).
     pub open: u32,
-    /// The latency of its parts, smoothed; `None` before the first.
+    /// The smoothed latency of its parts; `None` before the first.
     #[serde(with = "humantime_serde")]
     pub latency: Option<Duration>,
-    /// The load it sent with its last reply or report.
+    /// The load that it sent with its last reply or health report.
     pub load: u32,
-    /// Failures in a row.
+    /// The weight of consecutive failures.
     pub failures: u32,
 }
 
 impl ServerView {
-    /// What an operator sees of it.
+    /// Returns the view for operators.
     #[must_use]
     pub fn dump(&self) -> ServerDump {
         ServerDump {
--- a/crates/route/src/group.rs
+++ b/crates/route/src/group.rs
@@ -1,4 +1,4 @@
-//! The snapshots of a group, and which of them can be pinned.
+//! The snapshots of a group and the choice of the one that a lookup is pinned to.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use crate::servers::ServerIdx;
 use crate::servers::Servers;
 
-/// A snapshot's shards with the places of their replicas.
+/// The shards of a snapshot with their replicas.
 #[derive(Debug)]
 pub struct Snapshot {
     /// Its number.
@@ -19,14 +19,14 @@
     pub shards: Vec<SmallVec<[ServerIdx; 4]>>,
 }
 
-/// How well a snapshot is held.
+/// Whether the replicas of a snapshot hold it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Readiness {
     /// Some shards have no replica that may hold it.
     Incomplete,
-    /// Every shard has a replica that may hold it, but some never said what they hold.
+    /// Every shard has a replica that may hold it, but some never reported what they hold.
     Assumed,
-    /// Every shard has a replica that says it holds it.
+    /// Every shard has a replica that reports to hold it.
     Confirmed,
 }
 
@@ -35,21 +35,21 @@
 pub struct Pin {
     /// The snapshot.
     pub snapshot: Arc<Snapshot>,
-    /// How well it is held.
+    /// Whether its replicas hold it.
     pub readiness: Readiness,
-    /// Shards with a replica that may hold it.
+    /// The number of shards with a replica that may hold it.
     pub ready: u32,
 }
 
 impl Pin {
-    /// Shards without a replica that may hold it.
+    /// Returns the number of shards without a replica that may hold it.
     #[must_use]
     pub fn missing(&self) -> u32 {
         // A group map is at most a megabyte, so the count of shards fits.
         (self.snapshot.shards.len() as u32).saturating_sub(self.ready)
     }
 
-    /// Larger is better.
+    /// Returns the order of preference; larger is better.
     fn rank(&self) -> (Readiness, Reverse<u32>) {
         (self.readiness, Reverse(self.missing()))
     }
@@ -61,13 +61,14 @@
     revision: u64,
     /// Newest first.
     snapshots: Vec<Arc<Snapshot>>,
-    /// What [`GroupView::pin`] works from, and the count of changes at which it was true.
+    /// The assessed snapshots that [`GroupView::pin`] chooses from.
     pins: Vec<Pin>,
-    pins_at: Option<u64>,
+    /// The value of [`Servers::changes`] for which `pins` was computed.
+    pins_computed_for: Option<u64>,
 }
 
 impl GroupView {
-    /// Takes a group's map in.
+    /// Creates the view from a group's map and declares its servers.
     #[must_use]
     pub fn new(map: &GroupMap, servers: &mut Servers) -> Self {
         for decl in &map.servers {
@@ -76,7 +77,7 @@
         let mut snapshots: Vec<Arc<Snapshot>> = map
             .snapshots
             .iter()
-            .filter_map(|s| compile(&map.group, s, servers))
+            .filter_map(|s| resolve_snapshot(&map.group, s, servers))
             .map(Arc::new)
             .collect();
         snapshots.sort_by_key(|s| Reverse(s.id));
@@ -84,42 +85,42 @@
             revision: map.revision,
             snapshots,
             pins: Vec::new(),
-            pins_at: None,
+            pins_computed_for: None,
         }
     }
 
-    /// The revision of the map.
+    /// Returns the revision of the map.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The best snapshot to pin, not older than `floor` and not `except`.
+    /// Returns the best snapshot to pin that is not older than `snapshot_min` and not `except`.
     ///
-    /// The newest that every shard is known to be ready for; without one, the newest that every
-    /// shard may be ready for; without one, that with the fewest shards missing, the newer of equals.
+    /// This is the newest that every shard is known to hold; otherwise the newest that every shard
+    /// may hold; otherwise the one with the fewest missing shards, the newer of equals.
     pub fn pin(
         &mut self,
         servers: &Servers,
-        floor: Option<SnapshotId>,
+        snapshot_min: Option<SnapshotId>,
         except: Option<SnapshotId>,
     ) -> Option<Pin> {
         self.refresh(servers);
-        choose(&self.pins, floor, except)
+        choose(&self.pins, snapshot_min, except)
     }
 
-    /// What [`GroupView::pin`] would choose for a lookup without a floor.
+    /// Returns what [`GroupView::pin`] would choose for a lookup without a minimum snapshot.
     #[must_use]
     pub fn peek(&self, servers: &Servers) -> Option<Pin> {
         choose(&self.assess_all(servers), None, None)
     }
 
     fn refresh(&mut self, servers: &Servers) {
-        if self.pins_at == Some(servers.changes()) {
+        if self.pins_computed_for == Some(servers.changes()) {
             return;
         }
         self.pins = self.assess_all(servers);
-        self.pins_at = Some(servers.changes());
+        self.pins_computed_for = Some(servers.changes());
     }
 
     fn assess_all(&self, servers: &Servers) -> Vec<Pin> {
@@ -127,10 +128,14 @@
     }
 }
 
-fn choose(pins: &[Pin], floor: Option<SnapshotId>, except: Option<SnapshotId>) -> Option<Pin> {
+fn choose(
+    pins: &[Pin],
+    snapshot_min: Option<SnapshotId>,
+    except: Option<SnapshotId>,
+) -> Option<Pin> {
     let fits = |p: &&Pin| {
         let id = p.snapshot.id;
-        floor.is_none_or(|f| id >= f) && except != Some(id)
+        snapshot_min.is_none_or(|min| id >= min) && except != Some(id)
     };
     let mut best: Option<&Pin> = None;
     for p in pins.iter().filter(fits) {
@@ -176,8 +181,8 @@
 }
 
 /// Resolves the names of a snapshot's replicas; `None` if its shards are not numbered from 0
-/// without gaps, as a keyed lookup could then ask the wrong one.
-fn compile(group: &GroupName, map: &SnapshotMap, servers: &Servers) -> Option<Snapshot> {
+/// without gaps, because a keyed lookup could then query the wrong shard.
+fn resolve_snapshot(group: &GroupName, map: &SnapshotMap, servers: &Servers) -> Option<Snapshot> {
     let mut shards = vec![None; map.shards.len()];
     for s in &map.shards {
         let replicas: SmallVec<[ServerIdx; 4]> =
--- a/crates/route/src/runs.rs
+++ b/crates/route/src/incarnations.rs
@@ -1,4 +1,4 @@
-//! The runs of a server: health reports, restarts and drains.
+//! The incarnations of a server: health reports, restarts and drains.
 
 use std::time::Instant;
 
@@ -9,49 +9,49 @@
 use crate::servers::Servers;
 use crate::state::ServerEvent;
 
-/// What a server's health and load endpoint says.
+/// A report of a server's health and load endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct Report<'a> {
-    /// The run of the server; `None` if it did not answer.
+    /// The incarnation of the server; `None` if it did not answer.
     pub incarnation: Option<Incarnation>,
-    /// The snapshots that it says are ready.
+    /// The snapshots that it reports as ready.
     pub snapshots: &'a [SnapshotId],
-    /// The load that it claims.
+    /// The load that it reports.
     pub load: u32,
-    /// Whether it says it is draining.
+    /// Whether it reports that it is draining.
     pub draining: bool,
 }
 
-/// What a report or a sign changed.
+/// The effect of a health report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportEffect {
-    /// Nothing that matters to work in flight.
+    /// Nothing changed that affects work in flight.
     Nothing,
     /// The server has begun to drain.
     Drained,
-    /// A new run of the server is there, and takes work.
+    /// The server has a new incarnation, which accepts work.
     NewIncarnation,
 }
 
 impl Servers {
-    /// Takes a health report in, as a hint; one of an earlier run is dropped.
+    /// Applies a health report as a hint; a report of an earlier incarnation is ignored.
     pub fn report(&mut self, now: Instant, idx: ServerIdx, report: Report<'_>) -> ReportEffect {
         let view = &mut self.list[idx.index()];
         view.is_silent = report.incarnation.is_none();
-        let Some(told) = report.incarnation else {
+        let Some(reported) = report.incarnation else {
             return ReportEffect::Nothing;
         };
         let known = view.incarnation;
-        if known.is_some_and(|known| told < known) {
+        if known.is_some_and(|known| reported < known) {
             return ReportEffect::Nothing;
         }
-        view.incarnation = Some(told);
-        let is_new = known.is_some_and(|known| told > known);
+        view.incarnation = Some(reported);
+        let is_new = known.is_some_and(|known| reported > known);
         if is_new {
-            self.new_run(now, idx);
+            self.begin_incarnation(now, idx);
         }
-        self.take_hints(now, idx, report);
-        if report.draining && self.drain(idx, Some(told)) {
+        self.apply_hints(now, idx, report);
+        if report.draining && self.drain(idx, Some(reported)) {
             return ReportEffect::Drained;
         }
         if is_new {
@@ -61,9 +61,9 @@
         }
     }
 
-    fn take_hints(&mut self, now: Instant, idx: ServerIdx, report: Report<'_>) {
+    fn apply_hints(&mut self, now: Instant, idx: ServerIdx, report: Report<'_>) {
         let view = &mut self.list[idx.index()];
-        if view.load_at.is_none() {
+        if view.load_reported_at.is_none() {
             view.load = report.load;
         }
         if view.self_report_until.is_some_and(|until| until > now) {
@@ -79,50 +79,52 @@
         }
     }
 
-    /// A new run holds what it says, is cold, and carries none of the old run's marks.
-    fn new_run(&mut self, now: Instant, idx: ServerIdx) {
+    /// Resets the view for a new incarnation: it is cold, holds only what it reports, and inherits no
+    /// failures, ejection or backoff of the previous one.
+    fn begin_incarnation(&mut self, now: Instant, idx: ServerIdx) {
         self.step(idx, ServerEvent::NewRun);
         let view = &mut self.list[idx.index()];
-        view.run_since = Some(now);
+        view.incarnation_since = Some(now);
         view.warming_since = Some(now);
         view.snapshots = Some(SmallVec::new());
         view.self_report_until = None;
         view.latency.clear();
         view.load = 0;
-        view.load_at = None;
+        view.load_reported_at = None;
         view.failures = 0;
-        view.losses = 0;
-        view.rests = 0;
-        view.rest_until = None;
-        view.pause_until = None;
+        view.connection_failures = 0;
+        view.ejections = 0;
+        view.ejected_until = None;
+        view.paused_until = None;
         view.lost_at = None;
         self.changes += 1;
     }
 
-    /// Marks a run of a server as draining; `true` if it was not marked before.
+    /// Marks an incarnation of a server as draining; returns `true` if it was not marked before.
     ///
-    /// A sign for an earlier run than the one known is dropped. A sign that names no run counts for
-    /// the run known now, and told again after a restart it is dropped too.
+    /// A notice about an earlier incarnation than the current one is ignored. A notice without an
+    /// incarnation applies to the current one; if it is repeated after a restart it is ignored too.
     pub fn drain(&mut self, idx: ServerIdx, incarnation: Option<Incarnation>) -> bool {
         let view = &mut self.list[idx.index()];
         match incarnation {
-            Some(told) if view.incarnation.is_some_and(|known| told < known) => return false,
-            Some(told) => view.incarnation = Some(told),
+            Some(named) if view.incarnation.is_some_and(|known| named < known) => return false,
+            Some(named) => view.incarnation = Some(named),
             None if view
-                .unnamed_drain
-                .is_some_and(|run| run != view.incarnation) =>
+                .unspecified_drain
+                .is_some_and(|applied| applied != view.incarnation) =>
             {
                 return false;
             }
-            None => view.unnamed_drain = Some(view.incarnation),
+            None => view.unspecified_drain = Some(view.incarnation),
         }
         self.drain_self_reported(idx)
     }
 
-    /// Marks the run known now as draining, by the server's own word; `true` if it was not before.
+    /// Marks the current incarnation as draining, as reported by the server itself; returns `true` if
+    /// it was not marked before.
     ///
-    /// Unlike a sign that names no run it is never an echo, so it does not make such a sign about
-    /// the next run look like one.
+    /// Unlike a notice without an incarnation, this is never a repetition, so it is not remembered in
+    /// a way that would cause such a notice about the next incarnation to be ignored.
     pub fn drain_self_reported(&mut self, idx: ServerIdx) -> bool {
         if self.view(idx).is_draining() {
             return false;
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,36 +1,37 @@
-//! What this VM knows of backend servers, and which replica an attempt goes to.
+//! The state of backend servers as seen by this VM, and the choice of a replica for an attempt.
 //!
-//! [`Servers`] keeps one view per backend server; [`GroupView`] knows the snapshots of a group and
-//! which of them every shard can answer from; a [`ReplicaPolicy`] picks among replicas that are
-//! free. All of it is a plain state machine: time is passed in, and nothing here does I/O.
+//! [`Servers`] keeps one view per backend server; [`GroupView`] keeps the snapshots of a group and
+//! determines which of them every shard can answer from; a [`ReplicaPolicy`] chooses among the
+//! available replicas. All of it is a plain state machine: time is passed in, and nothing here does
+//! I/O.
 
 mod dump;
-mod early;
 mod group;
+mod incarnations;
 mod latency;
+mod lost;
 mod observed;
 mod options;
 mod policy;
 mod round_robin;
-mod runs;
 mod server;
 mod servers;
-mod silence;
 mod state;
+mod undeclared;
 
 pub use dump::ServerDump;
 pub use group::GroupView;
 pub use group::Pin;
 pub use group::Readiness;
 pub use group::Snapshot;
+pub use incarnations::Report;
+pub use incarnations::ReportEffect;
 pub use latency::Latency;
 pub use observed::Observed;
 pub use options::RouteOptions;
 pub use policy::Candidate;
 pub use policy::ReplicaPolicy;
 pub use round_robin::RoundRobin;
-pub use runs::Report;
-pub use runs::ReportEffect;
 pub use server::DispatchStatus;
 pub use server::Failure;
 pub use server::Holds;
--- a/crates/route/src/silence.rs
+++ b/crates/route/src/lost.rs
@@ -1,7 +1,7 @@
-//! Servers from which nothing comes back.
+//! Detection of lost servers: those that stopped replying at all.
 //!
-//! The load it answers: a data centre that is cut off, where each lookup that needs a shard of the other side would
-//! wait its whole deadline for servers that cannot answer.
+//! When a data centre is partitioned, each lookup that needs a shard on the other side would otherwise wait until its
+//! deadline for servers that cannot answer.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,24 +9,24 @@
 use crate::servers::ServerIdx;
 use crate::servers::Servers;
 
-/// How long a server counts as lost before an attempt is let through to it again.
-const LOST_FOR: Duration = Duration::from_secs(1);
+/// How long a server counts as lost before another attempt is dispatched to it.
+const LOST_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Servers {
-    /// Something came back from a server.
+    /// Records that a reply arrived from a server; it is no longer lost.
     pub fn note_contact(&mut self, now: Instant, idx: ServerIdx) {
         let view = &mut self.list[idx.index()];
-        view.heard_at = Some(now);
+        view.last_contact = Some(now);
         if view.lost_at.take().is_some() {
             log::info!("event=server-answers server={}", view.decl.name);
         }
     }
 
-    /// An attempt that began then was given up at its deadline; if nothing at all came back from its server
-    /// since, that is lost.
+    /// Records that an attempt that began at `begun` was abandoned at its deadline; its server is lost if
+    /// no reply at all arrived from it since.
     pub fn note_unanswered(&mut self, now: Instant, idx: ServerIdx, begun: Instant) {
         let view = &mut self.list[idx.index()];
-        if view.heard_at.is_some_and(|at| at >= begun) {
+        if view.last_contact.is_some_and(|at| at >= begun) {
             return;
         }
         if view.lost_at.replace(now).is_none() {
@@ -39,10 +39,10 @@
         }
     }
 
-    /// Whether a server is lost, and was tried a moment ago.
+    /// Whether a server is lost and was tried recently.
     #[must_use]
     pub fn is_lost(&self, now: Instant, idx: ServerIdx) -> bool {
         let lost_at = self.view(idx).lost_at;
-        lost_at.is_some_and(|at| now.saturating_duration_since(at) < LOST_FOR)
+        lost_at.is_some_and(|at| now.saturating_duration_since(at) < LOST_RETRY_INTERVAL)
     }
 }
--- a/crates/route/src/observed.rs
+++ b/crates/route/src/observed.rs
@@ -1,4 +1,4 @@
-//! The chosen policy: own observation first, own data centre first, the better of two.
+//! The default replica policy: power of two choices by observed latency, local data centre preferred.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -6,65 +6,68 @@
 use crate::policy::Candidate;
 use crate::policy::ReplicaPolicy;
 
-/// How many times the cost of a remote replica a local one may have before work spills there.
+/// The cost of a local replica, as a multiple of a remote one, above which work goes to the remote
+/// one.
 const SPILL_RATIO: f64 = 1.25;
 
-/// What a local replica without samples is taken to need, in microseconds; low, to learn it soon.
-const LOCAL_DEFAULT: f64 = 500.0;
+/// The assumed latency of a local replica without samples, in microseconds; low, so that it is
+/// sampled soon.
+const LOCAL_DEFAULT_US: f64 = 500.0;
 
-/// The same for a replica of another data centre; a link there takes milliseconds.
-const REMOTE_DEFAULT: f64 = 6_000.0;
+/// The same for a replica of another data centre, whose link takes milliseconds.
+const REMOTE_DEFAULT_US: f64 = 6_000.0;
 
-/// The weight of the load that a server reports, against attempts seen in flight by ourselves.
-const REPORTED_WEIGHT: f64 = 0.25;
+/// The weight of the load that a server reports, relative to attempts of this VM in flight.
+const REPORTED_LOAD_WEIGHT: f64 = 0.25;
 
-/// The most slots that a reported load may count for, as it may mislead.
-const REPORTED_MAX: f64 = 2.0;
+/// The highest reported load counted, as a multiple of the server's slots, because a report may be
+/// wrong.
+const REPORTED_LOAD_MAX: f64 = 2.0;
 
-/// The least warmth counted, so that a cold server's cost stays finite.
-const WARMTH_MIN: f64 = 0.05;
+/// The lowest slow start progress counted, so that the cost of a cold server stays finite.
+const SLOW_START_PROGRESS_MIN: f64 = 0.05;
 
-/// Chooses by expected time: the smoothed latency, times what is queued there.
+/// Chooses by expected time: the smoothed latency times the queue at the server.
 ///
-/// Of more than two replicas, two are drawn and the better is taken, so that VMs which see the same
-/// numbers do not all run to one server.
+/// Of more than two replicas, two are drawn at random and the better one is chosen, so that VMs with
+/// the same measurements do not all send to one server.
 #[derive(Debug, Default)]
 pub struct Observed;
 
 impl Observed {
-    /// The expected time of an attempt at this replica, in microseconds.
+    /// Returns the expected time of an attempt at this replica, in microseconds.
     fn cost(c: &Candidate) -> f64 {
         let default = if c.local {
-            LOCAL_DEFAULT
+            LOCAL_DEFAULT_US
         } else {
-            REMOTE_DEFAULT
+            REMOTE_DEFAULT_US
         };
         let latency = c.latency.unwrap_or(default).max(1.0);
         let slots = f64::from(c.slots.max(1));
-        let reported = (f64::from(c.load) / slots).min(REPORTED_MAX) * REPORTED_WEIGHT;
+        let reported = (f64::from(c.load) / slots).min(REPORTED_LOAD_MAX) * REPORTED_LOAD_WEIGHT;
         let queue = f64::from(c.in_flight) / slots + reported;
-        latency * (1.0 + queue) / c.warmth.clamp(WARMTH_MIN, 1.0)
+        latency * (1.0 + queue) / c.slow_start_progress.clamp(SLOW_START_PROGRESS_MIN, 1.0)
     }
 
-    /// The better of two candidates drawn from those that `take` admits; `None` if it admits none.
+    /// Returns the better of two random candidates that match `filter`; `None` if none matches.
     fn draw(
         candidates: &[Candidate],
-        take: impl Fn(&Candidate) -> bool,
+        filter: impl Fn(&Candidate) -> bool,
         rng: &mut ChaCha8Rng,
     ) -> Option<(usize, f64)> {
-        let admitted = || candidates.iter().enumerate().filter(|(_, c)| take(c));
-        let count = admitted().count();
+        let matching = || candidates.iter().enumerate().filter(|(_, c)| filter(c));
+        let count = matching().count();
         if count == 0 {
             return None;
         }
         let first = rng.random_range(0..count);
-        let (at, cost) = admitted().nth(first).map(|(at, c)| (at, Self::cost(c)))?;
+        let (at, cost) = matching().nth(first).map(|(at, c)| (at, Self::cost(c)))?;
         if count == 1 {
             return Some((at, cost));
         }
         let second = (first + rng.random_range(1..count)) % count;
-        let other = admitted().nth(second).map(|(at, c)| (at, Self::cost(c)))?;
-        // The first wins a tie, and as it was drawn, equal replicas share the work.
+        let other = matching().nth(second).map(|(at, c)| (at, Self::cost(c)))?;
+        // The first wins a tie; it was drawn at random, so equal replicas share the work.
         Some(if other.1 < cost { other } else { (at, cost) })
     }
 }
@@ -78,12 +81,12 @@
         if candidates.len() == 1 {
             return 0;
         }
-        let near = Self::draw(candidates, |c| c.local, rng);
-        let far = Self::draw(candidates, |c| !c.local, rng);
-        match (near, far) {
-            (Some((n, near)), Some((_, far))) if near <= far * SPILL_RATIO => n,
-            (_, Some((f, _))) => f,
-            (Some((n, _)), None) => n,
+        let local = Self::draw(candidates, |c| c.local, rng);
+        let remote = Self::draw(candidates, |c| !c.local, rng);
+        match (local, remote) {
+            (Some((l, local)), Some((_, remote))) if local <= remote * SPILL_RATIO => l,
+            (_, Some((r, _))) => r,
+            (Some((l, _)), None) => l,
             (None, None) => 0,
         }
     }
--- a/crates/route/src/options.rs
+++ b/crates/route/src/options.rs
@@ -1,23 +1,25 @@
-//! Settings of the backend servers' views.
+//! Settings of the state of backend servers.
 
 use std::time::Duration;
 
-/// Settings of the backend servers' views.
+/// Settings of the state of backend servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteOptions {
-    /// How long a cold server takes to get its full share of attempts.
+    /// The duration of slow start, until a cold server gets its full share of attempts.
     pub slow_start: Duration,
-    /// The first rest of a server that was set aside; doubled each time in a row.
+    /// The first ejection time of a server; doubled with each consecutive ejection.
     pub ejection_min: Duration,
-    /// The longest rest.
+    /// The longest ejection time.
     pub ejection_max: Duration,
-    /// How much longer a server rests whose health endpoint does not answer either, so that dead
-    /// servers are not probed with lookups all the time; bounded, as endpoints mislead.
+    /// The additional ejection time of a server whose health endpoint does not answer either, so that
+    /// dead servers are not probed with lookups all the time; bounded, because a health endpoint may
+    /// be wrong.
     pub ejection_silent: Duration,
-    /// The weight of failures in a row at which a server is set aside; see
+    /// The weight of consecutive failures at which a server is ejected; see
     /// [`Failure::weight`](crate::Failure::weight).
     pub failures_max: u32,
-    /// How long what a server says of its snapshots in a reply outweighs its health endpoint.
+    /// How long the snapshots that a server reported in a reply take precedence over those of its
+    /// health endpoint.
     pub self_report: Duration,
 }
 
--- a/crates/route/src/policy.rs
+++ b/crates/route/src/policy.rs
@@ -1,4 +1,4 @@
-//! The border between what is known of replicas and the choice among them.
+//! The interface of replica policies: the candidates and the policy trait.
 
 use std::fmt::Debug;
 
@@ -6,32 +6,34 @@
 
 use crate::servers::ServerIdx;
 
-/// A replica that may take an attempt now: it holds the snapshot, takes work and has a connection.
+/// A replica that an attempt may be dispatched to now: it holds the snapshot, accepts work and has a
+/// free connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
     /// The server.
     pub server: ServerIdx,
-    /// Whether it stands in this VM's data centre.
+    /// Whether it is in this VM's data centre.
     pub local: bool,
-    /// Attempts of this VM in flight there.
+    /// Attempts of this VM in flight at it.
     pub in_flight: u32,
-    /// Lookups that it runs at the same time; at least 1.
+    /// Lookups that it executes concurrently; at least 1.
     pub slots: u32,
-    /// The smoothed latency of its parts in microseconds, aged; `None` before the first.
+    /// The smoothed and aged latency of its parts in microseconds; `None` before the first.
     pub latency: Option<f64>,
-    /// The load it sent with its last reply, without this VM's attempts; 0 if that is old.
+    /// The load that it sent with its last reply, without this VM's attempts; 0 if out of date.
     pub load: u32,
-    /// How far it has warmed up, above 0 and at most 1.
-    pub warmth: f64,
+    /// The progress of its slow start, above 0 and at most 1.
+    pub slow_start_progress: f64,
 }
 
-/// Picks a replica.
+/// Chooses a replica for an attempt.
 pub trait ReplicaPolicy: Debug + Send {
-    /// The policy's name, for dumps.
+    /// Returns the policy's name for dumps.
     fn name(&self) -> &'static str;
 
-    /// The position of the chosen candidate; `candidates` is never empty.
+    /// Returns the position of the chosen candidate; `candidates` is never empty.
     ///
-    /// `turn` is equal for attempts at the same shard number, so that a policy may take turns.
-    fn choose(&mut self, turn: usize, candidates: &[Candidate], rng: &mut ChaCha8Rng) -> usize;
+    /// `rotation` is equal for attempts at the same shard number, so that a policy can rotate over the
+    /// replicas of each shard.
+    fn choose(&mut self, rotation: usize, candidates: &[Candidate], rng: &mut ChaCha8Rng) -> usize;
 }
--- a/crates/route/src/round_robin.rs
+++ b/crates/route/src/round_robin.rs
@@ -1,17 +1,17 @@
-//! The baseline: replicas take turns.
+//! The baseline replica policy: round robin.
 
 use rand_chacha::ChaCha8Rng;
 
 use crate::policy::Candidate;
 use crate::policy::ReplicaPolicy;
 
-/// The most shard numbers that have a turn of their own.
-const TURNS_MAX: usize = 4096;
+/// The most shard numbers with their own rotation.
+const ROTATIONS_MAX: usize = 4096;
 
-/// Round robin over the replicas of each shard number, blind to latency, load and distance.
+/// Round robin over the replicas of each shard number, regardless of latency, load and data centre.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
-    turns: Vec<usize>,
+    rotations: Vec<usize>,
 }
 
 impl ReplicaPolicy for RoundRobin {
@@ -19,12 +19,12 @@
         "round-robin"
     }
 
-    fn choose(&mut self, turn: usize, candidates: &[Candidate], _: &mut ChaCha8Rng) -> usize {
-        let slot = turn % TURNS_MAX;
-        if self.turns.len() <= slot {
-            self.turns.resize(slot + 1, 0);
+    fn choose(&mut self, rotation: usize, candidates: &[Candidate], _: &mut ChaCha8Rng) -> usize {
+        let slot = rotation % ROTATIONS_MAX;
+        if self.rotations.len() <= slot {
+            self.rotations.resize(slot + 1, 0);
         }
-        self.turns[slot] = self.turns[slot].wrapping_add(1);
-        self.turns[slot] % candidates.len().max(1)
+        self.rotations[slot] = self.rotations[slot].wrapping_add(1);
+        self.rotations[slot] % candidates.len().max(1)
     }
 }
--- a/crates/route/src/server.rs
+++ b/crates/route/src/server.rs
@@ -1,4 +1,4 @@
-//! One backend server as this VM sees it.
+//! The state of one backend server as seen by this VM.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,28 +12,28 @@
 use crate::policy::Candidate;
 use crate::state::ServerState;
 
-/// The time after which a load told by a server says nothing any more.
-const LOAD_FRESH: Duration = Duration::from_millis(200);
+/// The age above which a load reported by a server is ignored.
+const LOAD_MAX_AGE: Duration = Duration::from_millis(200);
 
-/// The least warmth of a cold server.
-const WARMTH_MIN: f64 = 0.1;
+/// The slow start progress of a cold server at its start.
+const SLOW_START_PROGRESS_MIN: f64 = 0.1;
 
 /// How an attempt at a server failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Its connection broke after the point of no return.
+    /// Its connection broke after the first byte was sent.
     Broken,
-    /// It could not be reached.
+    /// It was unreachable.
     Unreached,
-    /// It answered with an error or with something garbled.
+    /// It answered with an error or a malformed reply.
     Error,
 }
 
 impl Failure {
-    /// What it counts towards setting the server aside.
+    /// Returns the weight of the failure towards the ejection of the server.
     ///
-    /// A crash breaks every connection at once and shows at two of them; an error may be the
-    /// lookup's own fault, so it takes more of them.
+    /// A crash breaks all connections at once, so two of them suffice; an error may be caused by the
+    /// lookup itself, so more of them are needed.
     #[must_use]
     pub fn weight(self) -> u32 {
         match self {
@@ -46,64 +46,64 @@
 /// Whether a server holds a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Holds {
-    /// It said so.
+    /// It reported that it does.
     Yes,
-    /// It never said what it holds.
+    /// It never reported what it holds.
     Unknown,
-    /// It said that it does not.
+    /// It reported that it does not.
     No,
 }
 
-/// Whether a server can take an attempt now.
+/// Whether an attempt can be dispatched to a server now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DispatchStatus {
-    /// It can.
+    /// A connection is free.
     Free,
-    /// All of this VM's share of its connections is in use.
+    /// All connections of this VM's share are in use.
     Busy,
-    /// It refused for load and asked for a pause until then, or could not be reached just now.
+    /// It shed load and requested a pause until then, or was unreachable a moment ago.
     Paused(Instant),
-    /// It failed too often and rests until then.
+    /// It failed too often and is ejected until then.
     Ejected(Instant),
     /// It is draining.
     Draining,
 }
 
-/// One backend server as this VM sees it.
+/// The state of one backend server as seen by this VM.
 #[derive(Clone, Debug)]
 pub struct ServerView {
     pub(crate) decl: Arc<ServerDecl>,
     pub(crate) local: bool,
     pub(crate) state: ServerState,
     pub(crate) incarnation: Option<Incarnation>,
-    /// When the run known now was first heard of, if another was known before.
-    pub(crate) run_since: Option<Instant>,
-    /// The run that a sign without a run was taken for; the same sign told again after a restart
-    /// must not drain the new run.
-    pub(crate) unnamed_drain: Option<Option<Incarnation>>,
+    /// When the current incarnation was first known, if another was known before.
+    pub(crate) incarnation_since: Option<Instant>,
+    /// The incarnation that a drain notice without an incarnation was applied to; the same notice
+    /// repeated after a restart must not drain the new incarnation.
+    pub(crate) unspecified_drain: Option<Option<Incarnation>>,
     pub(crate) snapshots: Option<SmallVec<[SnapshotId; 4]>>,
-    /// Until when what it said of its snapshots outweighs its health endpoint.
+    /// Until when the snapshots that it reported in a reply take precedence over its health endpoint.
     pub(crate) self_report_until: Option<Instant>,
     pub(crate) share: Connections,
     pub(crate) open: u32,
     pub(crate) in_flight: u32,
     pub(crate) latency: Latency,
     pub(crate) load: u32,
-    pub(crate) load_at: Option<Instant>,
-    /// The weight of failures in a row.
+    pub(crate) load_reported_at: Option<Instant>,
+    /// The weight of consecutive failures.
     pub(crate) failures: u32,
-    /// Times in a row that it could not be reached, or broke its connection.
-    pub(crate) losses: u32,
-    /// Times in a row that it was set aside.
-    pub(crate) rests: u32,
-    pub(crate) rest_until: Option<Instant>,
-    pub(crate) pause_until: Option<Instant>,
-    /// Whether its health endpoint did not answer when it was last asked.
+    /// How many consecutive times it was unreachable or broke a connection.
+    pub(crate) connection_failures: u32,
+    /// How many consecutive times it was ejected.
+    pub(crate) ejections: u32,
+    pub(crate) ejected_until: Option<Instant>,
+    pub(crate) paused_until: Option<Instant>,
+    /// Whether its health endpoint did not answer the last query.
     pub(crate) is_silent: bool,
     pub(crate) warming_since: Option<Instant>,
-    /// When anything came back from it last.
-    pub(crate) heard_at: Option<Instant>,
-    /// When it was last found to be lost, or tried since.
+    /// When a reply last arrived from it.
+    pub(crate) last_contact: Option<Instant>,
+    /// When it was last found to be lost, or an attempt was dispatched to it since.
     pub(crate) lost_at: Option<Instant>,
 }
 
@@ -114,8 +114,8 @@
             local,
             state,
             incarnation: None,
-            run_since: None,
-            unnamed_drain: None,
+            incarnation_since: None,
+            unspecified_drain: None,
             snapshots: None,
             self_report_until: None,
             share: Connections(1),
@@ -123,77 +123,78 @@
             in_flight: 0,
             latency: Latency::default(),
             load: 0,
-            load_at: None,
+            load_reported_at: None,
             failures: 0,
-            losses: 0,
-            rests: 0,
-            rest_until: None,
-            pause_until: None,
+            connection_failures: 0,
+            ejections: 0,
+            ejected_until: None,
+            paused_until: None,
             is_silent: false,
             warming_since: None,
-            heard_at: None,
+            last_contact: None,
             lost_at: None,
         }
     }
 
-    /// The declaration.
+    /// Returns the declaration.
     #[must_use]
     pub fn decl(&self) -> &Arc<ServerDecl> {
         &self.decl
     }
 
-    /// Whether it stands in this VM's data centre.
+    /// Whether it is in this VM's data centre.
     #[must_use]
     pub fn is_local(&self) -> bool {
         self.local
     }
 
-    /// Its state by the chart.
+    /// Returns its state by the state machine definition.
     #[must_use]
     pub fn state(&self) -> ServerState {
         self.state
     }
 
-    /// The run last heard of.
+    /// Returns the newest known incarnation.
     #[must_use]
     pub fn incarnation(&self) -> Option<Incarnation> {
         self.incarnation
     }
 
-    /// Attempts of this VM in flight there.
+    /// Returns the number of attempts of this VM in flight at it.
     #[must_use]
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Connections that this VM may hold to it.
+    /// Returns the connections that this VM may open to it.
     #[must_use]
     pub fn share(&self) -> Connections {
         self.share
     }
 
-    /// The smoothed latency of its parts.
+    /// Returns the smoothed latency of its parts.
     #[must_use]
     pub fn latency(&self) -> &Latency {
         &self.latency
     }
 
-    /// Whether what came of an attempt handed over at this time speaks of the run known now.
+    /// Whether the result of an attempt dispatched at this time applies to the current incarnation.
     ///
-    /// A reply of the old run may arrive after the new one was heard of; taken for the new run's,
-    /// a late drain answer would keep it out of service until yet another restart.
+    /// A reply of the old incarnation may arrive after the new one is known. If a late drain reply
+    /// were applied to the new incarnation, it would stay out of service until another restart.
     #[must_use]
-    pub fn is_current_incarnation(&self, handed_over: Instant) -> bool {
-        self.run_since.is_none_or(|since| handed_over >= since)
+    pub fn is_current_incarnation(&self, dispatched_at: Instant) -> bool {
+        self.incarnation_since
+            .is_none_or(|since| dispatched_at >= since)
     }
 
-    /// Whether it takes no new work.
+    /// Whether it accepts no new work.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.state == ServerState::Draining
     }
 
-    /// Whether it holds a snapshot, by its own word.
+    /// Whether it holds a snapshot, as reported by itself.
     #[must_use]
     pub fn holds(&self, id: SnapshotId) -> Holds {
         match &self.snapshots {
@@ -203,51 +204,51 @@
         }
     }
 
-    /// Whether it could answer from a snapshot, now or later: it may hold it and does not drain.
+    /// Whether it may answer from a snapshot now or later: it may hold it and is not draining.
     #[must_use]
     pub fn is_eligible(&self, id: SnapshotId) -> bool {
         !self.is_draining() && self.holds(id) != Holds::No
     }
 
-    /// How far it has warmed up, above 0 and at most 1.
+    /// Returns the progress of its slow start, above 0 and at most 1.
     #[must_use]
-    pub fn warmth(&self, now: Instant, options: &RouteOptions) -> f64 {
+    pub fn slow_start_progress(&self, now: Instant, options: &RouteOptions) -> f64 {
         match (self.state, self.warming_since) {
             (ServerState::Warming, Some(since)) => {
                 let age = now.saturating_duration_since(since).as_secs_f64();
-                let whole = options.slow_start.as_secs_f64().max(f64::MIN_POSITIVE);
-                (age / whole).clamp(WARMTH_MIN, 1.0)
+                let total = options.slow_start.as_secs_f64().max(f64::MIN_POSITIVE);
+                (age / total).clamp(SLOW_START_PROGRESS_MIN, 1.0)
             }
             _ => 1.0,
         }
     }
 
-    /// Whether it can take an attempt now.
+    /// Returns whether an attempt can be dispatched to it now.
     #[must_use]
     pub fn dispatch_status(&self, now: Instant, options: &RouteOptions) -> DispatchStatus {
         if self.is_draining() {
             return DispatchStatus::Draining;
         }
-        if let Some(until) = self.pause_until.filter(|until| *until > now) {
+        if let Some(until) = self.paused_until.filter(|until| *until > now) {
             return DispatchStatus::Paused(until);
         }
-        if let Some(until) = self.rest(now, options) {
+        if let Some(until) = self.ejection_end(now, options) {
             return DispatchStatus::Ejected(until);
         }
-        if self.in_flight < self.bound(now, options) {
+        if self.in_flight < self.in_flight_max(now, options) {
             DispatchStatus::Free
         } else {
             DispatchStatus::Busy
         }
     }
 
-    /// Whether a connection of our share is free, whatever else is known of the server.
+    /// Whether a connection of this VM's share is free, regardless of ejection and backoff.
     #[must_use]
     pub fn has_free_connection(&self) -> bool {
         !self.is_draining() && self.in_flight < self.share.0
     }
 
-    fn rest(&self, now: Instant, options: &RouteOptions) -> Option<Instant> {
+    fn ejection_end(&self, now: Instant, options: &RouteOptions) -> Option<Instant> {
         if self.state != ServerState::SetAside {
             return None;
         }
@@ -256,25 +257,25 @@
         } else {
             Duration::ZERO
         };
-        self.rest_until
+        self.ejected_until
             .map(|until| until + longer)
             .filter(|until| *until > now)
     }
 
-    fn bound(&self, now: Instant, options: &RouteOptions) -> u32 {
+    fn in_flight_max(&self, now: Instant, options: &RouteOptions) -> u32 {
         let share = self.share.0;
         match self.state {
             ServerState::SetAside | ServerState::Probing => share.min(1),
             ServerState::Warming => {
-                let part = (f64::from(share) * self.warmth(now, options)).ceil();
+                let scaled = (f64::from(share) * self.slow_start_progress(now, options)).ceil();
                 // The product is between 0 and `share`, so the cast is exact.
-                (part as u32).min(share)
+                (scaled as u32).min(share)
             }
             ServerState::Serving | ServerState::Draining => share,
         }
     }
 
-    /// What a policy is shown of it.
+    /// Returns the view of it that a replica policy gets.
     #[must_use]
     pub fn candidate(
         &self,
@@ -282,8 +283,8 @@
         now: Instant,
         options: &RouteOptions,
     ) -> Candidate {
-        let fresh = |at| now.saturating_duration_since(at) <= LOAD_FRESH;
-        let load = if self.load_at.is_some_and(fresh) {
+        let fresh = |at| now.saturating_duration_since(at) <= LOAD_MAX_AGE;
+        let load = if self.load_reported_at.is_some_and(fresh) {
             self.load.saturating_sub(self.in_flight)
         } else {
             0
@@ -295,7 +296,7 @@
             slots: self.decl.slots.0.max(1),
             latency: self.latency.aged_micros(now),
             load,
-            warmth: self.warmth(now, options),
+            slow_start_progress: self.slow_start_progress(now, options),
         }
     }
 }
--- a/crates/route/src/servers.rs
+++ b/crates/route/src/servers.rs
@@ -1,4 +1,4 @@
-//! Every backend server, and what changes the view of one.
+//! The set of backend servers and the events that change their state.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,7 +9,6 @@
 use gs_types::prelude::*;
 use smallvec::SmallVec;
 
-use crate::early::Early;
 use crate::options::RouteOptions;
 use crate::server::DispatchStatus;
 use crate::server::Failure;
@@ -17,39 +16,41 @@
 use crate::state;
 use crate::state::ServerEvent;
 use crate::state::ServerState;
+use crate::undeclared::UndeclaredServer;
 
-/// The longest pause that a server may ask for.
-const SHED_MAX: Duration = Duration::from_secs(5);
+/// The longest pause that a server may request when it sheds load.
+const SHED_PAUSE_MAX: Duration = Duration::from_secs(5);
 
-/// The pause after a server could not be reached; doubled with each time in a row.
-const LOSS_PAUSE: Duration = Duration::from_millis(20);
+/// The pause after a server was unreachable; doubled with each consecutive time.
+const CONNECTION_FAILURE_PAUSE: Duration = Duration::from_millis(20);
 
 /// The most doublings of that pause.
-const LOSS_DOUBLINGS: u32 = 4;
+const CONNECTION_FAILURE_DOUBLINGS_MAX: u32 = 4;
 
-/// The most doublings of a rest, so that the shift stays within its type; the options bound the rest.
-const REST_DOUBLINGS: u32 = 16;
+/// The most doublings of an ejection time, so that the shift does not overflow; the options limit the
+/// time itself.
+const EJECTION_DOUBLINGS_MAX: u32 = 16;
 
-/// The place of a server in [`Servers`]; stays the same for the life of the process.
+/// The index of a server in [`Servers`]; valid for the lifetime of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerIdx(u32);
 
 impl ServerIdx {
-    /// The place as a number, from 0 without gaps.
+    /// Returns the index as a number, from 0 without gaps.
     #[must_use]
     pub fn index(self) -> usize {
         self.0 as usize
     }
 }
 
-/// The views of all backend servers.
+/// The state of all backend servers.
 #[derive(Debug)]
 pub struct Servers {
     pub(crate) list: Vec<ServerView>,
     names: BTreeMap<ServerName, ServerIdx>,
     services: BTreeMap<ServiceName, SmallVec<[ServerIdx; 4]>>,
-    pub(crate) early: BTreeMap<ServerName, Early>,
-    /// Counts changes of what can be pinned: snapshots held and drains.
+    pub(crate) undeclared: BTreeMap<ServerName, UndeclaredServer>,
+    /// The number of changes that affect which snapshots can be pinned: held snapshots and drains.
     pub(crate) changes: u64,
     data_centre: DataCentre,
     chart: Chart<ServerState, ServerEvent>,
@@ -57,17 +58,17 @@
 }
 
 impl Servers {
-    /// Starts without servers.
+    /// Creates an empty set.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::BadInput`] if the embedded chart is broken.
+    /// [`ErrorKind::BadInput`] if the embedded state machine definition is invalid.
     pub fn new(data_centre: DataCentre, options: RouteOptions) -> Result<Self> {
         Ok(Self {
             list: Vec::new(),
             names: BTreeMap::new(),
             services: BTreeMap::new(),
-            early: BTreeMap::new(),
+            undeclared: BTreeMap::new(),
             changes: 0,
             data_centre,
             chart: state::chart()?,
@@ -75,7 +76,7 @@
         })
     }
 
-    /// Takes a declaration in; a server of that name keeps its view.
+    /// Applies a declaration; a known server of that name keeps its state.
     pub fn declare(&mut self, decl: &Arc<ServerDecl>) -> ServerIdx {
         let local = decl.data_centre == self.data_centre;
         let idx = match self.names.get(&decl.name) {
@@ -104,59 +105,59 @@
         self.list.push(view);
         self.names.insert(decl.name.clone(), idx);
         self.changes += 1;
-        if let Some(early) = self.early.remove(&decl.name) {
-            self.take_early(idx, early);
+        if let Some(undeclared) = self.undeclared.remove(&decl.name) {
+            self.apply_undeclared(idx, undeclared);
         }
         idx
     }
 
-    /// The place of a server; `None` if it was never declared.
+    /// Returns the index of a server; `None` if it was never declared.
     #[must_use]
     pub fn find(&self, name: &ServerName) -> Option<ServerIdx> {
         self.names.get(name).copied()
     }
 
-    /// The view of a server.
+    /// Returns the state of a server.
     #[must_use]
     pub fn view(&self, idx: ServerIdx) -> &ServerView {
         &self.list[idx.index()]
     }
 
-    /// All servers in the order of their names.
+    /// Returns all servers in the order of their names.
     pub fn by_name(&self) -> impl Iterator<Item = (ServerIdx, &ServerView)> {
         self.names.values().map(|idx| (*idx, self.view(*idx)))
     }
 
-    /// How many servers there are.
+    /// Returns the number of servers.
     #[must_use]
     pub fn count(&self) -> usize {
         self.list.len()
     }
 
-    /// Counts changes of what can be pinned.
+    /// Returns the number of changes that affect which snapshots can be pinned.
     #[must_use]
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// The settings.
+    /// Returns the settings.
     #[must_use]
     pub fn options(&self) -> &RouteOptions {
         &self.options
     }
 
-    /// Whether a server can take an attempt now.
+    /// Returns whether an attempt can be dispatched to a server now.
     #[must_use]
     pub fn dispatch_status(&self, now: Instant, idx: ServerIdx) -> DispatchStatus {
         self.view(idx).dispatch_status(now, &self.options)
     }
 
-    /// Sets how many connections this VM may hold to a server.
+    /// Sets how many connections this VM may open to a server.
     pub fn set_share(&mut self, idx: ServerIdx, share: Connections) {
         self.list[idx.index()].share = share;
     }
 
-    /// Counts a connection that opened or closed.
+    /// Records that a connection was opened or closed.
     pub fn on_connection_change(&mut self, idx: ServerIdx, opened: bool) {
         let view = &mut self.list[idx.index()];
         view.open = if opened {
@@ -166,12 +167,12 @@
         };
     }
 
-    /// An attempt was handed over; it holds a connection until [`Servers::released`].
+    /// Records that an attempt was dispatched; it holds a connection until [`Servers::released`].
     pub fn dispatched(&mut self, now: Instant, idx: ServerIdx) {
-        let warm = self.view(idx).warmth(now, &self.options) >= 1.0;
+        let warm = self.view(idx).slow_start_progress(now, &self.options) >= 1.0;
         let view = &mut self.list[idx.index()];
         view.in_flight += 1;
-        // One attempt at a lost server shows whether it is back; others would wait with it.
+        // One attempt at a lost server shows whether it is back; further ones would only wait.
         view.lost_at = view.lost_at.map(|_| now);
         match view.state {
             ServerState::SetAside => self.step(idx, ServerEvent::RestOver),
@@ -180,58 +181,62 @@
         }
     }
 
-    /// An attempt's connection is free again, or closed.
+    /// Records that the connection of an attempt is free again or closed.
     pub fn released(&mut self, idx: ServerIdx) {
         let view = &mut self.list[idx.index()];
         view.in_flight = view.in_flight.saturating_sub(1);
     }
 
-    /// A part came back whole from a server, with the load it told.
+    /// Records that a server returned a complete part with this load.
     pub fn succeeded(&mut self, now: Instant, idx: ServerIdx, load: u32) {
         let view = &mut self.list[idx.index()];
         view.failures = 0;
-        view.losses = 0;
-        view.rests = 0;
+        view.connection_failures = 0;
+        view.ejections = 0;
         view.load = load;
-        view.load_at = Some(now);
+        view.load_reported_at = Some(now);
         if view.state == ServerState::Probing {
             view.warming_since = Some(now);
             self.step(idx, ServerEvent::ProbeOk);
         }
     }
 
-    /// An attempt that was sent took this long, or was given up after it.
+    /// Records the latency of an attempt that was sent, or the time after which it was abandoned.
     pub fn record_latency(&mut self, now: Instant, idx: ServerIdx, latency: Duration) {
         self.list[idx.index()].latency.add(now, latency);
     }
 
-    /// An attempt at a server failed.
+    /// Records a failed attempt at a server.
     ///
-    /// One that cannot be reached refuses within a millisecond. Without a pause, a part whose
+    /// A server that is down refuses connections within a millisecond. Without a pause, a part whose
     /// replicas all restart at the same time would use up its tries long before they are back.
     pub fn failed(&mut self, now: Instant, idx: ServerIdx, failure: Failure) {
         let view = &mut self.list[idx.index()];
         view.failures = view.failures.saturating_add(failure.weight());
         if failure != Failure::Error {
-            let pause = LOSS_PAUSE.saturating_mul(1 << view.losses.min(LOSS_DOUBLINGS));
-            view.losses = view.losses.saturating_add(1);
-            view.pause_until = view.pause_until.max(Some(now + pause));
+            let pause = CONNECTION_FAILURE_PAUSE.saturating_mul(
+                1 << view
+                    .connection_failures
+                    .min(CONNECTION_FAILURE_DOUBLINGS_MAX),
+            );
+            view.connection_failures = view.connection_failures.saturating_add(1);
+            view.paused_until = view.paused_until.max(Some(now + pause));
         }
         let failing = view.failures >= self.options.failures_max;
         match self.view(idx).state {
-            ServerState::Probing => self.set_aside(now, idx, ServerEvent::ProbeFailed),
-            ServerState::Serving | ServerState::Warming if failing && self.may_set_aside(idx) => {
-                self.set_aside(now, idx, ServerEvent::Failing);
+            ServerState::Probing => self.eject(now, idx, ServerEvent::ProbeFailed),
+            ServerState::Serving | ServerState::Warming if failing && self.may_eject(idx) => {
+                self.eject(now, idx, ServerEvent::Failing);
             }
             _ => {}
         }
     }
 
-    /// Whether the cap leaves room to set a server aside.
+    /// Whether the limit on ejected servers allows another ejection.
     ///
-    /// A wrong signal that hits every replica, such as a lookup that fails everywhere, would else
-    /// empty the service; so at most half of its replicas, and never all, rest at a time.
-    fn may_set_aside(&self, idx: ServerIdx) -> bool {
+    /// A false signal at every replica, such as a lookup that fails everywhere, would otherwise eject
+    /// the complete service; so at most half of its replicas, and never all, are ejected at a time.
+    fn may_eject(&self, idx: ServerIdx) -> bool {
         let Some(members) = self.services.get(&self.view(idx).decl.service) else {
             return false;
         };
@@ -244,26 +249,27 @@
         members.iter().filter(is_out).count() < members.len() / 2
     }
 
-    fn set_aside(&mut self, now: Instant, idx: ServerIdx, event: ServerEvent) {
+    fn eject(&mut self, now: Instant, idx: ServerIdx, event: ServerEvent) {
         let options = &self.options;
         let view = &mut self.list[idx.index()];
-        let rest = options
+        let ejection = options
             .ejection_min
-            .saturating_mul(1 << view.rests.min(REST_DOUBLINGS))
+            .saturating_mul(1 << view.ejections.min(EJECTION_DOUBLINGS_MAX))
             .min(options.ejection_max);
-        view.rests = view.rests.saturating_add(1);
-        view.rest_until = Some(now + rest);
+        view.ejections = view.ejections.saturating_add(1);
+        view.ejected_until = Some(now + ejection);
         self.step(idx, event);
     }
 
-    /// A server refused for load and asks for a pause.
+    /// Records that a server shed load and requested a pause.
     pub fn shed(&mut self, now: Instant, idx: ServerIdx, retry_after: Duration) {
         let view = &mut self.list[idx.index()];
-        let until = now + retry_after.min(SHED_MAX);
-        view.pause_until = view.pause_until.max(Some(until));
+        let until = now + retry_after.min(SHED_PAUSE_MAX);
+        view.paused_until = view.paused_until.max(Some(until));
     }
 
-    /// A server said itself which snapshots it holds, with a refusal; `true` if that is new.
+    /// Sets the snapshots that a server reported to hold when it refused an attempt; returns `true` if
+    /// they changed.
     pub fn set_held_snapshots(
         &mut self,
         now: Instant,
--- a/crates/route/src/state.rs
+++ b/crates/route/src/state.rs
@@ -1,9 +1,9 @@
-//! The states of a backend server, by the chart `charts/server.toml`.
+//! The states of a backend server, defined by `charts/server.toml`.
 
 use gs_chart::Chart;
 use gs_types::prelude::*;
 
-/// Where a backend server stands.
+/// The state of a backend server.
 #[derive(
     Clone,
     Copy,
@@ -17,19 +17,19 @@
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum ServerState {
-    /// Takes work up to this VM's share of its connections.
+    /// Accepts work up to this VM's share of its connections.
     Serving,
-    /// Cold after a start or an absence; its share grows slowly.
+    /// In slow start after a start or an absence; its share grows gradually.
     Warming,
-    /// Failed several times in a row and rests.
+    /// Ejected after several consecutive failures.
     SetAside,
-    /// Rested; one attempt at a time shows whether it is back.
+    /// Its ejection time is over; one attempt at a time shows whether it is back.
     Probing,
-    /// Takes no new work.
+    /// Accepts no new work.
     Draining,
 }
 
-/// What can happen to a backend server.
+/// An event that can change the state of a backend server.
 #[derive(
     Clone,
     Copy,
@@ -43,23 +43,23 @@
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum ServerEvent {
-    /// A sign says that this run of it is draining.
+    /// A notice or report says that its current incarnation is draining.
     Drain,
-    /// A new run of it was heard of.
+    /// A new incarnation of it became known.
     NewRun,
-    /// It failed too often in a row.
+    /// It had too many consecutive failures.
     Failing,
-    /// Its rest is over.
+    /// Its ejection time is over.
     RestOver,
-    /// The attempt that probed it came back whole.
+    /// The attempt that probed it returned a complete part.
     ProbeOk,
     /// The attempt that probed it failed.
     ProbeFailed,
-    /// It has been warming for long enough.
+    /// Its slow start is over.
     Warmed,
 }
 
-/// Reads the chart.
+/// Parses the state machine definition.
 pub(crate) fn chart() -> Result<Chart<ServerState, ServerEvent>> {
     Chart::parse(include_str!("../../../charts/server.toml"))
 }
--- a/crates/route/tests/policy.rs
+++ b/crates/route/tests/policy.rs
@@ -1,4 +1,4 @@
-//! The choice among replicas.
+//! Tests of the choice among replicas.
 
 use gs_route::Candidate;
 use gs_route::Observed;
@@ -12,10 +12,10 @@
 use std::sync::Arc;
 
 fn candidates(views: &[(bool, f64, u32, u32, f64)]) -> Vec<Candidate> {
-    let mut servers =
-        Servers::new("near".parse().expect("a name"), Default::default()).expect("a whole chart");
+    let mut servers = Servers::new("near".parse().expect("a name"), Default::default())
+        .expect("a valid state machine definition");
     let mut found = Vec::new();
-    for (n, (local, latency, in_flight, load, warmth)) in views.iter().enumerate() {
+    for (n, (local, latency, in_flight, load, slow_start_progress)) in views.iter().enumerate() {
         let decl = ServerDecl {
             name: format!("s-{n}").parse().expect("a name"),
             service: "shard".parse().expect("a name"),
@@ -31,7 +31,7 @@
             slots: 2,
             latency: Some(*latency),
             load: *load,
-            warmth: *warmth,
+            slow_start_progress: *slow_start_progress,
         });
     }
     found
