--- a/crates/query/src/arrival.rs
+++ b/crates/query/src/arrival.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use gs_limit::Ask;
-use gs_limit::Verdict;
+use gs_limit::AdmissionDecision;
+use gs_limit::AdmissionRequest;
 use gs_route::Pin;
 use gs_route::Readiness;
 use gs_route::ServerIdx;
@@ -169,7 +169,7 @@
         if !needs_all {
             return Ok(());
         }
-        let is_thin = pin.readiness == Readiness::Thin;
+        let is_thin = pin.readiness == Readiness::Incomplete;
         let shards = lk.shards.iter().enumerate();
         let missing = shards.filter_map(|(pos, shard)| {
             let reason = self.unavailable_reason(now, lk, pos)?;
@@ -212,9 +212,9 @@
         let request = self.admission_request(now, lk);
         let full = request.in_flight >= self.options.lookups_max as usize;
         let retry = match self.admission.admit(now, &request) {
-            Verdict::Admit if !full => return Ok(()),
-            Verdict::Admit => RETRY_AFTER,
-            Verdict::Refuse(retry) => retry,
+            AdmissionDecision::Admit if !full => return Ok(()),
+            AdmissionDecision::Admit => RETRY_AFTER,
+            AdmissionDecision::Refuse(retry) => retry,
         };
         // Jitter, so that callers refused at the same time do not retry at the same time.
         let jitter = self.rng.random_range(1.0..1.5);
@@ -226,7 +226,7 @@
 
     /// Estimates the lookup's latency, including the parts queued before it, for the admission
     /// policy.
-    fn admission_request(&self, now: Instant, lk: &ActiveLookup) -> Ask {
+    fn admission_request(&self, now: Instant, lk: &ActiveLookup) -> AdmissionRequest {
         let mut sum = 0.0_f64;
         let mut worst = 0.0_f64;
         for pos in 0..lk.shards.len() {
@@ -235,7 +235,7 @@
             worst = worst.max(wait + latency);
         }
         let mean = sum / lk.shards.len().max(1) as f64;
-        Ask {
+        AdmissionRequest {
             promise: lk.decl.promise,
             budget: lk.answer_by.saturating_duration_since(now),
             typical: micros(mean),
--- a/crates/query/src/orphan.rs
+++ b/crates/query/src/orphan.rs
@@ -36,7 +36,7 @@
             is_current: self
                 .servers
                 .view(o.server)
-                .speaks_of_this_run(o.dispatched_at),
+                .is_current_incarnation(o.dispatched_at),
             was_live: false,
         };
         self.note_contact(now, reply, o.server);
--- a/crates/query/src/reply.rs
+++ b/crates/query/src/reply.rs
@@ -64,7 +64,10 @@
         }
         let context = ReplyContext {
             server,
-            is_current: self.servers.view(server).speaks_of_this_run(dispatched_at),
+            is_current: self
+                .servers
+                .view(server)
+                .is_current_incarnation(dispatched_at),
             was_live,
         };
         self.note_contact(now, &reply, server);
@@ -94,7 +97,7 @@
     fn record_latency(&mut self, now: Instant, lk: &ActiveLookup, pos: usize, n: usize) {
         let a = &lk.shards[pos].attempts[n];
         let on_server = now.saturating_duration_since(a.sent_at.unwrap_or(a.dispatched_at));
-        self.servers.took(now, a.server, on_server);
+        self.servers.record_latency(now, a.server, on_server);
         let total = now.saturating_duration_since(a.dispatched_at);
         let distance = self.distance(a.server);
         self.groups[lk.group].hedge.observe(distance, total);
