--- a/crates/member/examples/cost.rs
+++ b/crates/member/examples/cost.rs
@@ -127,10 +127,10 @@
 
     fn act(&mut self, i: usize, action: Action) {
         let event = match action {
-            Action::Send(to, beat) => {
+            Action::Send(to, heartbeat) => {
                 let begun = Instant::now();
-                let buf = postcard::to_allocvec(&beat).expect("encodes");
-                let beat = postcard::from_bytes(&buf).expect("decodes");
+                let buf = postcard::to_allocvec(&heartbeat).expect("encodes");
+                let heartbeat = postcard::from_bytes(&buf).expect("decodes");
                 self.spent += begun.elapsed();
                 self.messages += 1;
                 self.bytes += buf.len() as u64;
@@ -138,10 +138,10 @@
                 let incarnation = Incarnation(1_800_000_000_000 + i as u64);
                 let (_, j) = to.as_str().split_once('-').expect("a numbered name");
                 let j: usize = j.parse().expect("a number");
-                self.members[j].inbox.push_back(Event::Heard {
+                self.members[j].inbox.push_back(Event::Heartbeat {
                     from,
                     incarnation,
-                    beat,
+                    heartbeat,
                 });
                 return;
             }
--- a/crates/member/src/action.rs
+++ b/crates/member/src/action.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::beat::Beat;
+use crate::heartbeat::Heartbeat;
 use crate::seats::Epoch;
 use crate::view::View;
 
@@ -17,7 +17,7 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
     /// Send a heartbeat to one VM.
-    Send(VmId, Beat),
+    Send(VmId, Heartbeat),
     /// Replace the mesh's list of peers.
     Peers(Vec<(VmId, SocketAddr)>),
     /// Hold no more connections than this to each server, and none to a server not named. Lower at
--- a/crates/member/src/event.rs
+++ b/crates/member/src/event.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::beat::Beat;
+use crate::heartbeat::Heartbeat;
 use crate::seats::Epoch;
 use crate::share::ServerLimit;
 
@@ -15,13 +15,15 @@
     /// The platform's list of VMs was read; it may lag.
     List(Vec<VmEntry>),
     /// An authenticated heartbeat arrived.
-    Heard {
+    #[serde(rename = "heard")]
+    Heartbeat {
         /// The VM that sent it.
         from: VmId,
         /// The run of its process.
         incarnation: Incarnation,
         /// What it says.
-        beat: Beat,
+        #[serde(rename = "beat")]
+        heartbeat: Heartbeat,
     },
     /// All backend servers there are now, with their limits.
     Servers(Vec<ServerLimit>),
--- a/crates/member/src/gossip.rs
+++ b/crates/member/src/gossip.rs
@@ -7,7 +7,7 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use crate::beat::Rumour;
+use crate::heartbeat::Rumour;
 use crate::peer::Peer;
 use crate::rumour::News;
 use crate::settings::MemberSettings;
@@ -32,7 +32,7 @@
     pub(crate) turn: Vec<VmId>,
     /// The last VM told of as part of the digest.
     pub(crate) cursor: Option<VmId>,
-    pub(crate) refutes: u32,
+    pub(crate) refutations: u32,
     pub(crate) leaving: bool,
     pub(crate) changed: bool,
 }
@@ -48,7 +48,7 @@
             near: Vec::new(),
             turn: Vec::new(),
             cursor: None,
-            refutes: 0,
+            refutations: 0,
             leaving: false,
             changed: true,
         }
@@ -98,7 +98,7 @@
             self.peers.remove(&vm);
             self.changed = true;
         }
-        if self.near.len() != self.peers.len().min(self.cfg.neighbours) || self.changed {
+        if self.near.len() != self.peers.len().min(self.cfg.neighbours_max) || self.changed {
             self.choose_near();
         }
     }
@@ -172,9 +172,9 @@
             return;
         }
         let restarted = peer.meet(now, &self.chart, r.incarnation);
-        let fresh = restarted || r.refutes > peer.refutes;
-        let same = r.refutes == peer.refutes;
-        peer.refutes = peer.refutes.max(r.refutes);
+        let fresh = restarted || r.refutations > peer.refutations;
+        let same = r.refutations == peer.refutations;
+        peer.refutations = peer.refutations.max(r.refutations);
         // What was heard at first hand lately weighs more than another's suspicion, which may come
         // from a VM that is cut off itself.
         let sure = peer.heard_within(now, self.cfg.suspect_after);
@@ -196,8 +196,8 @@
     /// Contradicts a suspicion of this run.
     fn refute(&mut self, r: &Rumour) {
         let doubted = matches!(r.state, VmState::Suspect | VmState::Unreachable);
-        if doubted && r.incarnation == self.cfg.incarnation && r.refutes >= self.refutes {
-            self.refutes = r.refutes.saturating_add(1);
+        if doubted && r.incarnation == self.cfg.incarnation && r.refutations >= self.refutations {
+            self.refutations = r.refutations.saturating_add(1);
             self.news.add(&self.cfg.me.vm);
         }
     }
--- a/crates/member/src/beat.rs
+++ b/crates/member/src/heartbeat.rs
@@ -9,7 +9,7 @@
 
 /// A heartbeat: what the sender says of itself, and some of what it lately learned of others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Whether the receiver should answer at once.
     pub wants_answer: bool,
     /// Whether the sender is leaving.
@@ -19,7 +19,8 @@
     /// How the sender can be reached; only while the receiver may not know it yet.
     pub entry: Option<Box<VmEntry>>,
     /// The newest seat table that the sender holds to.
-    pub claimed: Claimed,
+    #[serde(rename = "claimed")]
+    pub table_epochs: TableEpochs,
     /// What the sender lately learned of others; bounded.
     pub rumours: Vec<Rumour>,
     /// A seat table newer than the receiver's, as its object's version and content.
@@ -28,7 +29,7 @@
 
 /// Which seat tables a VM holds to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Claimed {
+pub struct TableEpochs {
     /// The newest seat table that it has read.
     pub read: Epoch,
     /// The newest that its open connections are within; it never goes back to an older one.
@@ -43,7 +44,8 @@
     /// The newest run of its process known.
     pub incarnation: Incarnation,
     /// Counts how often that run has contradicted a suspicion; a larger one wins.
-    pub refutes: u32,
+    #[serde(rename = "refutes")]
+    pub refutations: u32,
     /// What it is thought to be.
     pub state: VmState,
     /// The newest seat table that it is known to be within.
--- a/crates/member/src/holding.rs
+++ b/crates/member/src/holding.rs
@@ -4,11 +4,11 @@
 
 use gs_types::prelude::*;
 
-use crate::beat::Claimed;
+use crate::heartbeat::TableEpochs;
 use crate::seats::Epoch;
 use crate::seats::SeatId;
+use crate::seats::SeatLayout;
 use crate::seats::SeatTable;
-use crate::seats::Shape;
 use crate::share::ServerLimit;
 use crate::share::seat_share;
 
@@ -51,8 +51,8 @@
         self.version
     }
 
-    pub(crate) fn claimed(&self) -> Claimed {
-        Claimed {
+    pub(crate) fn table_epochs(&self) -> TableEpochs {
+        TableEpochs {
             read: self.table.as_ref().map_or(Epoch::default(), |t| t.epoch),
             lowered: self.lowered,
         }
@@ -82,8 +82,8 @@
         let (Some(table), Some(seat)) = (&self.table, self.held_seat()) else {
             return false;
         };
-        let mut in_use = self.shapes_in_use(table);
-        in_use.any(|shape| shape.seats.iter().all(|s| s.id != seat))
+        let mut in_use = self.layouts_in_use(table);
+        in_use.any(|layout| layout.seats.iter().all(|s| s.id != seat))
     }
 
     /// Uses no seat until there is a newer table.
@@ -112,7 +112,7 @@
 
     /// Notes that the open connections are within the table of this epoch.
     pub(crate) fn lower(&mut self, to: Epoch) {
-        let newest = self.claimed().read;
+        let newest = self.table_epochs().read;
         self.lowered = self.lowered.max(to.min(newest));
     }
 
@@ -130,7 +130,7 @@
 
     /// The oldest epoch that any holder of a seat may still be at.
     pub(crate) fn oldest(&self) -> Epoch {
-        let held = self.table.iter().flat_map(|t| &t.held);
+        let held = self.table.iter().flat_map(|t| &t.holders);
         held.filter(|h| h.vm != self.me)
             .map(|h| self.lowered_of(&h.vm).max(h.since))
             .fold(self.lowered, Epoch::min)
@@ -142,26 +142,28 @@
             let none = |s: &ServerLimit| (s.server.clone(), Connections(0));
             return servers.iter().map(none).collect();
         };
-        let shapes: Vec<&Shape> = self.shapes_in_use(table).collect();
+        let layouts: Vec<&SeatLayout> = self.layouts_in_use(table).collect();
         let share = |s: &ServerLimit| {
-            let in_each = shapes.iter().map(|shape| seat_share(s, &shape.seats, seat));
+            let in_each = layouts
+                .iter()
+                .map(|layout| seat_share(s, &layout.seats, seat));
             (s.server.clone(), in_each.min().unwrap_or_default())
         };
         servers.iter().map(share).collect()
     }
 
     /// The lists of seats that some VM may still hold to.
-    fn shapes_in_use<'a>(&self, table: &'a SeatTable) -> impl Iterator<Item = &'a Shape> {
+    fn layouts_in_use<'a>(&self, table: &'a SeatTable) -> impl Iterator<Item = &'a SeatLayout> {
         // With one list of seats, as nearly always, nobody can be at another.
-        let lo = match table.shapes.len() {
+        let lo = match table.layouts.len() {
             1 => Epoch::default(),
             _ => self.oldest(),
         };
-        let until = |i: usize| table.shapes.get(i + 1).map(|next| next.since);
-        let shapes = table.shapes.iter().enumerate();
-        shapes
+        let until = |i: usize| table.layouts.get(i + 1).map(|next| next.since);
+        let layouts = table.layouts.iter().enumerate();
+        layouts
             .filter(move |(i, _)| until(*i).is_none_or(|end| end > lo))
-            .map(|(_, shape)| shape)
+            .map(|(_, layout)| layout)
     }
 
     fn my_seat(&self) -> Option<SeatId> {
--- a/crates/member/src/keeper.rs
+++ b/crates/member/src/keeper.rs
@@ -8,7 +8,7 @@
 
 use crate::gossip::Gossip;
 use crate::holding::Holding;
-use crate::seats::SHAPES_MAX;
+use crate::seats::LAYOUTS_MAX;
 use crate::seats::SeatId;
 use crate::seats::SeatTable;
 use crate::settings::MemberSettings;
@@ -60,7 +60,7 @@
             .iter()
             .map(|e| (e.vm.clone(), e.data_centre.clone()))
             .collect();
-        let held = h.table().map(|t| t.held.as_slice()).unwrap_or_default();
+        let held = h.table().map(|t| t.holders.as_slice()).unwrap_or_default();
         let absent = held.iter().map(|h| &h.vm);
         let absent = absent.filter(|vm| !listed.contains_key(*vm));
         self.absent = absent
@@ -82,7 +82,7 @@
         if !idle || resting || self.listed.is_none() {
             return false;
         }
-        let looked = |t| now.duration_since(t) < self.cfg.table_every;
+        let looked = |t| now.duration_since(t) < self.cfg.table_check_interval;
         let duty = self.on_duty && !self.looked.is_some_and(looked);
         let unseated = !h.is_seated() && !leaving;
         let blocked = h.is_blocked() && h.table().is_some_and(SeatTable::has_settled_vacancy);
@@ -102,7 +102,7 @@
         let mut table = match h.table() {
             Some(t) => t.clone(),
             None if h.is_released() => return None,
-            None => SeatTable::first(self.listed.as_ref()?.values()),
+            None => SeatTable::initial(self.listed.as_ref()?.values()),
         };
         if h.is_released() {
             table.vacate(&self.cfg.me.vm);
@@ -127,7 +127,7 @@
     fn sit(&self, table: &mut SeatTable) {
         let me = &self.cfg.me;
         let own = table.seat_of(&me.vm).is_some();
-        let full = table.vacant().next().is_none() && table.shapes.len() >= SHAPES_MAX;
+        let full = table.vacant_seats().next().is_none() && table.layouts.len() >= LAYOUTS_MAX;
         if own || !full {
             table.take(&me.vm, self.cfg.incarnation, &me.data_centre);
         }
@@ -144,7 +144,7 @@
             }
         }
         self.note_vacant(now, table);
-        if table.shapes.len() < SHAPES_MAX {
+        if table.layouts.len() < LAYOUTS_MAX {
             self.settle_moves(table, g);
             self.shrink(now, table);
             table.add_spares();
@@ -153,12 +153,12 @@
 
     fn note_vacant(&mut self, now: Instant, table: &SeatTable) {
         let since = |id: SeatId| self.vacant.get(&id).copied().unwrap_or(now);
-        self.vacant = table.vacant().map(|s| (s.id, since(s.id))).collect();
+        self.vacant = table.vacant_seats().map(|s| (s.id, since(s.id))).collect();
     }
 
     /// Gives each held seat to the data centre of its holder.
     fn settle_moves(&self, table: &mut SeatTable, g: &Gossip) {
-        for h in table.held.clone() {
+        for h in table.holders.clone() {
             let dc = match h.vm == self.cfg.me.vm {
                 true => Some(&self.cfg.me.data_centre),
                 false => g.peer(&h.vm).map(|p| &p.entry.data_centre),
@@ -176,7 +176,7 @@
             since.is_some_and(|t| now.duration_since(*t) >= self.cfg.shrink_after)
         };
         let full: Vec<_> = table
-            .vacant()
+            .vacant_seats()
             .filter(|s| s.data_centre.is_some() && old(&s.id))
             .map(|s| s.id)
             .collect();
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -10,9 +10,9 @@
 //! pass the server's limit).
 
 mod action;
-mod beat;
 mod event;
 mod gossip;
+mod heartbeat;
 mod holding;
 mod keeper;
 mod member;
@@ -28,17 +28,17 @@
 pub use gs_types::vm::VmEntry;
 
 pub use action::Action;
-pub use beat::Beat;
-pub use beat::Claimed;
-pub use beat::Rumour;
 pub use event::Event;
+pub use heartbeat::Heartbeat;
+pub use heartbeat::Rumour;
+pub use heartbeat::TableEpochs;
 pub use member::Membership;
 pub use seats::Epoch;
-pub use seats::Held;
 pub use seats::Seat;
+pub use seats::SeatHolder;
 pub use seats::SeatId;
+pub use seats::SeatLayout;
 pub use seats::SeatTable;
-pub use seats::Shape;
 pub use settings::MemberSettings;
 pub use share::ServerLimit;
 pub use share::seat_share;
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -9,9 +9,9 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::action::Action;
-use crate::beat::Beat;
 use crate::event::Event;
 use crate::gossip::Gossip;
+use crate::heartbeat::Heartbeat;
 use crate::holding::Holding;
 use crate::keeper::Call;
 use crate::keeper::Keeper;
@@ -67,11 +67,11 @@
     pub fn on(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::List(list) => self.list(now, &list),
-            Event::Heard {
+            Event::Heartbeat {
                 from,
                 incarnation,
-                beat,
-            } => self.heard(now, &from, incarnation, beat, out),
+                heartbeat,
+            } => self.heard(now, &from, incarnation, heartbeat, out),
             Event::Servers(servers) => {
                 self.servers = servers;
                 self.stale = true;
@@ -114,8 +114,8 @@
 
     /// The epochs that this VM has read and lowered to.
     #[must_use]
-    pub fn claimed(&self) -> crate::Claimed {
-        self.holding.claimed()
+    pub fn table_epochs(&self) -> crate::TableEpochs {
+        self.holding.table_epochs()
     }
 
     fn list(&mut self, now: Instant, list: &[VmEntry]) {
@@ -132,22 +132,22 @@
         now: Instant,
         from: &VmId,
         run: Incarnation,
-        beat: Beat,
+        heartbeat: Heartbeat,
         out: &mut Vec<Action>,
     ) {
-        let entry = beat.entry.as_deref();
-        self.gossip.hear(now, from, run, entry, beat.leaving);
-        self.gossip.note_known(from, beat.knows_receiver);
-        self.stale |= self.holding.hear(from, beat.claimed.lowered);
-        for r in &beat.rumours {
+        let entry = heartbeat.entry.as_deref();
+        self.gossip.hear(now, from, run, entry, heartbeat.leaving);
+        self.gossip.note_known(from, heartbeat.knows_receiver);
+        self.stale |= self.holding.hear(from, heartbeat.table_epochs.lowered);
+        for r in &heartbeat.rumours {
             self.gossip.rumour(now, r);
             self.stale |= self.holding.hear(&r.vm, r.lowered);
         }
-        if let Some((version, content)) = beat.table {
+        if let Some((version, content)) = heartbeat.table {
             self.adopt(version, &content);
         }
-        let behind = beat.claimed.read < self.holding.claimed().read;
-        if beat.wants_answer || behind {
+        let behind = heartbeat.table_epochs.read < self.holding.table_epochs().read;
+        if heartbeat.wants_answer || behind {
             self.send(from, false, behind, out);
         }
     }
@@ -156,7 +156,7 @@
         if self.next_period.is_some_and(|t| now < t) {
             return;
         }
-        self.next_period = Some(now + self.cfg.period);
+        self.next_period = Some(now + self.cfg.heartbeat_interval);
         self.gossip.judge(now);
         for vm in self.gossip.asked(now) {
             self.send(&vm, true, false, out);
@@ -169,23 +169,23 @@
         // A new run of a known peer may know nobody, as it has no list of VMs while the platform is
         // away: it answers whoever asks it, but cannot ask anybody without this entry.
         let known_there = peer.is_some_and(|p| p.knows_us);
-        let claimed = self.holding.claimed();
+        let table_epochs = self.holding.table_epochs();
         let holding = &self.holding;
         let me = &self.cfg.me.vm;
         let rumours = self.gossip.rumours(|vm| match vm == me {
-            true => claimed.lowered,
+            true => table_epochs.lowered,
             false => holding.lowered_of(vm),
         });
-        let beat = Beat {
+        let heartbeat = Heartbeat {
             wants_answer,
             leaving: self.gossip.is_leaving(),
             knows_receiver: met,
             entry: (!met || !known_there).then(|| Box::new(self.cfg.me.clone())),
-            claimed,
+            table_epochs,
             rumours,
             table: table.then(|| self.encoded_table()).flatten(),
         };
-        out.push(Action::Send(to.clone(), beat));
+        out.push(Action::Send(to.clone(), heartbeat));
     }
 
     fn encoded_table(&self) -> Option<(u64, Vec<u8>)> {
@@ -276,14 +276,14 @@
     }
 
     fn rest(&mut self, now: Instant) {
-        let time = self.gossip.jitter(self.cfg.retry_after);
+        let time = self.gossip.jitter(self.cfg.platform_backoff);
         self.keeper.rest(now, time);
     }
 
     fn lowered(&mut self, epoch: crate::Epoch, out: &mut Vec<Action>) {
-        let before = self.holding.claimed().lowered;
+        let before = self.holding.table_epochs().lowered;
         self.holding.lower(epoch);
-        if self.holding.claimed().lowered > before {
+        if self.holding.table_epochs().lowered > before {
             self.stale = true;
             self.tell(false, out);
         }
@@ -311,7 +311,7 @@
     }
 
     fn publish_shares(&mut self, out: &mut Vec<Action>) {
-        let epoch = self.holding.claimed().read;
+        let epoch = self.holding.table_epochs().read;
         let shares = self.holding.shares(&self.servers);
         let told = Some((epoch, shares.clone()));
         if told != self.shares {
--- a/crates/member/src/peer.rs
+++ b/crates/member/src/peer.rs
@@ -19,7 +19,7 @@
     /// The newest run of its process known.
     pub(crate) incarnation: Option<Incarnation>,
     /// How often that run has contradicted a suspicion.
-    pub(crate) refutes: u32,
+    pub(crate) refutations: u32,
     /// When it was last heard at first hand.
     pub(crate) heard: Option<Instant>,
     /// Whether its last word said that it has heard this VM.
@@ -37,7 +37,7 @@
             state,
             since: now,
             incarnation: None,
-            refutes: 0,
+            refutations: 0,
             heard: None,
             knows_us: false,
             asked: None,
@@ -83,7 +83,7 @@
         }
         let restarted = self.incarnation.is_some();
         self.incarnation = Some(run);
-        self.refutes = 0;
+        self.refutations = 0;
         if restarted {
             self.step(now, chart, VmEvent::Restarted);
         }
--- a/crates/member/src/seats.rs
+++ b/crates/member/src/seats.rs
@@ -15,7 +15,7 @@
 const SEATS_MAX: usize = 4096;
 
 /// Most lists of seats that may be in force at the same time.
-pub(crate) const SHAPES_MAX: usize = 4;
+pub(crate) const LAYOUTS_MAX: usize = 4;
 
 /// One seat is kept for a newcomer, and one more for each so many VMs.
 const VMS_PER_SPARE: usize = 16;
@@ -60,7 +60,7 @@
 
 /// A list of seats and the first epoch in which it was in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Shape {
+pub struct SeatLayout {
     /// The first epoch in which it was in force.
     pub since: Epoch,
     /// The seats, vacant ones too.
@@ -69,7 +69,7 @@
 
 /// A seat and its holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct SeatHolder {
     /// The seat.
     pub seat: SeatId,
     /// The VM that holds it.
@@ -105,9 +105,11 @@
     /// The number of this table.
     pub epoch: Epoch,
     /// The lists of seats that some VM may still hold to, oldest first; the last is in force now.
-    pub shapes: SmallVec<[Shape; 1]>,
+    #[serde(rename = "shapes")]
+    pub layouts: SmallVec<[SeatLayout; 1]>,
     /// The seats that are held.
-    pub held: Vec<Held>,
+    #[serde(rename = "held")]
+    pub holders: Vec<SeatHolder>,
 }
 
 impl SeatTable {
@@ -116,14 +118,14 @@
 
     /// Makes the first table, with a seat for each of these VMs and spare ones.
     #[must_use]
-    pub fn first<'a>(data_centres: impl Iterator<Item = &'a DataCentre>) -> Self {
+    pub fn initial<'a>(data_centres: impl Iterator<Item = &'a DataCentre>) -> Self {
         let mut table = Self {
             epoch: Epoch(0),
-            shapes: smallvec![Shape {
+            layouts: smallvec![SeatLayout {
                 since: Epoch(0),
                 seats: Vec::new(),
             }],
-            held: Vec::new(),
+            holders: Vec::new(),
         };
         for dc in data_centres {
             table.add_seat(Some(dc.clone()));
@@ -166,25 +168,25 @@
     /// The seats in force now.
     #[must_use]
     pub fn seats(&self) -> &[Seat] {
-        self.shapes.last().map_or(&[], |s| &s.seats)
+        self.layouts.last().map_or(&[], |s| &s.seats)
     }
 
     /// The seat that a VM holds.
     #[must_use]
-    pub fn seat_of(&self, vm: &VmId) -> Option<&Held> {
-        self.held.iter().find(|h| h.vm == *vm)
+    pub fn seat_of(&self, vm: &VmId) -> Option<&SeatHolder> {
+        self.holders.iter().find(|h| h.vm == *vm)
     }
 
     /// The seats that nobody holds.
-    pub fn vacant(&self) -> impl Iterator<Item = &Seat> {
-        let taken = |id| self.held.iter().any(|h| h.seat == id);
+    pub fn vacant_seats(&self) -> impl Iterator<Item = &Seat> {
+        let taken = |id| self.holders.iter().any(|h| h.seat == id);
         self.seats().iter().filter(move |s| !taken(s.id))
     }
 
     /// Seats a VM, or its new run: its own seat, else a vacant one that can be used at once, of its
     /// own data centre if possible, else a new one.
     pub(crate) fn take(&mut self, vm: &VmId, incarnation: Incarnation, dc: &DataCentre) {
-        if let Some(h) = self.held.iter_mut().find(|h| h.vm == *vm) {
+        if let Some(h) = self.holders.iter_mut().find(|h| h.vm == *vm) {
             h.incarnation = incarnation;
             h.since = Epoch::default();
             return;
@@ -195,11 +197,11 @@
             None => 2,
         };
         let order = |s: &&Seat| (!self.is_settled(s.id), rank(s), s.id);
-        let seat = match self.vacant().min_by_key(order) {
+        let seat = match self.vacant_seats().min_by_key(order) {
             Some(s) => s.id,
             None => self.add_seat(Some(dc.clone())),
         };
-        self.held.push(Held {
+        self.holders.push(SeatHolder {
             seat,
             vm: vm.clone(),
             incarnation,
@@ -209,29 +211,29 @@
 
     /// Whether a vacant seat is in every list of seats, so that a newcomer may use it at once.
     pub(crate) fn has_settled_vacancy(&self) -> bool {
-        self.vacant().any(|s| self.is_settled(s.id))
+        self.vacant_seats().any(|s| self.is_settled(s.id))
     }
 
     fn is_settled(&self, seat: SeatId) -> bool {
-        let has = |shape: &Shape| shape.seats.iter().any(|s| s.id == seat);
-        self.shapes.iter().all(has)
+        let has = |layout: &SeatLayout| layout.seats.iter().any(|s| s.id == seat);
+        self.layouts.iter().all(has)
     }
 
     /// Vacates a VM's seat.
     pub(crate) fn vacate(&mut self, vm: &VmId) {
-        self.held.retain(|h| h.vm != *vm);
+        self.holders.retain(|h| h.vm != *vm);
     }
 
     /// Takes a vacant seat out of the list.
     pub(crate) fn remove_seat(&mut self, seat: SeatId) {
-        if let Some(s) = self.shapes.last_mut() {
+        if let Some(s) = self.layouts.last_mut() {
             s.seats.retain(|s| s.id != seat);
         }
     }
 
     /// Gives a seat to a data centre, which makes a spare seat a full one.
     pub(crate) fn move_seat(&mut self, seat: SeatId, dc: &DataCentre) {
-        let seats = self.shapes.last_mut().map(|s| &mut s.seats);
+        let seats = self.layouts.last_mut().map(|s| &mut s.seats);
         let seat = seats.and_then(|s| s.iter_mut().find(|s| s.id == seat));
         if let Some(s) = seat {
             s.data_centre = Some(dc.clone());
@@ -241,15 +243,15 @@
     /// Adds vacant seats until a newcomer finds one.
     pub(crate) fn add_spares(&mut self) {
         let want = 1 + self.seats().len() / VMS_PER_SPARE;
-        while self.vacant().count() < want && self.seats().len() < SEATS_MAX {
+        while self.vacant_seats().count() < want && self.seats().len() < SEATS_MAX {
             self.add_seat(None);
         }
     }
 
     /// Forgets lists of seats that no VM can hold to any more; `lo` is the oldest epoch in use.
     pub(crate) fn prune(&mut self, lo: Epoch) {
-        while self.shapes.get(1).is_some_and(|s| s.since <= lo) {
-            self.shapes.remove(0);
+        while self.layouts.get(1).is_some_and(|s| s.since <= lo) {
+            self.layouts.remove(0);
         }
     }
 
@@ -258,15 +260,19 @@
     pub(crate) fn succeed(mut self, before: &Self) -> Self {
         self.epoch = before.epoch.next();
         let epoch = self.epoch;
-        for h in self.held.iter_mut().filter(|h| !before.held.contains(h)) {
+        for h in self
+            .holders
+            .iter_mut()
+            .filter(|h| !before.holders.contains(h))
+        {
             h.since = epoch;
         }
         let changed = self.seats() != before.seats();
         if let (true, Some(last), Some(old)) =
-            (changed, self.shapes.last_mut(), before.shapes.last())
+            (changed, self.layouts.last_mut(), before.layouts.last())
         {
             let new = std::mem::replace(last, old.clone());
-            self.shapes.push(Shape {
+            self.layouts.push(SeatLayout {
                 since: epoch,
                 seats: new.seats,
             });
@@ -275,25 +281,25 @@
     }
 
     fn add_seat(&mut self, data_centre: Option<DataCentre>) -> SeatId {
-        let all = self.shapes.iter().flat_map(|s| &s.seats);
+        let all = self.layouts.iter().flat_map(|s| &s.seats);
         let id = SeatId(all.map(|s| s.id.0 + 1).max().unwrap_or(0));
-        if let Some(s) = self.shapes.last_mut() {
+        if let Some(s) = self.layouts.last_mut() {
             s.seats.push(Seat { id, data_centre });
         }
         id
     }
 
     fn check(&self) -> Result<()> {
-        let mut seats: Vec<_> = self.held.iter().map(|h| h.seat).collect();
+        let mut seats: Vec<_> = self.holders.iter().map(|h| h.seat).collect();
         seats.sort_unstable();
         seats.dedup();
-        if seats.len() != self.held.len() {
+        if seats.len() != self.holders.len() {
             return Err(bad("the seat table has a seat held twice"));
         }
-        if self.shapes.is_empty() || self.shapes.len() > SHAPES_MAX {
+        if self.layouts.is_empty() || self.layouts.len() > LAYOUTS_MAX {
             return Err(bad("the seat table has no list of seats or too many"));
         }
-        if self.shapes.iter().any(|s| s.seats.len() > SEATS_MAX) {
+        if self.layouts.iter().any(|s| s.seats.len() > SEATS_MAX) {
             return Err(bad("the seat table has too many seats"));
         }
         Ok(())
--- a/crates/member/src/settings.rs
+++ b/crates/member/src/settings.rs
@@ -15,13 +15,13 @@
     pub seed: u64,
     /// Time between heartbeats.
     #[builder(default = Duration::from_millis(500))]
-    pub period: Duration,
+    pub heartbeat_interval: Duration,
     /// The most VMs asked for an answer in each period.
     #[builder(default = 4)]
-    pub fan_out: usize,
+    pub probe_fan_out: usize,
     /// The most VMs that this one holds connections to and asks.
     #[builder(default = 64)]
-    pub neighbours: usize,
+    pub neighbours_max: usize,
     /// A VM that has not answered for this long is suspected.
     #[builder(default = Duration::from_millis(1500))]
     pub suspect_after: Duration,
@@ -34,13 +34,13 @@
     pub gone_after: Duration,
     /// The most rumours in one heartbeat.
     #[builder(default = 16)]
-    pub rumours: usize,
+    pub rumours_max: usize,
     /// Time between two looks at the seat table by the VM whose duty it is.
     #[builder(default = Duration::from_secs(2))]
-    pub table_every: Duration,
+    pub table_check_interval: Duration,
     /// How long to wait, give or take half, before the platform is asked again after a failure.
     #[builder(default = Duration::from_millis(500))]
-    pub retry_after: Duration,
+    pub platform_backoff: Duration,
     /// Time that vacant seats are kept before the table shrinks, so that a replaced VM finds one.
     #[builder(default = Duration::from_secs(120))]
     pub shrink_after: Duration,
--- a/crates/member/src/tell.rs
+++ b/crates/member/src/tell.rs
@@ -7,8 +7,8 @@
 use gs_types::prelude::*;
 use rand::seq::SliceRandom;
 
-use crate::beat::Rumour;
 use crate::gossip::Gossip;
+use crate::heartbeat::Rumour;
 use crate::seats::Epoch;
 use crate::view::rank;
 use crate::vm::VmState;
@@ -26,8 +26,8 @@
         };
         let mut chosen: Vec<VmId> = near.iter().filter(owes).cloned().collect();
         chosen.shuffle(&mut self.rng);
-        chosen.truncate(self.cfg.fan_out);
-        for _ in 0..self.cfg.fan_out.min(near.len()) {
+        chosen.truncate(self.cfg.probe_fan_out);
+        for _ in 0..self.cfg.probe_fan_out.min(near.len()) {
             if self.turn.is_empty() {
                 self.turn = near.clone();
                 self.turn.shuffle(&mut self.rng);
@@ -49,10 +49,10 @@
     /// Chooses the neighbours again after a VM came or went.
     pub(crate) fn choose_near(&mut self) {
         let mut all: Vec<VmId> = self.peers.keys().cloned().collect();
-        if all.len() > self.cfg.neighbours {
+        if all.len() > self.cfg.neighbours_max {
             let me = self.cfg.me.vm.as_str();
             all.sort_by_cached_key(|vm| std::cmp::Reverse(rank(me, vm).0));
-            all.truncate(self.cfg.neighbours);
+            all.truncate(self.cfg.neighbours_max);
         }
         self.near = all;
     }
@@ -79,11 +79,11 @@
 
     /// What to tell in the next heartbeat: news first, then a few VMs in turn.
     pub(crate) fn rumours(&mut self, lowered_of: impl Fn(&VmId) -> Epoch) -> Vec<Rumour> {
-        let mut vms = self.news.take(self.cfg.rumours, self.peers.len() + 1);
+        let mut vms = self.news.take(self.cfg.rumours_max, self.peers.len() + 1);
         for _ in 0..DIGEST.min(self.peers.len()) {
             let next = self.next_in_turn();
             match next {
-                Some(vm) if vms.len() < self.cfg.rumours && !vms.contains(&vm) => vms.push(vm),
+                Some(vm) if vms.len() < self.cfg.rumours_max && !vms.contains(&vm) => vms.push(vm),
                 _ => {}
             }
         }
@@ -106,7 +106,7 @@
             return Some(Rumour {
                 vm: vm.clone(),
                 incarnation: self.cfg.incarnation,
-                refutes: self.refutes,
+                refutations: self.refutations,
                 state: self.my_state(),
                 lowered,
             });
@@ -115,7 +115,7 @@
         Some(Rumour {
             vm: vm.clone(),
             incarnation: p.incarnation?,
-            refutes: p.refutes,
+            refutations: p.refutations,
             state: p.state,
             lowered,
         })
--- a/crates/member/tests/member/table.rs
+++ b/crates/member/tests/member/table.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use gs_member::Beat;
+use gs_member::Heartbeat;
 use gs_member::SeatTable;
 use gs_types::prelude::*;
 use proptest::prelude::*;
@@ -15,14 +15,14 @@
 
 #[test]
 fn a_table_survives_its_object() {
-    let table = SeatTable::first(dcs().iter());
+    let table = SeatTable::initial(dcs().iter());
     let content = table.encode().expect("encodes");
     assert_eq!(SeatTable::decode(&content), Ok(table));
 }
 
 #[test]
 fn another_form_is_refused() {
-    let mut content = SeatTable::first(dcs().iter()).encode().expect("encodes");
+    let mut content = SeatTable::initial(dcs().iter()).encode().expect("encodes");
     content[0] = 9;
     let e = SeatTable::decode(&content).expect_err("refused");
     assert_eq!(e.kind(), ErrorKind::Version);
@@ -50,7 +50,7 @@
 
     #[test]
     fn any_bytes_are_a_heartbeat_or_an_error(bytes: Vec<u8>) {
-        let _ = postcard::from_bytes::<Beat>(&bytes);
+        let _ = postcard::from_bytes::<Heartbeat>(&bytes);
     }
 
     /// A peer of ours may be wrong, as after a bad build: no heartbeat that decodes may stop a VM.
@@ -60,8 +60,8 @@
         (0..3).for_each(|i| w.start(i));
         w.run(Duration::from_secs(1));
         for (bytes, from) in all {
-            if let Ok(beat) = postcard::from_bytes::<Beat>(&bytes) {
-                w.hear(0, from % 4, beat);
+            if let Ok(heartbeat) = postcard::from_bytes::<Heartbeat>(&bytes) {
+                w.hear(0, from % 4, heartbeat);
             }
         }
         w.run(Duration::from_secs(1));
--- a/crates/member/tests/member/world.rs
+++ b/crates/member/tests/member/world.rs
@@ -6,9 +6,9 @@
 use std::time::Instant;
 
 use gs_member::Action;
-use gs_member::Beat;
 use gs_member::Epoch;
 use gs_member::Event;
+use gs_member::Heartbeat;
 use gs_member::MemberSettings;
 use gs_member::Membership;
 use gs_member::ServerLimit;
@@ -188,12 +188,12 @@
     }
 
     /// Hands a VM a heartbeat that another never sent.
-    pub fn hear(&mut self, i: u8, from: u8, beat: Beat) {
+    pub fn hear(&mut self, i: u8, from: u8, heartbeat: Heartbeat) {
         let p = self.processes.get_mut(&i).expect("running");
-        p.push(Event::Heard {
+        p.push(Event::Heartbeat {
             from: vm(from),
             incarnation: Incarnation(u64::MAX),
-            beat,
+            heartbeat,
         });
     }
 
@@ -251,7 +251,7 @@
 
     fn act(&mut self, i: u8, action: Action) {
         match action {
-            Action::Send(to, beat) => self.send(i, &to, beat),
+            Action::Send(to, heartbeat) => self.send(i, &to, heartbeat),
             Action::Shares { epoch, shares } => {
                 let p = self.processes.get_mut(&i).expect("a process");
                 p.told = (epoch, shares.into_iter().map(|(s, n)| (s, n.0)).collect());
@@ -279,14 +279,16 @@
         }
     }
 
-    fn send(&mut self, from: u8, to: &VmId, beat: Beat) {
+    fn send(&mut self, from: u8, to: &VmId, heartbeat: Heartbeat) {
         self.messages += 1;
-        self.bytes += postcard::to_allocvec(&beat).expect("a beat").len() as u64;
+        self.bytes += postcard::to_allocvec(&heartbeat)
+            .expect("a heartbeat")
+            .len() as u64;
         let p = &self.processes[&from];
-        let heard = Event::Heard {
+        let heard = Event::Heartbeat {
             from: p.entry.vm.clone(),
             incarnation: p.incarnation,
-            beat,
+            heartbeat,
         };
         let cut = p.cut;
         let mut all = self.processes.values_mut();
--- a/crates/mesh/examples/cost.rs
+++ b/crates/mesh/examples/cost.rs
@@ -15,8 +15,8 @@
 use std::time::Instant;
 
 use gs_member::Action;
-use gs_member::Beat;
 use gs_member::Event;
+use gs_member::Heartbeat;
 use gs_member::MemberSettings;
 use gs_member::Membership;
 use gs_member::VmEntry;
@@ -35,8 +35,8 @@
 
 struct Member {
     m: Membership,
-    mesh: NngMesh<Beat>,
-    rx: Receiver<Received<Beat>>,
+    mesh: NngMesh<Heartbeat>,
+    rx: Receiver<Received<Heartbeat>>,
     inbox: VecDeque<Event>,
     wake: Instant,
 }
@@ -53,7 +53,7 @@
     }
 }
 
-fn start(i: usize) -> (VmEntry, NngMesh<Beat>, Receiver<Received<Beat>>) {
+fn start(i: usize) -> (VmEntry, NngMesh<Heartbeat>, Receiver<Received<Heartbeat>>) {
     let cfg = MeshSettings::builder()
         .vm(format!("entry-{i:04}").parse().expect("a name"))
         .incarnation(Incarnation(1_800_000_000_000))
@@ -98,10 +98,10 @@
     fn step(&mut self, table: &mut Option<Stored>) {
         let now = Instant::now();
         while let Ok(r) = self.rx.try_recv() {
-            self.inbox.push_back(Event::Heard {
+            self.inbox.push_back(Event::Heartbeat {
                 from: r.from,
                 incarnation: r.incarnation,
-                beat: r.msg,
+                heartbeat: r.msg,
             });
         }
         if now >= self.wake {
--- a/crates/node/src/dumps.rs
+++ b/crates/node/src/dumps.rs
@@ -85,7 +85,7 @@
 
     fn members(&self) -> Value {
         let member = lock(&self.member);
-        json!({ "view": member.view(), "seats": member.table(), "claimed": member.claimed() })
+        json!({ "view": member.view(), "seats": member.table(), "claimed": member.table_epochs() })
     }
 
     /// The state as text, for another VM.
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -29,11 +29,11 @@
         msg,
     } = r;
     match msg {
-        Message::Beat(beat) => {
-            f.feeds.member.push(gs_member::Event::Heard {
+        Message::Beat(heartbeat) => {
+            f.feeds.member.push(gs_member::Event::Heartbeat {
                 from,
                 incarnation,
-                beat,
+                heartbeat,
             });
         }
         Message::Conf(msg) => f.feeds.book.push(gs_conf::Event::Message(from, msg)),
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// A heartbeat.
-    Beat(gs_member::Beat),
+    Beat(gs_member::Heartbeat),
     /// About patches.
     Conf(gs_conf::Message),
     /// About claims.
--- a/crates/node/src/options.rs
+++ b/crates/node/src/options.rs
@@ -157,7 +157,7 @@
             .me(me)
             .incarnation(self.incarnation)
             .seed(self.seed)
-            .period(self.settings.mesh.heartbeat)
+            .heartbeat_interval(self.settings.mesh.heartbeat)
             .build()
     }
 
