--- a/crates/node/src/once_shell.rs
+++ b/crates/node/src/once_shell.rs
@@ -64,7 +64,7 @@
                 });
             }
             Action::Send(vm, msg) => self.spread.send(&vm, &Message::Claim(msg)),
-            Action::Verdict(seq, verdict) => {
+            Action::Decision(seq, verdict) => {
                 self.feeds.engine.push(gs_query::Event::Claim(seq, verdict));
             }
             Action::Wake(after) => return Some(after),
--- a/crates/once/examples/claims.rs
+++ b/crates/once/examples/claims.rs
@@ -137,7 +137,7 @@
             if event == Event::Tick && self.wakes[i] > at {
                 continue;
             }
-            if let Event::Ask(ask) = &event {
+            if let Event::ClaimRequested(ask) = &event {
                 self.asked.insert(ask.seq, at);
             }
             let mut out = Vec::new();
@@ -183,7 +183,7 @@
                 let j = (0..VMS).find(|j| vm(*j) == to).expect("a VM");
                 self.put(HOP, j, Event::Peer(vm(i), message));
             }
-            Action::Verdict(seq, verdict) => {
+            Action::Decision(seq, verdict) => {
                 let asked = self.asked.remove(&seq).expect("an ask");
                 self.took.push(self.now - asked);
                 self.granted += u64::from(verdict == ClaimVerdict::Granted);
@@ -244,7 +244,7 @@
                 fingerprint: Fingerprint(n as u64),
                 budget: Duration::from_secs(1),
             };
-            w.put(*at, *i, Event::Ask(ask));
+            w.put(*at, *i, Event::ClaimRequested(ask));
         }
         w.run(MEASURED + Duration::from_secs(2));
         w.took.sort_unstable();
--- a/crates/once/src/action.rs
+++ b/crates/once/src/action.rs
@@ -39,7 +39,8 @@
     /// Send a message to another VM; it may be lost.
     Send(VmId, Message),
     /// The one answer to an ask.
-    Verdict(LookupSeq, ClaimVerdict),
+    #[serde(rename = "verdict")]
+    Decision(LookupSeq, ClaimVerdict),
     /// Send [`crate::Event::Tick`] after this time at the latest; replaces the one asked before.
     Wake(Duration),
 }
--- a/crates/once/src/claim.rs
+++ b/crates/once/src/claim.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_128;
 
-use crate::part::Window;
+use crate::segment::Window;
 
 /// The 128-bit hash of an idempotency key. Two keys that hash alike make the second `Taken`: it is
 /// refused, never run twice.
@@ -26,7 +26,7 @@
 
 /// Names one ask in the whole fleet: the nonce of its claim.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct AskId {
+pub struct ClaimRequestId {
     /// The VM whose caller wants it.
     pub vm: VmId,
     /// The run of its process.
@@ -35,7 +35,7 @@
     pub seq: LookupSeq,
 }
 
-impl fmt::Display for AskId {
+impl fmt::Display for ClaimRequestId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}/{}/{}", self.vm, self.incarnation, self.seq)
     }
@@ -43,9 +43,9 @@
 
 /// A claim wanted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct ClaimRequest {
     /// Whose it is.
-    pub id: AskId,
+    pub id: ClaimRequestId,
     /// The key, hashed.
     pub key: KeyHash,
     /// The window in which the key was minted.
--- a/crates/once/src/claim_calls.rs
+++ b/crates/once/src/claim_calls.rs
@@ -3,8 +3,8 @@
 use gs_types::prelude::*;
 
 use crate::action::Action;
-use crate::claim::AskId;
 use crate::claim::ClaimEvent;
+use crate::claim::ClaimRequestId;
 use crate::claim::ClaimState;
 use crate::claim::KeyHash;
 use crate::claim_log::Call;
@@ -12,9 +12,9 @@
 use crate::claim_log::Existing;
 use crate::once::Cx;
 use crate::once::Once;
-use crate::part::Part;
-use crate::part::PartPath;
-use crate::part::Window;
+use crate::segment::Segment;
+use crate::segment::SegmentPath;
+use crate::segment::Window;
 
 /// Entries that are kept in memory; buckets and windows that nobody asks for go beyond that.
 const ENTRIES_MAX: usize = 200_000;
@@ -24,12 +24,12 @@
 impl Once {
     /// Starts every call that is due.
     pub(crate) fn start_calls(&mut self, cx: &mut Cx<'_>) {
-        if !self.is_away(cx.now) {
+        if !self.is_backing_off(cx.now) {
             let keys: Vec<Key> = self.claim_logs.keys().copied().collect();
             for key in keys {
                 self.start_call(cx, key);
             }
-            self.start_floor_read(cx);
+            self.start_watermark_read(cx);
         }
         self.forget();
     }
@@ -38,11 +38,11 @@
         let Some(claim_log) = self.claim_logs.get_mut(&key) else {
             return;
         };
-        let asks = &self.asks;
-        claim_log.queue.retain(|id| asks.find(id).is_some());
-        claim_log.unproven.retain(|id| asks.find(id).is_some());
+        let requests = &self.claim_requests;
+        claim_log.queue.retain(|id| requests.find(id).is_some());
+        claim_log.unproven.retain(|id| requests.find(id).is_some());
         if !claim_log.unproven.is_empty() && claim_log.proof.is_none() {
-            claim_log.proof = Some(self.floor.want());
+            claim_log.proof = Some(self.watermark.want());
         }
         if claim_log.call != Call::None || claim_log.queue.is_empty() {
             return;
@@ -62,15 +62,16 @@
         let Some(claim_log) = self.claim_logs.get_mut(&key) else {
             return;
         };
-        let asks = &self.asks;
-        let (existing, part) =
-            claim_log.gather(self.cfg.part_claims, |id| asks.find(id).map(|p| &p.ask));
+        let requests = &self.claim_requests;
+        let (existing, segment) = claim_log.gather(self.cfg.claims_per_segment, |id| {
+            requests.find(id).map(|p| &p.request)
+        });
         let batch = match &claim_log.call {
             Call::Write { batch, .. } => batch.clone(),
             _ => Vec::new(),
         };
         let (path, if_version) = (claim_log.path().to_string(), claim_log.version());
-        if let Some(content) = part.and_then(|p| p.encode().ok()) {
+        if let Some(content) = segment.and_then(|p| p.encode().ok()) {
             claim_log.next_write = Some(cx.now + self.cfg.gather);
             self.counts.writes += 1;
             cx.out.push(Action::Write {
@@ -105,39 +106,40 @@
         };
         claim_log.call = Call::None;
         let read = match result {
-            Ok(None) => Some((0, Part::default())),
-            Ok(Some(s)) => decoded(path, &s).map(|part| (s.version, part)),
+            Ok(None) => Some((0, Segment::default())),
+            Ok(Some(s)) => decoded(path, &s).map(|segment| (s.version, segment)),
             Err(_) => None,
         };
-        let Some((version, part)) = read else {
-            self.go_away(cx);
+        let Some((version, segment)) = read else {
+            self.back_off(cx);
             return;
         };
-        let full = self.cfg.part_claims;
+        let full = self.cfg.claims_per_segment;
         if let Some(claim_log) = self.claim_logs.get_mut(&key) {
-            claim_log.read(version, part, full);
+            claim_log.read(version, segment, full);
         }
         self.settle(cx, key);
     }
 
     pub(crate) fn wrote(&mut self, cx: &mut Cx<'_>, path: &str, result: Result<u64, StoreError>) {
-        let full = self.cfg.part_claims;
+        let full = self.cfg.claims_per_segment;
         let Some((key, claim_log)) = self.called(path, |c| matches!(c, Call::Write { .. })) else {
             return;
         };
-        let Call::Write { batch, part } = std::mem::replace(&mut claim_log.call, Call::None) else {
+        let Call::Write { batch, segment } = std::mem::replace(&mut claim_log.call, Call::None)
+        else {
             return;
         };
         match result {
             Ok(version) => {
-                claim_log.wrote(version, part, full);
+                claim_log.wrote(version, segment, full);
                 for id in &batch {
                     self.entry_found(cx, key, id);
                 }
                 self.settle(cx, key);
             }
             Err(StoreError::Lost) => {
-                claim_log.doubt(batch.clone());
+                claim_log.note_unresolved_write(batch.clone());
                 self.requeue(cx, &batch, ClaimEvent::Lose);
             }
             Err(StoreError::Conflict) => {
@@ -146,15 +148,15 @@
             }
             Err(StoreError::NotDone) => {
                 self.requeue(cx, &batch, ClaimEvent::Miss);
-                self.go_away(cx);
+                self.back_off(cx);
             }
         }
     }
 
     /// Puts the asks of a write that did not succeed back.
-    fn requeue(&mut self, cx: &mut Cx<'_>, batch: &[AskId], event: ClaimEvent) {
+    fn requeue(&mut self, cx: &mut Cx<'_>, batch: &[ClaimRequestId], event: ClaimEvent) {
         for id in batch {
-            let state = self.asks.find(id).map(|p| p.state);
+            let state = self.claim_requests.find(id).map(|p| p.state);
             if matches!(state, Some(ClaimState::Writing | ClaimState::Rewriting)) {
                 self.end(cx, id, event);
             }
@@ -170,8 +172,8 @@
         let Some(claim_log) = self.claim_logs.get_mut(&key) else {
             return;
         };
-        for id in claim_log.settle_doubts() {
-            let claimed = self.asks.find(&id).map(|p| p.ask.key);
+        for id in claim_log.resolve_writes() {
+            let claimed = self.claim_requests.find(&id).map(|p| p.request.key);
             let holder = claimed.and_then(|k| self.holder(key, k));
             if holder == Some(&id) {
                 self.entry_found(cx, key, &id);
@@ -182,34 +184,34 @@
     }
 
     /// Notes that nothing can make an ask an entry any more, unless something still can.
-    pub(crate) fn rule_out(&mut self, cx: &mut Cx<'_>, id: &AskId) {
-        let Some(p) = self.asks.find(id) else {
+    pub(crate) fn rule_out(&mut self, cx: &mut Cx<'_>, id: &ClaimRequestId) {
+        let Some(p) = self.claim_requests.find(id) else {
             return;
         };
-        let key = (p.ask.window, self.bucket(p.ask.key));
+        let key = (p.request.window, self.bucket(p.request.key));
         let claim_log = self.claim_logs.get(&key);
-        let doubted = claim_log.is_some_and(|s| s.is_doubted(id));
-        if !doubted && !p.forward_open {
+        let unresolved = claim_log.is_some_and(|s| s.is_unresolved(id));
+        if !unresolved && !p.forward_open {
             self.end(cx, id, ClaimEvent::Miss);
         }
     }
 
     /// An ask's entry is there; it is granted once the floor was seen below it.
-    fn entry_found(&mut self, cx: &mut Cx<'_>, key: Key, id: &AskId) {
+    fn entry_found(&mut self, cx: &mut Cx<'_>, key: Key, id: &ClaimRequestId) {
         let Some(claim_log) = self.claim_logs.get_mut(&key) else {
             return;
         };
         if claim_log.proven {
             self.grant(cx, id);
-        } else if self.asks.find(id).is_some() {
+        } else if self.claim_requests.find(id).is_some() {
             claim_log.unproven.insert(id.clone());
         }
     }
 
     /// Grants an ask whose entry stands, unless its key has become too old meanwhile, as after a
     /// pause: other VMs may have told its caller so.
-    pub(crate) fn grant(&mut self, cx: &mut Cx<'_>, id: &AskId) {
-        let Some(p) = self.asks.find(id) else {
+    pub(crate) fn grant(&mut self, cx: &mut Cx<'_>, id: &ClaimRequestId) {
+        let Some(p) = self.claim_requests.find(id) else {
             return;
         };
         let late = p.on_behalf.is_none() && self.is_too_old(cx.wall, p.minted);
@@ -236,12 +238,12 @@
 
     /// Ends everything at or below the floor.
     pub(crate) fn close(&mut self, cx: &mut Cx<'_>) {
-        let closed = self.floor.floor.closed;
-        let below = |id: &&AskId| {
-            let window = self.asks.find(id).map(|p| p.ask.window);
+        let closed = self.watermark.known.closed;
+        let below = |id: &&ClaimRequestId| {
+            let window = self.claim_requests.find(id).map(|p| p.request.window);
             window.is_some_and(|w| w <= closed)
         };
-        let ids: Vec<_> = self.asks.ids().filter(below).cloned().collect();
+        let ids: Vec<_> = self.claim_requests.ids().filter(below).cloned().collect();
         for id in ids {
             self.end(cx, &id, ClaimEvent::Close);
         }
@@ -261,26 +263,26 @@
         }
     }
 
-    fn holder(&self, key: Key, claimed: KeyHash) -> Option<&AskId> {
+    fn holder(&self, key: Key, claimed: KeyHash) -> Option<&ClaimRequestId> {
         self.claim_logs.get(&key)?.holder(claimed)
     }
 
     /// The claim log whose call about this object is under way.
     fn called(&mut self, path: &str, of: impl Fn(&Call) -> bool) -> Option<(Key, &mut ClaimLog)> {
-        let path: PartPath = path.parse().ok()?;
+        let path: SegmentPath = path.parse().ok()?;
         let key = (path.window, path.bucket);
         let claim_log = self.claim_logs.get_mut(&key)?;
         (claim_log.path() == path && of(&claim_log.call)).then_some((key, claim_log))
     }
 }
 
-fn decoded(path: &str, s: &Stored) -> Option<Part> {
-    let part = Part::decode(&s.content);
-    if let Err(e) = &part {
+fn decoded(path: &str, s: &Stored) -> Option<Segment> {
+    let segment = Segment::decode(&s.content);
+    if let Err(e) = &segment {
         log::error!(
             "event=claims-unreadable path={path} version={} error=\"{e}\"",
             s.version
         );
     }
-    part.ok()
+    segment.ok()
 }
--- a/crates/once/src/claim_log.rs
+++ b/crates/once/src/claim_log.rs
@@ -5,13 +5,13 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
-use crate::claim::Ask;
-use crate::claim::AskId;
+use crate::claim::ClaimRequest;
+use crate::claim::ClaimRequestId;
 use crate::claim::KeyHash;
-use crate::part::Claim;
-use crate::part::Part;
-use crate::part::PartPath;
-use crate::part::Window;
+use crate::segment::Claim;
+use crate::segment::Segment;
+use crate::segment::SegmentPath;
+use crate::segment::Window;
 
 /// The call to the platform that is under way.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -20,19 +20,19 @@
     Read,
     Write {
         /// The asks that are in it.
-        batch: Vec<AskId>,
+        batch: Vec<ClaimRequestId>,
         /// What the part holds if it succeeds.
-        part: Part,
+        segment: Segment,
     },
 }
 
 /// A write whose answer is lost: it may have taken effect, and may yet while the part stays at the
 /// version that it was made against.
 #[derive(Clone, Debug)]
-pub(crate) struct Doubt {
-    part: u32,
+pub(crate) struct UnresolvedWrite {
+    segment: u32,
     if_version: u64,
-    batch: Vec<AskId>,
+    batch: Vec<ClaimRequestId>,
 }
 
 /// The claims of one bucket and window.
@@ -41,7 +41,7 @@
     window: Window,
     bucket: u16,
     /// Every entry of every part, as far as read.
-    known: BTreeMap<KeyHash, AskId>,
+    known: BTreeMap<KeyHash, ClaimRequestId>,
     /// The last part, to which entries are added.
     tail: u32,
     tail_claims: Vec<Claim>,
@@ -54,11 +54,11 @@
     /// The read of the floor that proves it.
     pub(crate) proof: Option<u64>,
     pub(crate) call: Call,
-    doubts: Vec<Doubt>,
+    unresolved_writes: Vec<UnresolvedWrite>,
     /// Asks to put into the next write.
-    pub(crate) queue: VecDeque<AskId>,
+    pub(crate) queue: VecDeque<ClaimRequestId>,
     /// Asks whose entry stands, waiting for the proof.
-    pub(crate) unproven: BTreeSet<AskId>,
+    pub(crate) unproven: BTreeSet<ClaimRequestId>,
     /// Not to write before.
     pub(crate) next_write: Option<Instant>,
 }
@@ -66,9 +66,9 @@
 /// What a queued ask meets when the next write is put together.
 pub(crate) enum Existing {
     /// Its own entry stands already.
-    Own(AskId),
+    Own(ClaimRequestId),
     /// Another entry stands for its key.
-    Other(AskId),
+    Other(ClaimRequestId),
 }
 
 impl ClaimLog {
@@ -85,18 +85,18 @@
             proven: false,
             proof: None,
             call: Call::None,
-            doubts: Vec::new(),
+            unresolved_writes: Vec::new(),
             queue: VecDeque::new(),
             unproven: BTreeSet::new(),
             next_write: None,
         }
     }
 
-    pub(crate) fn path(&self) -> PartPath {
-        PartPath {
+    pub(crate) fn path(&self) -> SegmentPath {
+        SegmentPath {
             window: self.window,
             bucket: self.bucket,
-            part: self.tail,
+            segment: self.tail,
         }
     }
 
@@ -118,32 +118,32 @@
     }
 
     /// Whose entry stands for a key, as far as known.
-    pub(crate) fn holder(&self, key: KeyHash) -> Option<&AskId> {
+    pub(crate) fn holder(&self, key: KeyHash) -> Option<&ClaimRequestId> {
         self.known.get(&key)
     }
 
     /// Takes the last part as read; tells whether the next part has to be read too.
-    pub(crate) fn read(&mut self, version: u64, part: Part, full_at: usize) -> bool {
+    pub(crate) fn read(&mut self, version: u64, segment: Segment, full_at: usize) -> bool {
         let before = self.tail;
         self.version = version;
         self.proven = false;
         self.proof = None;
-        self.note(part);
-        self.next_part(full_at);
+        self.note(segment);
+        self.advance_if_full(full_at);
         self.loaded = self.tail == before;
         !self.loaded
     }
 
     /// Takes a write that succeeded.
-    pub(crate) fn wrote(&mut self, version: u64, part: Part, full_at: usize) {
+    pub(crate) fn wrote(&mut self, version: u64, segment: Segment, full_at: usize) {
         // A part that was there before was not removed meanwhile, or its version had not matched.
         if self.version == 0 {
             self.proven = false;
             self.proof = None;
         }
         self.version = version;
-        self.note(part);
-        self.next_part(full_at);
+        self.note(segment);
+        self.advance_if_full(full_at);
     }
 
     /// What was known of the last part is out of date.
@@ -152,9 +152,9 @@
     }
 
     /// Notes a write whose answer is lost.
-    pub(crate) fn doubt(&mut self, batch: Vec<AskId>) {
-        self.doubts.push(Doubt {
-            part: self.tail,
+    pub(crate) fn note_unresolved_write(&mut self, batch: Vec<ClaimRequestId>) {
+        self.unresolved_writes.push(UnresolvedWrite {
+            segment: self.tail,
             if_version: self.version,
             batch,
         });
@@ -163,41 +163,41 @@
 
     /// Takes out the doubts that what was read settles, and gives the asks that were in them. A
     /// part that has moved on refuses the lost write for ever, as versions never come again.
-    pub(crate) fn settle_doubts(&mut self) -> Vec<AskId> {
+    pub(crate) fn resolve_writes(&mut self) -> Vec<ClaimRequestId> {
         let (tail, version) = (self.tail, self.version);
-        let settled = |d: &mut Doubt| d.part != tail || d.if_version != version;
-        let settled = self.doubts.extract_if(.., settled);
+        let settled = |d: &mut UnresolvedWrite| d.segment != tail || d.if_version != version;
+        let settled = self.unresolved_writes.extract_if(.., settled);
         settled.flat_map(|d| d.batch).collect()
     }
 
     /// Whether a lost write that may still take effect has this ask.
-    pub(crate) fn is_doubted(&self, id: &AskId) -> bool {
-        self.doubts.iter().any(|d| d.batch.contains(id))
+    pub(crate) fn is_unresolved(&self, id: &ClaimRequestId) -> bool {
+        self.unresolved_writes.iter().any(|d| d.batch.contains(id))
     }
 
     /// Puts the next write together from queued asks that are still wanted.
     pub(crate) fn gather<'a>(
         &mut self,
         max: usize,
-        find: impl Fn(&AskId) -> Option<&'a Ask>,
-    ) -> (Vec<Existing>, Option<Part>) {
+        find: impl Fn(&ClaimRequestId) -> Option<&'a ClaimRequest>,
+    ) -> (Vec<Existing>, Option<Segment>) {
         let mut existing = Vec::new();
         let mut batch = Vec::new();
         let mut claims = self.tail_claims.clone();
         let mut later = VecDeque::new();
         while let Some(id) = self.queue.pop_front() {
-            let Some(ask) = find(&id) else { continue };
-            match self.known.get(&ask.key) {
+            let Some(request) = find(&id) else { continue };
+            match self.known.get(&request.key) {
                 Some(own) if *own == id => existing.push(Existing::Own(id)),
                 Some(_) => existing.push(Existing::Other(id)),
-                None if batch.len() >= max || claims.iter().any(|c| c.key == ask.key) => {
+                None if batch.len() >= max || claims.iter().any(|c| c.key == request.key) => {
                     later.push_back(id);
                 }
                 None => {
                     claims.push(Claim {
-                        key: ask.key,
+                        key: request.key,
                         id: id.clone(),
-                        fingerprint: ask.fingerprint,
+                        fingerprint: request.fingerprint,
                     });
                     batch.push(id);
                 }
@@ -207,23 +207,23 @@
         if batch.is_empty() {
             return (existing, None);
         }
-        let part = Part { claims };
+        let segment = Segment { claims };
         self.call = Call::Write {
             batch,
-            part: part.clone(),
+            segment: segment.clone(),
         };
-        (existing, Some(part))
+        (existing, Some(segment))
     }
 
-    fn note(&mut self, part: Part) {
-        for c in &part.claims {
+    fn note(&mut self, segment: Segment) {
+        for c in &segment.claims {
             self.known.entry(c.key).or_insert_with(|| c.id.clone());
         }
-        self.tail_claims = part.claims;
+        self.tail_claims = segment.claims;
     }
 
     /// Goes on to the next part if the last one is full.
-    fn next_part(&mut self, full_at: usize) {
+    fn advance_if_full(&mut self, full_at: usize) {
         if self.tail_claims.len() >= full_at {
             self.tail += 1;
             self.version = 0;
--- a/crates/once/src/asks.rs
+++ b/crates/once/src/claim_requests.rs
@@ -6,16 +6,16 @@
 
 use gs_types::prelude::*;
 
-use crate::claim::Ask;
-use crate::claim::AskId;
 use crate::claim::ClaimChart;
 use crate::claim::ClaimEvent;
+use crate::claim::ClaimRequest;
+use crate::claim::ClaimRequestId;
 use crate::claim::ClaimState;
 
 /// An ask that awaits its verdict.
 #[derive(Clone, Debug)]
-pub(crate) struct Pending {
-    pub(crate) ask: Ask,
+pub(crate) struct PendingClaim {
+    pub(crate) request: ClaimRequest,
     pub(crate) state: ClaimState,
     /// When the key was minted, in seconds since the Unix epoch; known for this VM's own asks.
     pub(crate) minted: u64,
@@ -30,13 +30,13 @@
 
 /// All of them, by id and by the time at which each is next due.
 #[derive(Debug)]
-pub(crate) struct Asks {
+pub(crate) struct ClaimRequests {
     chart: ClaimChart,
-    map: BTreeMap<AskId, Pending>,
-    timers: BTreeSet<(Instant, AskId)>,
+    map: BTreeMap<ClaimRequestId, PendingClaim>,
+    timers: BTreeSet<(Instant, ClaimRequestId)>,
 }
 
-impl Asks {
+impl ClaimRequests {
     pub(crate) fn new(chart: ClaimChart) -> Self {
         Self {
             chart,
@@ -49,25 +49,25 @@
         self.map.len()
     }
 
-    pub(crate) fn find(&self, id: &AskId) -> Option<&Pending> {
+    pub(crate) fn find(&self, id: &ClaimRequestId) -> Option<&PendingClaim> {
         self.map.get(id)
     }
 
-    pub(crate) fn ids(&self) -> impl Iterator<Item = &AskId> {
+    pub(crate) fn ids(&self) -> impl Iterator<Item = &ClaimRequestId> {
         self.map.keys()
     }
 
     pub(crate) fn add(
         &mut self,
-        ask: Ask,
+        request: ClaimRequest,
         minted: u64,
         on_behalf: Option<VmId>,
         deadline: Instant,
     ) {
-        let id = ask.id.clone();
+        let id = request.id.clone();
         self.timers.insert((deadline, id.clone()));
-        let pending = Pending {
-            ask,
+        let pending = PendingClaim {
+            request,
             state: self.chart.initial(),
             minted,
             on_behalf,
@@ -79,7 +79,7 @@
     }
 
     /// Notes that an ask was handed to the bucket's writer.
-    pub(crate) fn forward(&mut self, id: &AskId, until: Instant) {
+    pub(crate) fn forward(&mut self, id: &ClaimRequestId, until: Instant) {
         self.step(id, ClaimEvent::Forward);
         if let Some(p) = self.map.get_mut(id) {
             p.forward_open = true;
@@ -89,14 +89,14 @@
     }
 
     /// Notes that the bucket's writer has answered.
-    pub(crate) fn close_forward(&mut self, id: &AskId) {
+    pub(crate) fn close_forward(&mut self, id: &ClaimRequestId) {
         if let Some(p) = self.map.get_mut(id) {
             p.forward_open = false;
         }
     }
 
     /// Moves an ask by the chart, and takes it out if it came to its end.
-    pub(crate) fn step(&mut self, id: &AskId, event: ClaimEvent) -> Option<Pending> {
+    pub(crate) fn step(&mut self, id: &ClaimRequestId, event: ClaimEvent) -> Option<PendingClaim> {
         let p = self.map.get_mut(id)?;
         let next = self.chart.next(p.state, event)?;
         p.state = next;
@@ -112,7 +112,7 @@
     }
 
     /// Takes the next timer that is due: an ask, and whether its time is up for good.
-    pub(crate) fn due(&mut self, now: Instant) -> Option<(AskId, bool)> {
+    pub(crate) fn due(&mut self, now: Instant) -> Option<(ClaimRequestId, bool)> {
         let (at, id) = self.timers.first().filter(|(at, _)| *at <= now)?.clone();
         self.timers.remove(&(at, id.clone()));
         let over = self.map.get(&id).is_some_and(|p| p.deadline <= now);
--- a/crates/once/src/event.rs
+++ b/crates/once/src/event.rs
@@ -15,7 +15,8 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
     /// An at-most-once lookup wants its claim.
-    Ask(ClaimAsk),
+    #[serde(rename = "ask")]
+    ClaimRequested(ClaimAsk),
     /// A [`crate::Action::Read`] ended; `None` if there is no such object.
     Read {
         /// The object.
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -6,34 +6,34 @@
 //! ever. Nothing else decides: no lease, no clock and no word of another VM can grant one.
 
 mod action;
-mod asks;
 mod claim;
 mod claim_calls;
 mod claim_log;
+mod claim_requests;
 mod event;
-mod floor;
 mod message;
 mod once;
-mod part;
 mod peers;
 mod retention;
+mod segment;
 mod settings;
+mod watermark;
 
 pub use action::Action;
-pub use claim::Ask;
-pub use claim::AskId;
 pub use claim::ClaimChart;
 pub use claim::ClaimEvent;
+pub use claim::ClaimRequest;
+pub use claim::ClaimRequestId;
 pub use claim::ClaimState;
 pub use claim::KeyHash;
 pub use event::Event;
-pub use floor::FLOOR_PATH;
+pub use message::ClaimResult;
 pub use message::Message;
-pub use message::Settled;
 pub use once::Counts;
 pub use once::Once;
-pub use part::Claim;
-pub use part::Part;
-pub use part::PartPath;
-pub use part::Window;
+pub use segment::Claim;
+pub use segment::Segment;
+pub use segment::SegmentPath;
+pub use segment::Window;
 pub use settings::OnceSettings;
+pub use watermark::WATERMARK_PATH;
--- a/crates/once/src/message.rs
+++ b/crates/once/src/message.rs
@@ -5,8 +5,8 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::claim::Ask;
-use crate::claim::AskId;
+use crate::claim::ClaimRequest;
+use crate::claim::ClaimRequestId;
 
 /// A message between the claims of two VMs; any may be lost, late or doubled.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -17,17 +17,18 @@
         /// ignored, so that a message that comes twice cannot bring back an ask that was dropped.
         number: u64,
         /// The claim wanted, on behalf of the sender.
-        ask: Ask,
+        #[serde(rename = "ask")]
+        request: ClaimRequest,
         /// How long the sender waits for the answer.
         budget: Duration,
     },
     /// How a claim asked for ended.
-    Made(AskId, Settled),
+    Made(ClaimRequestId, ClaimResult),
 }
 
 /// How a claim made on another VM's behalf ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Settled {
+pub enum ClaimResult {
     /// The entry of this ask stands: its key is its own.
     Yours,
     /// Another entry stands for the key.
--- a/crates/once/src/once.rs
+++ b/crates/once/src/once.rs
@@ -13,22 +13,22 @@
 use serde::Serialize;
 
 use crate::action::Action;
-use crate::asks::Asks;
-use crate::asks::Pending;
 use crate::claim;
-use crate::claim::Ask;
-use crate::claim::AskId;
 use crate::claim::ClaimEvent;
+use crate::claim::ClaimRequest;
+use crate::claim::ClaimRequestId;
 use crate::claim::ClaimState;
 use crate::claim::KeyHash;
 use crate::claim_log::ClaimLog;
+use crate::claim_requests::ClaimRequests;
+use crate::claim_requests::PendingClaim;
 use crate::event::Event;
-use crate::floor::FLOOR_PATH;
-use crate::floor::FloorWatch;
+use crate::message::ClaimResult;
 use crate::message::Message;
-use crate::message::Settled;
-use crate::part::Window;
+use crate::segment::Window;
 use crate::settings::OnceSettings;
+use crate::watermark::WATERMARK_PATH;
+use crate::watermark::WatermarkTracker;
 
 /// Time after which a tick is asked for at the latest.
 const IDLE: Duration = Duration::from_secs(5);
@@ -68,10 +68,10 @@
     pub(crate) cfg: OnceSettings,
     pub(crate) counts: Counts,
     pub(crate) view: Option<Arc<View>>,
-    pub(crate) asks: Asks,
+    pub(crate) claim_requests: ClaimRequests,
     pub(crate) claim_logs: BTreeMap<(Window, u16), ClaimLog>,
-    pub(crate) floor: FloorWatch,
-    pub(crate) away_until: Option<Instant>,
+    pub(crate) watermark: WatermarkTracker,
+    pub(crate) backoff_until: Option<Instant>,
     /// Forwards sent.
     pub(crate) sent: u64,
     /// The last forward taken of each VM.
@@ -92,10 +92,10 @@
         Ok(Self {
             counts: Counts::default(),
             view: None,
-            asks: Asks::new(claim::chart()?),
+            claim_requests: ClaimRequests::new(claim::chart()?),
             claim_logs: BTreeMap::new(),
-            floor: FloorWatch::default(),
-            away_until: None,
+            watermark: WatermarkTracker::default(),
+            backoff_until: None,
             sent: 0,
             heard: BTreeMap::new(),
             cfg,
@@ -106,10 +106,14 @@
     pub fn on(&mut self, now: Instant, wall: u64, event: Event, out: &mut Vec<Action>) {
         let cx = &mut Cx { now, wall, out };
         match event {
-            Event::Ask(ask) => self.ask(cx, &ask),
-            Event::Read { path, result } if path == FLOOR_PATH => self.floor_read(cx, result),
+            Event::ClaimRequested(claim) => self.on_claim_requested(cx, &claim),
+            Event::Read { path, result } if path == WATERMARK_PATH => {
+                self.watermark_read(cx, result)
+            }
             Event::Read { path, result } => self.read(cx, &path, result),
-            Event::Wrote { path, result } if path == FLOOR_PATH => self.floor_wrote(cx, result),
+            Event::Wrote { path, result } if path == WATERMARK_PATH => {
+                self.watermark_wrote(cx, result)
+            }
             Event::Wrote { path, result } => self.wrote(cx, &path, result),
             Event::Removed { path, result } => self.removed(cx, &path, result),
             Event::Peer(from, message) => self.peer(cx, &from, message),
@@ -117,7 +121,7 @@
             Event::Tick => {}
         }
         self.run_timers(cx);
-        self.check_floor(cx);
+        self.check_watermark(cx);
         self.start_calls(cx);
         self.wake(cx);
     }
@@ -131,13 +135,13 @@
     /// Asks that await their verdict here, those of other VMs included.
     #[must_use]
     pub fn pending(&self) -> usize {
-        self.asks.len()
+        self.claim_requests.len()
     }
 
-    fn ask(&mut self, cx: &mut Cx<'_>, wanted: &ClaimAsk) {
+    fn on_claim_requested(&mut self, cx: &mut Cx<'_>, wanted: &ClaimAsk) {
         let minted = wanted.key.minted();
-        let ask = Ask {
-            id: AskId {
+        let request = ClaimRequest {
+            id: ClaimRequestId {
                 vm: self.cfg.vm.clone(),
                 incarnation: self.cfg.incarnation,
                 seq: wanted.seq,
@@ -146,40 +150,49 @@
             window: Window::at(minted),
             fingerprint: wanted.fingerprint,
         };
-        let id = ask.id.clone();
-        if let Some(verdict) = self.early_verdict(cx, &ask, minted) {
+        let id = request.id.clone();
+        if let Some(verdict) = self.early_verdict(cx, &request, minted) {
             self.tell(cx, id.seq, verdict);
             return;
         }
-        let bucket = self.bucket(ask.key);
-        self.asks
-            .add(ask.clone(), minted, None, cx.now + wanted.budget);
+        let bucket = self.bucket(request.key);
+        self.claim_requests
+            .add(request.clone(), minted, None, cx.now + wanted.budget);
         let writer = self
             .view
             .as_ref()
             .and_then(|v| v.holder(&writer_role(bucket)));
         match writer.cloned() {
-            Some(writer) if writer != self.cfg.vm => self.forward(cx, writer, ask, wanted.budget),
+            Some(writer) if writer != self.cfg.vm => {
+                self.forward(cx, writer, request, wanted.budget)
+            }
             _ => self.enqueue(cx, &id),
         }
     }
 
     /// The verdict that needs no call, if there is one.
-    fn early_verdict(&mut self, cx: &Cx<'_>, ask: &Ask, minted: u64) -> Option<ClaimVerdict> {
-        if ask.window <= self.floor.floor.closed {
+    fn early_verdict(
+        &mut self,
+        cx: &Cx<'_>,
+        request: &ClaimRequest,
+        minted: u64,
+    ) -> Option<ClaimVerdict> {
+        if request.window <= self.watermark.known.closed {
             return Some(ClaimVerdict::Expired);
         }
         // Only the floor says that a key is expired for ever. By the clock alone it is refused: the
         // clock may be wrong, and a key from the future may be claimed later.
         if self.is_too_old(cx.wall, minted) || minted > cx.wall + self.cfg.skew.as_secs() {
-            self.floor.want();
+            self.watermark.want();
             return Some(ClaimVerdict::Refused);
         }
-        let claim_log = self.claim_logs.get(&(ask.window, self.bucket(ask.key)));
-        if claim_log.is_some_and(|s| s.holder(ask.key).is_some()) {
+        let claim_log = self
+            .claim_logs
+            .get(&(request.window, self.bucket(request.key)));
+        if claim_log.is_some_and(|s| s.holder(request.key).is_some()) {
             return Some(ClaimVerdict::Taken);
         }
-        (self.asks.len() >= self.cfg.asks_max).then_some(ClaimVerdict::Refused)
+        (self.claim_requests.len() >= self.cfg.claim_requests_max).then_some(ClaimVerdict::Refused)
     }
 
     pub(crate) fn is_too_old(&self, wall: u64, minted: u64) -> bool {
@@ -193,12 +206,12 @@
 
     /// Puts an ask into the next write of its bucket and window, or gives it up at once if the
     /// platform is away.
-    pub(crate) fn enqueue(&mut self, cx: &mut Cx<'_>, id: &AskId) {
-        let Some(p) = self.asks.find(id) else {
+    pub(crate) fn enqueue(&mut self, cx: &mut Cx<'_>, id: &ClaimRequestId) {
+        let Some(p) = self.claim_requests.find(id) else {
             return;
         };
-        let key = (p.ask.window, self.bucket(p.ask.key));
-        if p.state == ClaimState::Queued && self.is_away(cx.now) {
+        let key = (p.request.window, self.bucket(p.request.key));
+        if p.state == ClaimState::Queued && self.is_backing_off(cx.now) {
             self.end(cx, id, ClaimEvent::GiveUp);
             return;
         }
@@ -211,38 +224,38 @@
         }
     }
 
-    pub(crate) fn is_away(&self, now: Instant) -> bool {
-        self.away_until.is_some_and(|t| now < t)
+    pub(crate) fn is_backing_off(&self, now: Instant) -> bool {
+        self.backoff_until.is_some_and(|t| now < t)
     }
 
     /// The platform failed: it is left alone for a while, and whoever has nothing under way is
     /// refused at once, as no answer would come in time and nothing of theirs can take effect.
-    pub(crate) fn go_away(&mut self, cx: &mut Cx<'_>) {
-        self.away_until = Some(cx.now + self.cfg.rest);
-        let queued = |id: &&AskId| {
-            let state = self.asks.find(id).map(|p| p.state);
+    pub(crate) fn back_off(&mut self, cx: &mut Cx<'_>) {
+        self.backoff_until = Some(cx.now + self.cfg.backoff);
+        let queued = |id: &&ClaimRequestId| {
+            let state = self.claim_requests.find(id).map(|p| p.state);
             state == Some(ClaimState::Queued)
         };
-        let queued: Vec<_> = self.asks.ids().filter(queued).cloned().collect();
+        let queued: Vec<_> = self.claim_requests.ids().filter(queued).cloned().collect();
         for id in queued {
             self.end(cx, &id, ClaimEvent::GiveUp);
         }
     }
 
     /// Moves an ask, and gives its verdict if that ends it.
-    pub(crate) fn end(&mut self, cx: &mut Cx<'_>, id: &AskId, event: ClaimEvent) {
-        if let Some(p) = self.asks.step(id, event) {
+    pub(crate) fn end(&mut self, cx: &mut Cx<'_>, id: &ClaimRequestId, event: ClaimEvent) {
+        if let Some(p) = self.claim_requests.step(id, event) {
             self.give(cx, p);
         }
     }
 
-    fn give(&mut self, cx: &mut Cx<'_>, p: Pending) {
+    fn give(&mut self, cx: &mut Cx<'_>, p: PendingClaim) {
         match p.on_behalf {
             Some(vm) => {
-                let message = Message::Made(p.ask.id, settled(p.state));
+                let message = Message::Made(p.request.id, settled(p.state));
                 cx.out.push(Action::Send(vm, message));
             }
-            None => self.tell(cx, p.ask.id.seq, verdict(p.state)),
+            None => self.tell(cx, p.request.id.seq, verdict(p.state)),
         }
     }
 
@@ -255,12 +268,12 @@
             ClaimVerdict::Unknown => &mut self.counts.unknown,
         };
         *count += 1;
-        cx.out.push(Action::Verdict(seq, verdict));
+        cx.out.push(Action::Decision(seq, verdict));
     }
 
     fn run_timers(&mut self, cx: &mut Cx<'_>) {
-        while let Some((id, over)) = self.asks.due(cx.now) {
-            let state = self.asks.find(&id).map(|p| p.state);
+        while let Some((id, over)) = self.claim_requests.due(cx.now) {
+            let state = self.claim_requests.find(&id).map(|p| p.state);
             if over {
                 self.end(cx, &id, ClaimEvent::GiveUp);
             } else if state == Some(ClaimState::Forwarded) {
@@ -274,9 +287,9 @@
         let busy = self.claim_logs.values().filter(|s| !s.is_idle());
         let writes = busy.filter_map(|s| s.next_write);
         let soonest = writes
-            .chain(self.away_until)
+            .chain(self.backoff_until)
             .filter(|t| *t > cx.now)
-            .chain(self.asks.next_timer())
+            .chain(self.claim_requests.next_timer())
             .min();
         let after = soonest.map_or(IDLE, |t| t.saturating_duration_since(cx.now));
         cx.out.push(Action::Wake(after.min(IDLE)));
@@ -298,11 +311,11 @@
     }
 }
 
-fn settled(state: ClaimState) -> Settled {
+fn settled(state: ClaimState) -> ClaimResult {
     match state {
-        ClaimState::Granted => Settled::Yours,
-        ClaimState::Taken => Settled::Taken,
-        ClaimState::Refused => Settled::Dropped,
-        _ => Settled::Unsure,
+        ClaimState::Granted => ClaimResult::Yours,
+        ClaimState::Taken => ClaimResult::Taken,
+        ClaimState::Refused => ClaimResult::Dropped,
+        _ => ClaimResult::Unsure,
     }
 }
--- a/crates/once/src/peers.rs
+++ b/crates/once/src/peers.rs
@@ -7,12 +7,12 @@
 use gs_types::prelude::*;
 
 use crate::action::Action;
-use crate::claim::Ask;
-use crate::claim::AskId;
 use crate::claim::ClaimEvent;
+use crate::claim::ClaimRequest;
+use crate::claim::ClaimRequestId;
 use crate::claim::ClaimState;
+use crate::message::ClaimResult;
 use crate::message::Message;
-use crate::message::Settled;
 use crate::once::Cx;
 use crate::once::Once;
 
@@ -30,13 +30,20 @@
     }
 
     /// Hands an ask to the bucket's writer, for speed only: more asks go into one write there.
-    pub(crate) fn forward(&mut self, cx: &mut Cx<'_>, writer: VmId, ask: Ask, budget: Duration) {
+    pub(crate) fn forward(
+        &mut self,
+        cx: &mut Cx<'_>,
+        writer: VmId,
+        request: ClaimRequest,
+        budget: Duration,
+    ) {
         self.counts.forwarded += 1;
         self.sent += 1;
-        self.asks.forward(&ask.id, cx.now + self.cfg.forward_for);
+        self.claim_requests
+            .forward(&request.id, cx.now + self.cfg.forward_for);
         let message = Message::Make {
             number: self.sent,
-            ask,
+            request,
             budget,
         };
         cx.out.push(Action::Send(writer, message));
@@ -46,11 +53,11 @@
         match message {
             Message::Make {
                 number,
-                ask,
+                request,
                 budget,
             } => {
-                if ask.id.vm == *from && self.is_fresh(&ask.id, number) {
-                    self.make(cx, from, ask, budget);
+                if request.id.vm == *from && self.is_fresh(&request.id, number) {
+                    self.make(cx, from, request, budget);
                 }
             }
             Message::Made(id, settled) => self.made(cx, &id, settled),
@@ -61,7 +68,7 @@
     ///
     /// One that came twice, or late, could otherwise bring an ask to life that was told `Dropped`,
     /// and whose caller was told that nothing would happen.
-    fn is_fresh(&mut self, id: &AskId, number: u64) -> bool {
+    fn is_fresh(&mut self, id: &ClaimRequestId, number: u64) -> bool {
         let this = (id.incarnation, number);
         let last = self.heard.entry(id.vm.clone()).or_default();
         let fresh = this > *last;
@@ -69,35 +76,36 @@
         fresh
     }
 
-    fn make(&mut self, cx: &mut Cx<'_>, from: &VmId, ask: Ask, budget: Duration) {
-        let id = ask.id.clone();
-        let closed = ask.window <= self.floor.floor.closed;
-        if closed || self.asks.len() >= self.cfg.asks_max {
-            let dropped = Message::Made(id, Settled::Dropped);
+    fn make(&mut self, cx: &mut Cx<'_>, from: &VmId, request: ClaimRequest, budget: Duration) {
+        let id = request.id.clone();
+        let closed = request.window <= self.watermark.known.closed;
+        if closed || self.claim_requests.len() >= self.cfg.claim_requests_max {
+            let dropped = Message::Made(id, ClaimResult::Dropped);
             cx.out.push(Action::Send(from.clone(), dropped));
             return;
         }
         let deadline = cx.now + budget;
-        self.asks.add(ask, 0, Some(from.clone()), deadline);
+        self.claim_requests
+            .add(request, 0, Some(from.clone()), deadline);
         self.enqueue(cx, &id);
     }
 
-    fn made(&mut self, cx: &mut Cx<'_>, id: &AskId, settled: Settled) {
-        let Some(p) = self.asks.find(id).filter(|p| p.forward_open) else {
+    fn made(&mut self, cx: &mut Cx<'_>, id: &ClaimRequestId, settled: ClaimResult) {
+        let Some(p) = self.claim_requests.find(id).filter(|p| p.forward_open) else {
             return;
         };
         let state = p.state;
         match settled {
-            Settled::Yours => self.grant(cx, id),
-            Settled::Taken => self.end(cx, id, ClaimEvent::Clash),
+            ClaimResult::Yours => self.grant(cx, id),
+            ClaimResult::Taken => self.end(cx, id, ClaimEvent::Clash),
             // Told twice it must not disturb the write that this VM makes by then.
-            Settled::Unsure if state != ClaimState::Forwarded => {}
-            Settled::Unsure => {
+            ClaimResult::Unsure if state != ClaimState::Forwarded => {}
+            ClaimResult::Unsure => {
                 self.end(cx, id, ClaimEvent::Lose);
                 self.enqueue(cx, id);
             }
-            Settled::Dropped => {
-                self.asks.close_forward(id);
+            ClaimResult::Dropped => {
+                self.claim_requests.close_forward(id);
                 if matches!(state, ClaimState::Forwarded | ClaimState::Exposed) {
                     self.rule_out(cx, id);
                     self.enqueue(cx, id);
--- a/crates/once/src/part.rs
+++ b/crates/once/src/segment.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::claim::AskId;
+use crate::claim::ClaimRequestId;
 use crate::claim::KeyHash;
 
 /// The form of an object's content; the first byte.
@@ -34,22 +34,27 @@
 
 /// Names a claim object: the claims of one bucket and window, cut into parts of bounded size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct PartPath {
+pub struct SegmentPath {
     /// When the keys were minted.
     pub window: Window,
     /// The bucket that the keys hash to.
     pub bucket: u16,
     /// Counts from 0; a part exists only when the one before it is full.
-    pub part: u32,
+    #[serde(rename = "part")]
+    pub segment: u32,
 }
 
-impl fmt::Display for PartPath {
+impl fmt::Display for SegmentPath {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "claims/{}/{}/{}", self.window.0, self.bucket, self.part)
+        write!(
+            f,
+            "claims/{}/{}/{}",
+            self.window.0, self.bucket, self.segment
+        )
     }
 }
 
-impl FromStr for PartPath {
+impl FromStr for SegmentPath {
     type Err = Error;
 
     fn from_str(s: &str) -> Result<Self> {
@@ -60,7 +65,7 @@
         let path = Self {
             window: Window(next()?.parse().map_err(|_| bad())?),
             bucket: next()?.parse().map_err(|_| bad())?,
-            part: next()?.parse().map_err(|_| bad())?,
+            segment: next()?.parse().map_err(|_| bad())?,
         };
         match it.next() {
             None => Ok(path),
@@ -75,19 +80,19 @@
     /// The key, hashed.
     pub key: KeyHash,
     /// Whose claim it is.
-    pub id: AskId,
+    pub id: ClaimRequestId,
     /// What that lookup asks.
     pub fingerprint: Fingerprint,
 }
 
 /// The content of a claim object; entries are only ever added.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
+pub struct Segment {
     /// The entries, in the order they were made.
     pub claims: Vec<Claim>,
 }
 
-impl Part {
+impl Segment {
     /// Reads an object's content.
     ///
     /// # Errors
--- a/crates/once/src/settings.rs
+++ b/crates/once/src/settings.rs
@@ -31,11 +31,11 @@
     pub forward_for: Duration,
     /// How long the platform is left alone after it failed.
     #[builder(default = Duration::from_millis(250))]
-    pub rest: Duration,
+    pub backoff: Duration,
     /// Claims after which a part is full; bounds an object's size.
     #[builder(default = 512)]
-    pub part_claims: usize,
+    pub claims_per_segment: usize,
     /// Asks held at the same time; more are refused.
     #[builder(default = 8192)]
-    pub asks_max: usize,
+    pub claim_requests_max: usize,
 }
--- a/crates/once/src/floor.rs
+++ b/crates/once/src/watermark.rs
@@ -12,15 +12,15 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::part::PartPath;
-use crate::part::Window;
+use crate::segment::SegmentPath;
+use crate::segment::Window;
 
 /// The platform object that holds the floor.
-pub const FLOOR_PATH: &str = "claims/floor";
+pub const WATERMARK_PATH: &str = "claims/floor";
 
 /// The content of the floor's object.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Floor {
+pub(crate) struct ExpiryWatermark {
     /// Keys of this window and earlier ones are expired.
     pub(crate) closed: Window,
     /// Claims of this window and earlier ones are removed.
@@ -29,8 +29,8 @@
 
 /// The floor as known, the reads of it, and the removal of claims below it.
 #[derive(Debug, Default)]
-pub(crate) struct FloorWatch {
-    pub(crate) floor: Floor,
+pub(crate) struct WatermarkTracker {
+    pub(crate) known: ExpiryWatermark,
     pub(crate) version: u64,
     /// Counts reads; the one under way is the last.
     round: u64,
@@ -38,14 +38,14 @@
     /// The round that someone waits for.
     wanted: u64,
     /// The floor that is being written.
-    pub(crate) writing: Option<Floor>,
+    pub(crate) writing: Option<ExpiryWatermark>,
     /// The object to remove next.
-    pub(crate) sweep: Option<PartPath>,
+    pub(crate) sweep: Option<SegmentPath>,
     /// When the VM whose task it is last looked.
     pub(crate) looked: Option<Instant>,
 }
 
-impl FloorWatch {
+impl WatermarkTracker {
     /// Asks for a read that starts no earlier than now, and gives its round.
     pub(crate) fn want(&mut self) -> u64 {
         self.wanted = self.round + 1;
@@ -69,9 +69,9 @@
     }
 
     /// Takes the floor as read or written; it only ever rises.
-    pub(crate) fn take(&mut self, version: u64, floor: Floor) {
+    pub(crate) fn take(&mut self, version: u64, watermark: ExpiryWatermark) {
         self.version = version;
-        self.floor.closed = self.floor.closed.max(floor.closed);
-        self.floor.removed = self.floor.removed.max(floor.removed);
+        self.known.closed = self.known.closed.max(watermark.closed);
+        self.known.removed = self.known.removed.max(watermark.removed);
     }
 }
--- a/crates/once/tests/once/asks.rs
+++ b/crates/once/tests/once/asks.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
+use gs_once::ClaimResult;
 use gs_once::Event;
 use gs_once::Message;
-use gs_once::Settled;
 use gs_query::ClaimVerdict;
 use gs_query::ClaimVerdict::Expired;
 use gs_query::ClaimVerdict::Granted;
@@ -185,7 +185,7 @@
 #[test]
 fn asks_that_come_together_share_writes() {
     let mut w = World::new(0);
-    w.part_claims = 512;
+    w.claims_per_segment = 512;
     w.start(0);
     let keys: Vec<_> = (0..100).map(|n| w.key(0, &n.to_string())).collect();
     keys.iter().for_each(|k| w.ask(0, k));
@@ -231,7 +231,7 @@
     let (key, id) = forwarded.next().expect("one of nine");
     drop(forwarded);
     let path = w.part_of(key);
-    let unsure = || Event::Peer(vm(1), Message::Made(id.clone(), Settled::Unsure));
+    let unsure = || Event::Peer(vm(1), Message::Made(id.clone(), ClaimResult::Unsure));
     w.feed(0, unsure());
     w.feed(0, unsure());
     let result = Err(StoreError::Conflict);
--- a/crates/once/tests/once/main.rs
+++ b/crates/once/tests/once/main.rs
@@ -3,5 +3,5 @@
 mod asks;
 mod chart;
 mod fuzz;
-mod part;
+mod segment;
 mod world;
--- a/crates/once/tests/once/part.rs
+++ b/crates/once/tests/once/segment.rs
@@ -1,10 +1,10 @@
 //! Claim objects as bytes.
 
-use gs_once::AskId;
 use gs_once::Claim;
+use gs_once::ClaimRequestId;
 use gs_once::KeyHash;
-use gs_once::Part;
-use gs_once::PartPath;
+use gs_once::Segment;
+use gs_once::SegmentPath;
 use gs_once::Window;
 use gs_types::prelude::*;
 use proptest::prelude::*;
@@ -13,7 +13,7 @@
 fn claim(n: u128) -> Claim {
     Claim {
         key: KeyHash(u128::MAX - n),
-        id: AskId {
+        id: ClaimRequestId {
             vm: "a".repeat(64).parse().expect("a name"),
             incarnation: Incarnation(u64::MAX),
             seq: LookupSeq(u64::MAX),
@@ -24,24 +24,24 @@
 
 #[test]
 fn a_part_survives_its_object() {
-    let part = Part {
+    let segment = Segment {
         claims: vec![claim(1), claim(2)],
     };
-    let content = part.encode().expect("encodes");
-    assert_eq!(Part::decode(&content), Ok(part));
+    let content = segment.encode().expect("encodes");
+    assert_eq!(Segment::decode(&content), Ok(segment));
 }
 
 #[test]
 fn the_fullest_part_stays_below_a_megabyte() {
     // A part is full at 512 entries, and one write adds 512 at most to one that is not.
     let claims = (0..1023).map(claim).collect();
-    let content = Part { claims }.encode().expect("encodes");
+    let content = Segment { claims }.encode().expect("encodes");
     assert!(content.len() < 1 << 20, "{} bytes", content.len());
 }
 
 #[test]
 fn another_form_is_refused() {
-    let e = Part::decode(&[2, 0]).expect_err("refused");
+    let e = Segment::decode(&[2, 0]).expect_err("refused");
     assert_eq!(e.kind(), ErrorKind::Version);
     assert_eq!(
         e.to_string(),
@@ -55,10 +55,10 @@
 #[case("claims/30000000/1/2/3", None)]
 #[case("claims/floor", None)]
 fn a_path_is_read(#[case] text: &str, #[case] expected: Option<(u64, u16, u32)>) {
-    let path = expected.map(|(w, bucket, part)| PartPath {
+    let path = expected.map(|(w, bucket, segment)| SegmentPath {
         window: Window(w),
         bucket,
-        part,
+        segment,
     });
     assert_eq!(text.parse().ok(), path);
 }
@@ -68,9 +68,9 @@
 
     #[test]
     fn any_bytes_are_a_part_or_an_error(mut bytes: Vec<u8>) {
-        let _ = Part::decode(&bytes);
+        let _ = Segment::decode(&bytes);
         bytes.insert(0, 1);
-        let _ = Part::decode(&bytes);
+        let _ = Segment::decode(&bytes);
     }
 }
 
--- a/crates/once/tests/once/world.rs
+++ b/crates/once/tests/once/world.rs
@@ -12,15 +12,15 @@
 use gs_member::VmEntry;
 use gs_member::VmState;
 use gs_once::Action;
-use gs_once::AskId;
+use gs_once::ClaimRequestId;
 use gs_once::Event;
-use gs_once::FLOOR_PATH;
 use gs_once::KeyHash;
 use gs_once::Message;
 use gs_once::Once;
 use gs_once::OnceSettings;
-use gs_once::Part;
-use gs_once::PartPath;
+use gs_once::Segment;
+use gs_once::SegmentPath;
+use gs_once::WATERMARK_PATH;
 use gs_once::Window;
 use gs_query::ClaimAsk;
 use gs_query::ClaimVerdict;
@@ -73,7 +73,7 @@
     /// Writes of claims, the floor left out.
     pub writes: u64,
     /// Claims after which a part is full.
-    pub part_claims: usize,
+    pub claims_per_segment: usize,
     /// Whether a clock was wrong by more than the margin; `Expired` is only promised without that.
     wild: bool,
     begun: Instant,
@@ -81,7 +81,7 @@
     late: Vec<(String, u64, Vec<u8>)>,
     granted: BTreeSet<String>,
     expired: BTreeSet<String>,
-    refused: BTreeSet<AskId>,
+    refused: BTreeSet<ClaimRequestId>,
     runs: u64,
     seq: u64,
     messages: u64,
@@ -123,7 +123,7 @@
             objects: BTreeMap::new(),
             verdicts: Vec::new(),
             writes: 0,
-            part_claims: 3,
+            claims_per_segment: 3,
             wild: false,
             begun: now,
             version: 0,
@@ -147,7 +147,7 @@
             .window(Duration::from_secs(120))
             .skew(Duration::from_secs(10))
             .margin(Duration::from_secs(60))
-            .part_claims(self.part_claims)
+            .claims_per_segment(self.claims_per_segment)
             .build();
         let p = Process {
             once: Once::new(cfg).expect("a chart"),
@@ -185,7 +185,7 @@
             return;
         };
         p.asked.insert(seq, key.to_owned());
-        p.inbox.push_back(Event::Ask(ClaimAsk {
+        p.inbox.push_back(Event::ClaimRequested(ClaimAsk {
             seq,
             key: key.parse().expect("a key"),
             fingerprint: Fingerprint(7),
@@ -194,12 +194,12 @@
     }
 
     /// Asks through a VM, and gives the ask's id if it is forwarded; calls go nowhere.
-    pub fn forwarded(&mut self, i: u8, key: &str) -> Option<AskId> {
+    pub fn forwarded(&mut self, i: u8, key: &str) -> Option<ClaimRequestId> {
         self.ask(i, key);
         let event = self.processes.get_mut(&i)?.inbox.pop_back()?;
         let out = self.feed(i, event);
         out.into_iter().find_map(|a| match a {
-            Action::Send(_, Message::Make { ask, .. }) => Some(ask.id),
+            Action::Send(_, Message::Make { request, .. }) => Some(request.id),
             _ => None,
         })
     }
@@ -218,7 +218,7 @@
         let mut out = Vec::new();
         p.once.on(now, wall, event, &mut out);
         for a in &out {
-            if let Action::Verdict(seq, verdict) = a {
+            if let Action::Decision(seq, verdict) = a {
                 self.judge(i, *seq, *verdict);
             }
         }
@@ -295,7 +295,7 @@
                 if_version,
                 content,
             } => {
-                self.writes += u64::from(path != FLOOR_PATH);
+                self.writes += u64::from(path != WATERMARK_PATH);
                 let result = match away {
                     true => Err(StoreError::NotDone),
                     false => self.write(&path, if_version, content),
@@ -310,7 +310,7 @@
                 self.tell(i, Event::Removed { path, result });
             }
             Action::Send(to, message) => self.send(i, &to, message),
-            Action::Verdict(seq, verdict) => self.judge(i, seq, verdict),
+            Action::Decision(seq, verdict) => self.judge(i, seq, verdict),
             Action::Wake(after) => {
                 let wake = self.now + after;
                 self.processes.get_mut(&i).expect("a process").wake = wake;
@@ -388,7 +388,7 @@
             ClaimVerdict::Expired => drop(self.expired.insert(key.clone())),
             ClaimVerdict::Refused => {
                 let vm = vm(i);
-                let id = AskId {
+                let id = ClaimRequestId {
                     vm,
                     incarnation,
                     seq,
@@ -401,7 +401,7 @@
         self.verdicts.push((key, verdict));
     }
 
-    fn is_claimed(&self, id: &AskId) -> bool {
+    fn is_claimed(&self, id: &ClaimRequestId) -> bool {
         let parts = self
             .objects
             .iter()
@@ -423,7 +423,7 @@
     }
 }
 
-fn claims(path: &str, content: &[u8]) -> Option<Part> {
-    path.parse::<PartPath>().ok()?;
-    Part::decode(content).ok()
+fn claims(path: &str, content: &[u8]) -> Option<Segment> {
+    path.parse::<SegmentPath>().ok()?;
+    Segment::decode(content).ok()
 }
