--- a/crates/member/src/action.rs
+++ b/crates/member/src/action.rs
@@ -1,4 +1,4 @@
-//! What the membership asks its shell to do.
+//! Outputs of the membership, carried out by its I/O driver (shell).
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use serde::Serialize;
 
 use crate::heartbeat::Heartbeat;
-use crate::seats::Epoch;
+use crate::seat_table::Epoch;
 use crate::view::View;
 
 /// One output of [`crate::Membership`].
@@ -18,12 +18,13 @@
 pub enum Action {
     /// Send a heartbeat to one VM.
     Send(VmId, Heartbeat),
-    /// Replace the mesh's list of peers.
+    /// Replace the list of peers that the mesh connects to.
     Peers(Vec<(VmId, SocketAddr)>),
-    /// Hold no more connections than this to each server, and none to a server not named. Lower at
-    /// once, then tell [`crate::Event::Lowered`] with the epoch; it is told for every one of these.
+    /// Hold no more connections than this to each server, and none to a server not named. The
+    /// driver closes connections above the shares at once, and then sends
+    /// [`crate::Event::Lowered`] with the epoch, once for each of these actions.
     Shares {
-        /// Names these shares.
+        /// The epoch of the seat table that the shares are computed from.
         epoch: Epoch,
         /// How many connections this VM may hold to each server.
         shares: Vec<(ServerName, Connections)>,
@@ -32,13 +33,13 @@
     View(Arc<View>),
     /// Read the object [`crate::SeatTable::PATH`]; answered by [`crate::Event::TableRead`].
     ReadTable,
-    /// Write that object; answered by [`crate::Event::TableWrote`].
+    /// Write the object [`crate::SeatTable::PATH`]; answered by [`crate::Event::TableWrote`].
     WriteTable {
         /// The version to replace; 0 if it must not exist.
         if_version: u64,
         /// The new content.
         content: Vec<u8>,
     },
-    /// Send [`crate::Event::Tick`] after this time at the latest; replaces the one asked before.
+    /// Send [`crate::Event::Tick`] after this time at the latest; replaces the previous request.
     Wake(Duration),
 }
--- a/crates/member/src/event.rs
+++ b/crates/member/src/event.rs
@@ -1,45 +1,46 @@
-//! What the membership is told.
+//! Inputs of the membership.
 
 use gs_types::prelude::*;
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::heartbeat::Heartbeat;
-use crate::seats::Epoch;
-use crate::share::ServerLimit;
+use crate::seat_share::ServerLimit;
+use crate::seat_table::Epoch;
 
 /// One input of [`crate::Membership`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
-    /// The platform's list of VMs was read; it may lag.
+    /// The platform's list of VMs was read. It may lag behind the VMs that exist.
     List(Vec<VmEntry>),
-    /// An authenticated heartbeat arrived.
+    /// An authenticated heartbeat was received.
     #[serde(rename = "heard")]
     Heartbeat {
         /// The VM that sent it.
         from: VmId,
-        /// The run of its process.
+        /// The incarnation of the sender's process.
         incarnation: Incarnation,
-        /// What it says.
+        /// Its content.
         #[serde(rename = "beat")]
         heartbeat: Heartbeat,
     },
-    /// All backend servers there are now, with their limits.
+    /// The current list of all backend servers, with their limits.
     Servers(Vec<ServerLimit>),
     /// The seat table was read, after [`crate::Action::ReadTable`] or by a watch.
     TableRead(Result<Option<Stored>, StoreError>),
-    /// The write asked for by [`crate::Action::WriteTable`] ended; with the object's new version.
+    /// The write of [`crate::Action::WriteTable`] ended; with the object's new version.
     TableWrote(Result<u64, StoreError>),
-    /// The shell holds no more connections than [`crate::Action::Shares`] with this epoch allowed.
+    /// No more connections are open than [`crate::Action::Shares`] with this epoch allowed.
     Lowered(Epoch),
     /// This process is leaving.
     Leave,
-    /// This process holds no connection any more and will open none: the last word before exit.
+    /// This process holds no connections and will open none; the final event before it exits.
     ///
-    /// Its seat may be another's at once. So from the moment the shell begins to close, it must
-    /// not open connections again for an [`crate::Action::Shares`] that is told meanwhile.
+    /// Its seat may be assigned to another VM at once. From the moment the driver begins to close
+    /// connections, it must therefore not open any for an [`crate::Action::Shares`] that is
+    /// returned in the meantime.
     Released,
-    /// A timer asked for by [`crate::Action::Wake`] is due.
+    /// The timer set by [`crate::Action::Wake`] has expired.
     Tick,
 }
--- a/crates/member/src/heartbeat.rs
+++ b/crates/member/src/heartbeat.rs
@@ -1,53 +1,54 @@
-//! What VMs tell each other about VMs.
+//! Heartbeats: the messages in which VMs exchange what they know of each other.
 
 use gs_types::prelude::*;
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::seats::Epoch;
-use crate::vm::VmState;
+use crate::seat_table::Epoch;
+use crate::vm_state::VmState;
 
-/// A heartbeat: what the sender says of itself, and some of what it lately learned of others.
+/// A heartbeat: the sender's own state, and a bounded number of rumours about other VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Whether the receiver should answer at once.
+    /// Whether the receiver should answer at once; set in a probe.
     pub wants_answer: bool,
     /// Whether the sender is leaving.
     pub leaving: bool,
-    /// Whether the sender has heard the receiver.
+    /// Whether the sender has received a heartbeat from the receiver.
     pub knows_receiver: bool,
-    /// How the sender can be reached; only while the receiver may not know it yet.
+    /// The sender's entry, with its addresses; only sent while the receiver may not know it yet.
     pub entry: Option<Box<VmEntry>>,
-    /// The newest seat table that the sender holds to.
+    /// The epochs of the seat table that the sender has read and lowered to.
     #[serde(rename = "claimed")]
     pub table_epochs: TableEpochs,
-    /// What the sender lately learned of others; bounded.
+    /// Recent changes of other VMs' states; at most `MemberSettings::rumours_max`.
     pub rumours: Vec<Rumour>,
-    /// A seat table newer than the receiver's, as its object's version and content.
+    /// A seat table newer than the receiver's: its object's version and content.
     pub table: Option<(u64, Vec<u8>)>,
 }
 
-/// Which seat tables a VM holds to.
+/// The epochs of the seat table that a VM has read and lowered to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableEpochs {
-    /// The newest seat table that it has read.
+    /// The epoch of the newest seat table that the VM has read.
     pub read: Epoch,
-    /// The newest that its open connections are within; it never goes back to an older one.
+    /// The newest epoch whose shares the VM's open connections are within; it never decreases.
     pub lowered: Epoch,
 }
 
-/// What the sender knows of a third VM.
+/// What the sender of a heartbeat knows of a third VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rumour {
-    /// The VM it is about.
+    /// The VM that the rumour is about.
     pub vm: VmId,
-    /// The newest run of its process known.
+    /// The newest known incarnation of its process.
     pub incarnation: Incarnation,
-    /// Counts how often that run has contradicted a suspicion; a larger one wins.
+    /// How often that incarnation has refuted a suspicion; a rumour with a larger count supersedes
+    /// one with a smaller count.
     #[serde(rename = "refutes")]
     pub refutations: u32,
-    /// What it is thought to be.
+    /// Its state as the sender sees it.
     pub state: VmState,
-    /// The newest seat table that it is known to be within.
+    /// The newest epoch of the seat table that it is known to have lowered to.
     pub lowered: Epoch,
 }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,29 +1,31 @@
-//! Which VMs there are, who holds which duty, and how many connections each may hold.
+//! Group membership of the VMs, assignment of duties to VMs, and each VM's share of the
+//! connections to the backend servers.
 //!
-//! [`Membership`] is a plain state machine: [`Event`]s in, [`Action`]s out, `now` passed in. It
-//! watches three things: the platform's lagging list of VMs, heartbeats from other VMs, and the
-//! seat table, one platform object changed by conditional writes only.
+//! [`Membership`] is a state machine without I/O: it processes [`Event`]s and returns [`Action`]s,
+//! and the current time is passed in. Its inputs are the platform's list of VMs, which may lag, the
+//! heartbeats of other VMs, and the seat table, a platform object that is changed by conditional
+//! writes only.
 //!
-//! The first two make the [`View`], which decides nothing that must be safe: whom to send to, and
-//! which VM takes a duty such as writing a bucket of claims. The seat table alone decides how many
-//! connections each VM may hold to a backend server (see [`SeatTable`] for why the sum can never
-//! pass the server's limit).
+//! The list and the heartbeats make the [`View`]. No decision that must be safe depends on it: it
+//! selects which VMs to send to, and which VM has a duty such as writing a bucket of claims. The
+//! seat table alone decides how many connections each VM may hold to a backend server (see
+//! [`SeatTable`] for why the sum can never exceed the server's limit).
 
 mod action;
+mod dissemination;
 mod event;
-mod gossip;
 mod heartbeat;
-mod holding;
-mod keeper;
-mod member;
+mod membership;
 mod peer;
-mod rumour;
-mod seats;
+mod peer_table;
+mod rumour_queue;
+mod seat_share;
+mod seat_state;
+mod seat_table;
 mod settings;
-mod share;
-mod tell;
+mod table_keeper;
 mod view;
-mod vm;
+mod vm_state;
 
 pub use gs_types::vm::VmEntry;
 
@@ -32,18 +34,18 @@
 pub use heartbeat::Heartbeat;
 pub use heartbeat::Rumour;
 pub use heartbeat::TableEpochs;
-pub use member::Membership;
-pub use seats::Epoch;
-pub use seats::Seat;
-pub use seats::SeatHolder;
-pub use seats::SeatId;
-pub use seats::SeatLayout;
-pub use seats::SeatTable;
+pub use membership::Membership;
+pub use seat_share::ServerLimit;
+pub use seat_share::seat_share;
+pub use seat_table::Epoch;
+pub use seat_table::Seat;
+pub use seat_table::SeatHolder;
+pub use seat_table::SeatId;
+pub use seat_table::SeatLayout;
+pub use seat_table::SeatTable;
 pub use settings::MemberSettings;
-pub use share::ServerLimit;
-pub use share::seat_share;
 pub use view::View;
 pub use view::ViewVm;
-pub use vm::VmChart;
-pub use vm::VmEvent;
-pub use vm::VmState;
+pub use vm_state::VmChart;
+pub use vm_state::VmEvent;
+pub use vm_state::VmState;
--- a/crates/member/src/peer.rs
+++ b/crates/member/src/peer.rs
@@ -1,33 +1,33 @@
-//! What this VM knows of one other.
+//! What this VM knows of another VM.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use gs_types::prelude::*;
 
-use crate::vm::VmChart;
-use crate::vm::VmEvent;
-use crate::vm::VmState;
+use crate::vm_state::VmChart;
+use crate::vm_state::VmEvent;
+use crate::vm_state::VmState;
 
-/// Another VM.
+/// Another VM, with its state and the last contact.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
     pub(crate) entry: VmEntry,
     pub(crate) state: VmState,
-    /// When it came into that state.
-    pub(crate) since: Instant,
-    /// The newest run of its process known.
+    /// When it entered that state.
+    pub(crate) state_since: Instant,
+    /// The newest known incarnation of its process.
     pub(crate) incarnation: Option<Incarnation>,
-    /// How often that run has contradicted a suspicion.
+    /// How often that incarnation has refuted a suspicion.
     pub(crate) refutations: u32,
-    /// When it was last heard at first hand.
-    pub(crate) heard: Option<Instant>,
-    /// Whether its last word said that it has heard this VM.
-    pub(crate) knows_us: bool,
-    /// When it was first asked since it was last heard.
-    pub(crate) asked: Option<Instant>,
-    /// Since when every list has lacked it, unheard.
-    pub(crate) absent: Option<Instant>,
+    /// When the last heartbeat of it was received.
+    pub(crate) last_contact: Option<Instant>,
+    /// Whether its last heartbeat said that it has received one from this VM.
+    pub(crate) knows_this_vm: bool,
+    /// When the first probe since the last contact was sent.
+    pub(crate) unanswered_since: Option<Instant>,
+    /// Since when every list of VMs has been without it and no heartbeat of it was received.
+    pub(crate) unlisted_since: Option<Instant>,
 }
 
 impl Peer {
@@ -35,57 +35,69 @@
         Self {
             entry,
             state,
-            since: now,
+            state_since: now,
             incarnation: None,
             refutations: 0,
-            heard: None,
-            knows_us: false,
-            asked: None,
-            absent: None,
+            last_contact: None,
+            knows_this_vm: false,
+            unanswered_since: None,
+            unlisted_since: None,
         }
     }
 
-    /// Moves by the chart; tells whether the state changed.
-    pub(crate) fn step(&mut self, now: Instant, chart: &VmChart, event: VmEvent) -> bool {
+    /// Applies an event to the state; returns whether the state changed.
+    pub(crate) fn apply(&mut self, now: Instant, chart: &VmChart, event: VmEvent) -> bool {
         let Some(next) = chart.next(self.state, event) else {
             return false;
         };
         self.state = next;
-        self.since = now;
+        self.state_since = now;
         true
     }
 
-    /// Whether it was heard at first hand within this time.
-    pub(crate) fn heard_within(&self, now: Instant, time: Duration) -> bool {
-        self.heard.is_some_and(|t| now.duration_since(t) < time)
+    /// Whether a heartbeat of it was received within this time.
+    pub(crate) fn contacted_within(&self, now: Instant, time: Duration) -> bool {
+        self.last_contact
+            .is_some_and(|t| now.duration_since(t) < time)
     }
 
-    /// Whether an answer has been due for this time.
-    pub(crate) fn silent_for(&self, now: Instant, time: Duration) -> bool {
-        self.asked.is_some_and(|t| now.duration_since(t) >= time)
+    /// Whether a probe has been unanswered for this time.
+    pub(crate) fn unanswered_for(&self, now: Instant, time: Duration) -> bool {
+        self.unanswered_since
+            .is_some_and(|t| now.duration_since(t) >= time)
     }
 
-    /// Notes a sign of life of this run; tells whether anything about it is new.
-    pub(crate) fn hear(&mut self, now: Instant, chart: &VmChart, run: Incarnation) -> bool {
-        if self.incarnation.is_some_and(|known| run < known) {
+    /// Records contact with this incarnation; returns whether this changed what is known.
+    pub(crate) fn note_alive(
+        &mut self,
+        now: Instant,
+        chart: &VmChart,
+        incarnation: Incarnation,
+    ) -> bool {
+        if self.incarnation.is_some_and(|known| incarnation < known) {
             return false;
         }
-        self.heard = Some(now);
-        self.asked = None;
-        self.absent = None;
-        self.meet(now, chart, run) | self.step(now, chart, VmEvent::Heard)
+        self.last_contact = Some(now);
+        self.unanswered_since = None;
+        self.unlisted_since = None;
+        self.note_incarnation(now, chart, incarnation) | self.apply(now, chart, VmEvent::Heard)
     }
 
-    /// Notes that this run exists; tells whether it is a new one.
-    pub(crate) fn meet(&mut self, now: Instant, chart: &VmChart, run: Incarnation) -> bool {
-        if self.incarnation.is_some_and(|known| run <= known) {
+    /// Records that this incarnation exists; returns whether it was not known before.
+    pub(crate) fn note_incarnation(
+        &mut self,
+        now: Instant,
+        chart: &VmChart,
+        incarnation: Incarnation,
+    ) -> bool {
+        if self.incarnation.is_some_and(|known| incarnation <= known) {
             return false;
         }
         let restarted = self.incarnation.is_some();
-        self.incarnation = Some(run);
+        self.incarnation = Some(incarnation);
         self.refutations = 0;
         if restarted {
-            self.step(now, chart, VmEvent::Restarted);
+            self.apply(now, chart, VmEvent::Restarted);
         }
         true
     }
--- a/crates/member/src/share.rs
+++ b/crates/member/src/seat_share.rs
@@ -1,31 +1,32 @@
-//! How a server's connections are divided among seats.
+//! Division of a server's connections among the seats.
 
 use gs_types::prelude::*;
 use serde::Deserialize;
 use serde::Serialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::seats::Seat;
-use crate::seats::SeatId;
+use crate::seat_table::Seat;
+use crate::seat_table::SeatId;
 
-/// A backend server and the connections that it accepts from all VMs together.
+/// A backend server and the number of connections that it accepts from all VMs together.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerLimit {
     /// The server.
     pub server: ServerName,
-    /// Where it stands.
+    /// The data centre that it is in.
     pub data_centre: DataCentre,
-    /// Its limit.
+    /// The most connections that it accepts.
     pub connections: Connections,
 }
 
-/// The connections to a server that a seat stands for; over all seats they add up to its limit.
+/// Returns how many connections to a server a seat stands for. Over all seats they add up to the
+/// server's limit.
 ///
-/// They are dealt out one by one in rounds: in each round one to every full seat, those of the
-/// server's data centre first, and in every second round one to every spare seat as well. The order
-/// within a data centre is by rendezvous hash with the server, so that the remainder falls on other
-/// VMs for other servers. A larger limit never gives a seat less, so VMs that know different
-/// limits stay within the larger.
+/// The connections are assigned one by one in rounds. Each round assigns one to every full seat,
+/// those of the server's data centre first; every second round also assigns one to every spare
+/// seat. The order within a data centre is by rendezvous hash with the server, so that the
+/// remainder goes to different VMs for different servers. A larger limit never gives a seat less,
+/// so VMs that know different limits stay within the larger one.
 #[must_use]
 pub fn seat_share(limit: &ServerLimit, seats: &[Seat], seat: SeatId) -> Connections {
     let Some(me) = seats.iter().find(|s| s.id == seat) else {
@@ -51,7 +52,8 @@
     Connections(u32::try_from(n).unwrap_or(u32::MAX))
 }
 
-/// Orders seats for a server: its own data centre's first, spare ones last.
+/// Returns the rank of a seat for a server: seats of the server's data centre come first, spare
+/// seats last.
 fn rank(limit: &ServerLimit, server: u64, s: &Seat) -> (u8, u64, SeatId) {
     let group = match &s.data_centre {
         Some(dc) if *dc == limit.data_centre => 0,
@@ -61,8 +63,8 @@
     (group, mix(server ^ u64::from(s.id.0)), s.id)
 }
 
-/// The finaliser of SplitMix64: spreads a number over all bits. Hashing bytes for every seat and
-/// server took most of the time in which a large table was adopted.
+/// Mixes the bits of a number with the finaliser of SplitMix64. Hashing bytes for every seat and
+/// server took most of the time needed to adopt a large table.
 fn mix(x: u64) -> u64 {
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/member/src/seats.rs
+++ b/crates/member/src/seat_table.rs
@@ -1,4 +1,5 @@
-//! The seat table: who may hold connections, agreed by conditional writes on one platform object.
+//! The seat table: which VMs may hold connections, agreed on by conditional writes to one platform
+//! object.
 
 use std::fmt;
 
@@ -8,19 +9,19 @@
 use smallvec::SmallVec;
 use smallvec::smallvec;
 
-/// The form of the object's content; the first byte.
+/// The version of the object's format, its first byte.
 const FORMAT: u8 = 1;
 
-/// Most seats of a table, so that its object stays far below a megabyte.
+/// The most seats in a layout, so that the table's object stays far below a megabyte.
 const SEATS_MAX: usize = 4096;
 
-/// Most lists of seats that may be in force at the same time.
+/// The most layouts that may be in use at the same time.
 pub(crate) const LAYOUTS_MAX: usize = 4;
 
-/// One seat is kept for a newcomer, and one more for each so many VMs.
-const VMS_PER_SPARE: usize = 16;
+/// The number of seats for which one spare seat is kept, in addition to the first spare seat.
+const SEATS_PER_SPARE: usize = 16;
 
-/// The number of a seat table; each write adds one.
+/// The number of a version of the seat table; each write increases it by one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -28,7 +29,7 @@
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// The epoch after this one.
+    /// Returns the epoch after this one.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0.saturating_add(1))
@@ -41,29 +42,29 @@
     }
 }
 
-/// The number of a seat; never used again for another.
+/// The number of a seat; a new seat is numbered above all seats in the layouts of its table.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct SeatId(pub u32);
 
-/// A part of every server's connections, held by at most one VM.
+/// A share of every server's connections, held by at most one VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seat {
-    /// Its number.
+    /// The number of the seat.
     pub id: SeatId,
-    /// The data centre whose servers it is given more of; `None` for a spare seat, which stands for
-    /// half as much as another and is kept for a newcomer.
+    /// The data centre to whose servers the seat is given more connections. `None` for a spare
+    /// seat, which stands for half as many connections as a full one and is kept free for a new VM.
     pub data_centre: Option<DataCentre>,
 }
 
-/// A list of seats and the first epoch in which it was in force.
+/// The list of all seats as of an epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeatLayout {
-    /// The first epoch in which it was in force.
+    /// The first epoch that has this layout.
     pub since: Epoch,
-    /// The seats, vacant ones too.
+    /// The seats, including vacant ones.
     pub seats: Vec<Seat>,
 }
 
@@ -74,49 +75,51 @@
     pub seat: SeatId,
     /// The VM that holds it.
     pub vm: VmId,
-    /// The run of its process that registered. A new run registers again before it uses the seat,
-    /// so that a write of the run before, still under way, fails on the object's version.
+    /// The incarnation of its process that registered. A new incarnation registers again before it
+    /// uses the seat, so that a write of the previous one that is still in flight fails on the
+    /// object's version.
     pub incarnation: Incarnation,
-    /// The epoch in which that run registered; it has never been at an older one.
+    /// The epoch in which that incarnation registered; it has never been at an older one.
     pub since: Epoch,
 }
 
-/// Who may hold connections: a list of seats, some of them vacant.
+/// The VMs that may hold connections: a layout of seats, and the holders of those not vacant.
 ///
 /// Every VM computes from the table alone how many connections each seat stands for
-/// ([`crate::seat_share`]); for one list of seats these add up to the server's limit. The sum that
-/// *existing* processes hold stays within the limit because:
+/// ([`crate::seat_share()`]); for one layout these add up to the server's limit. The sum over all
+/// *existing* processes stays within the limit because:
 ///
-/// 1. A seat has one holder. It is vacated by its holder once that holds no connection, or when the
-///    platform has removed the holder; so two processes that exist never hold the same seat.
-/// 2. A process has *lowered* to an epoch once its open connections are within that table. What it
-///    holds is within the smallest of its seat's shares over every epoch from `lo` to the one
-///    lowered to, where `lo` is the oldest epoch that any holder may still be at, as far as it
-///    knows. What it knows is never newer than what is, as epochs only grow.
-/// 3. Let E be the oldest epoch that any process that holds a seat is lowered to. E lies within
-///    every process's span, so each holds at most its seat's share in E, and these add up to the
-///    limit.
+/// 1. A seat has one holder. It is vacated by its holder once that holds no connections, or when
+///    the platform has removed the holder; so two existing processes never hold the same seat.
+/// 2. A process has *lowered* to an epoch once its open connections are within that epoch's table.
+///    The number it holds is within the smallest of its seat's shares over every epoch from
+///    `oldest` to the one it has lowered to, where `oldest` is the oldest epoch that any holder may
+///    still be at, as far as the process knows. The epochs it knows of are never newer than the
+///    actual ones, as epochs only increase.
+/// 3. Let E be the oldest epoch that any process with a seat has lowered to. E lies within the span
+///    of every process, so each holds at most its seat's share in E, and these add up to the limit.
 ///
-/// A paused or cut-off VM keeps E, and so everyone's span, at its epoch: nobody takes over what it
-/// may hold. A spare seat has had its share in every epoch of the span, with nobody in it, and so a
-/// newcomer may use it at once even then.
+/// A paused or partitioned VM holds E, and thus the span of every VM, at its own epoch: no other VM
+/// takes over its connections. A spare seat has had its share in every epoch of the span without a
+/// holder, so a new VM may use it at once even then.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SeatTable {
-    /// The number of this table.
+    /// The epoch of this table.
     pub epoch: Epoch,
-    /// The lists of seats that some VM may still hold to, oldest first; the last is in force now.
+    /// The layouts that some VM may still use, oldest first; the last one is current.
     #[serde(rename = "shapes")]
     pub layouts: SmallVec<[SeatLayout; 1]>,
-    /// The seats that are held.
+    /// The seats that are held, with their holders.
     #[serde(rename = "held")]
     pub holders: Vec<SeatHolder>,
 }
 
 impl SeatTable {
-    /// The platform object that holds it.
+    /// The path of the platform object that stores the table.
     pub const PATH: &'static str = "members/seats";
 
-    /// Makes the first table, with a seat for each of these VMs and spare ones.
+    /// Creates the initial table: one vacant seat for each item of `data_centres`, which are those
+    /// of the listed VMs, and spare seats.
     #[must_use]
     pub fn initial<'a>(data_centres: impl Iterator<Item = &'a DataCentre>) -> Self {
         let mut table = Self {
@@ -134,58 +137,58 @@
         table
     }
 
-    /// Reads a table from its object's content.
+    /// Decodes a table from its object's content.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Version`] for another form; [`ErrorKind::BadInput`] if it does not decode or
-    /// breaks a rule, such as a seat held twice.
+    /// [`ErrorKind::Version`] for another version of the format; [`ErrorKind::BadInput`] if the
+    /// content does not decode or is inconsistent, such as a seat that is held twice.
     pub fn decode(content: &[u8]) -> Result<Self> {
         let (format, rest) = content
             .split_first()
-            .ok_or_else(|| bad("the seat table is empty"))?;
+            .ok_or_else(|| bad_input("the seat table is empty"))?;
         if *format != FORMAT {
             return Err(Error::new(
                 ErrorKind::Version,
-                format!("the seat table has form {format}, not {FORMAT}"),
+                format!("the seat table has format version {format}, expected {FORMAT}"),
             )
             .at("read seat table"));
         }
-        let table: Self = postcard::from_bytes(rest).map_err(|e| bad(&e.to_string()))?;
+        let table: Self = postcard::from_bytes(rest).map_err(|e| bad_input(&e.to_string()))?;
         table.check()?;
         Ok(table)
     }
 
-    /// Writes the object's content.
+    /// Encodes the table as its object's content.
     ///
     /// # Errors
     ///
     /// [`ErrorKind::BadInput`] if it does not encode.
     pub fn encode(&self) -> Result<Vec<u8>> {
-        postcard::to_extend(self, vec![FORMAT]).map_err(|e| bad(&e.to_string()))
+        postcard::to_extend(self, vec![FORMAT]).map_err(|e| bad_input(&e.to_string()))
     }
 
-    /// The seats in force now.
+    /// Returns the seats of the current layout.
     #[must_use]
     pub fn seats(&self) -> &[Seat] {
         self.layouts.last().map_or(&[], |s| &s.seats)
     }
 
-    /// The seat that a VM holds.
+    /// Returns the seat that a VM holds, with its registration.
     #[must_use]
     pub fn seat_of(&self, vm: &VmId) -> Option<&SeatHolder> {
         self.holders.iter().find(|h| h.vm == *vm)
     }
 
-    /// The seats that nobody holds.
+    /// Returns the seats of the current layout that are not held.
     pub fn vacant_seats(&self) -> impl Iterator<Item = &Seat> {
-        let taken = |id| self.holders.iter().any(|h| h.seat == id);
-        self.seats().iter().filter(move |s| !taken(s.id))
+        let is_held = |id| self.holders.iter().any(|h| h.seat == id);
+        self.seats().iter().filter(move |s| !is_held(s.id))
     }
 
-    /// Seats a VM, or its new run: its own seat, else a vacant one that can be used at once, of its
-    /// own data centre if possible, else a new one.
-    pub(crate) fn take(&mut self, vm: &VmId, incarnation: Incarnation, dc: &DataCentre) {
+    /// Assigns a seat to a VM or its new incarnation: the seat that it holds; else a vacant one,
+    /// preferably one that can be used at once and is of its own data centre; else a new one.
+    pub(crate) fn assign(&mut self, vm: &VmId, incarnation: Incarnation, dc: &DataCentre) {
         if let Some(h) = self.holders.iter_mut().find(|h| h.vm == *vm) {
             h.incarnation = incarnation;
             h.since = Epoch::default();
@@ -196,7 +199,7 @@
             Some(_) => 1,
             None => 2,
         };
-        let order = |s: &&Seat| (!self.is_settled(s.id), rank(s), s.id);
+        let order = |s: &&Seat| (!self.is_in_all_layouts(s.id), rank(s), s.id);
         let seat = match self.vacant_seats().min_by_key(order) {
             Some(s) => s.id,
             None => self.add_seat(Some(dc.clone())),
@@ -209,12 +212,12 @@
         });
     }
 
-    /// Whether a vacant seat is in every list of seats, so that a newcomer may use it at once.
-    pub(crate) fn has_settled_vacancy(&self) -> bool {
-        self.vacant_seats().any(|s| self.is_settled(s.id))
+    /// Whether some vacant seat is in all layouts, so that a new VM may use it at once.
+    pub(crate) fn has_usable_vacancy(&self) -> bool {
+        self.vacant_seats().any(|s| self.is_in_all_layouts(s.id))
     }
 
-    fn is_settled(&self, seat: SeatId) -> bool {
+    fn is_in_all_layouts(&self, seat: SeatId) -> bool {
         let has = |layout: &SeatLayout| layout.seats.iter().any(|s| s.id == seat);
         self.layouts.iter().all(has)
     }
@@ -224,15 +227,15 @@
         self.holders.retain(|h| h.vm != *vm);
     }
 
-    /// Takes a vacant seat out of the list.
+    /// Removes a vacant seat from the current layout.
     pub(crate) fn remove_seat(&mut self, seat: SeatId) {
         if let Some(s) = self.layouts.last_mut() {
             s.seats.retain(|s| s.id != seat);
         }
     }
 
-    /// Gives a seat to a data centre, which makes a spare seat a full one.
-    pub(crate) fn move_seat(&mut self, seat: SeatId, dc: &DataCentre) {
+    /// Sets the data centre of a seat, which turns a spare seat into a full one.
+    pub(crate) fn set_data_centre(&mut self, seat: SeatId, dc: &DataCentre) {
         let seats = self.layouts.last_mut().map(|s| &mut s.seats);
         let seat = seats.and_then(|s| s.iter_mut().find(|s| s.id == seat));
         if let Some(s) = seat {
@@ -240,24 +243,24 @@
         }
     }
 
-    /// Adds vacant seats until a newcomer finds one.
+    /// Adds spare seats until there are enough vacant seats for new VMs.
     pub(crate) fn add_spares(&mut self) {
-        let want = 1 + self.seats().len() / VMS_PER_SPARE;
+        let want = 1 + self.seats().len() / SEATS_PER_SPARE;
         while self.vacant_seats().count() < want && self.seats().len() < SEATS_MAX {
             self.add_seat(None);
         }
     }
 
-    /// Forgets lists of seats that no VM can hold to any more; `lo` is the oldest epoch in use.
-    pub(crate) fn prune(&mut self, lo: Epoch) {
-        while self.layouts.get(1).is_some_and(|s| s.since <= lo) {
+    /// Removes layouts that no VM can use any more; `oldest` is the oldest epoch in use.
+    pub(crate) fn prune(&mut self, oldest: Epoch) {
+        while self.layouts.get(1).is_some_and(|s| s.since <= oldest) {
             self.layouts.remove(0);
         }
     }
 
-    /// Numbers a changed table: the next epoch, and the list of seats kept apart from `before`'s if
-    /// it differs.
-    pub(crate) fn succeed(mut self, before: &Self) -> Self {
+    /// Returns the changed table with the epoch after that of `before`. If its layout differs from
+    /// that of `before`, both are kept.
+    pub(crate) fn with_next_epoch(mut self, before: &Self) -> Self {
         self.epoch = before.epoch.next();
         let epoch = self.epoch;
         for h in self
@@ -294,18 +297,18 @@
         seats.sort_unstable();
         seats.dedup();
         if seats.len() != self.holders.len() {
-            return Err(bad("the seat table has a seat held twice"));
+            return Err(bad_input("a seat of the seat table is held twice"));
         }
         if self.layouts.is_empty() || self.layouts.len() > LAYOUTS_MAX {
-            return Err(bad("the seat table has no list of seats or too many"));
+            return Err(bad_input("the seat table has no layout or too many"));
         }
         if self.layouts.iter().any(|s| s.seats.len() > SEATS_MAX) {
-            return Err(bad("the seat table has too many seats"));
+            return Err(bad_input("a layout of the seat table has too many seats"));
         }
         Ok(())
     }
 }
 
-fn bad(text: &str) -> Error {
+fn bad_input(text: &str) -> Error {
     Error::new(ErrorKind::BadInput, text).at("read seat table")
 }
--- a/crates/member/src/settings.rs
+++ b/crates/member/src/settings.rs
@@ -1,47 +1,49 @@
-//! What the membership is told at its start.
+//! Settings of the membership.
 
 use std::time::Duration;
 
 use gs_types::prelude::*;
 
-/// What the membership is told at its start; every VM of a fleet should have the same times.
+/// Settings of a [`crate::Membership`]; all VMs of a fleet should use the same durations.
 #[derive(Clone, Debug, bon::Builder)]
 pub struct MemberSettings {
-    /// This VM, as the platform will list it.
+    /// The entry of this VM, as the platform will list it.
     pub me: VmEntry,
-    /// This run of the process.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// Seeds the choice of peers.
+    /// Seed for the random choice of peers.
     pub seed: u64,
-    /// Time between heartbeats.
+    /// Time between two rounds of heartbeats.
     #[builder(default = Duration::from_millis(500))]
     pub heartbeat_interval: Duration,
-    /// The most VMs asked for an answer in each period.
+    /// The most VMs probed in turn in each round. Up to as many more are probed because they have
+    /// an answer outstanding.
     #[builder(default = 4)]
     pub probe_fan_out: usize,
-    /// The most VMs that this one holds connections to and asks.
+    /// The most VMs that this VM holds mesh connections to and probes.
     #[builder(default = 64)]
     pub neighbours_max: usize,
-    /// A VM that has not answered for this long is suspected.
+    /// How long a probe may stay unanswered before the VM is suspected.
     #[builder(default = Duration::from_millis(1500))]
     pub suspect_after: Duration,
-    /// A suspected VM that nobody hears for this long counts as unreachable.
+    /// How long a VM may be suspected, without any VM refuting it, before it counts as unreachable.
     #[builder(default = Duration::from_secs(2))]
     pub lapse_after: Duration,
-    /// A VM that the platform's list lacks, and nobody hears, for this long is gone. Must be longer
-    /// than the list ever lags behind a VM's start.
+    /// How long a VM may be missing from the platform's list, without contact to this VM, before it
+    /// is removed from the view. Must be longer than the list can lag behind a VM's start.
     #[builder(default = Duration::from_secs(60))]
     pub gone_after: Duration,
-    /// The most rumours in one heartbeat.
+    /// The most rumours in a heartbeat.
     #[builder(default = 16)]
     pub rumours_max: usize,
-    /// Time between two looks at the seat table by the VM whose duty it is.
+    /// Time between two reads of the seat table by the VM that has the duty to maintain it.
     #[builder(default = Duration::from_secs(2))]
     pub table_check_interval: Duration,
-    /// How long to wait, give or take half, before the platform is asked again after a failure.
+    /// Mean backoff after a failed call to the platform; each backoff varies by up to half of it.
     #[builder(default = Duration::from_millis(500))]
     pub platform_backoff: Duration,
-    /// Time that vacant seats are kept before the table shrinks, so that a replaced VM finds one.
+    /// How long a vacant seat stays in the table before it is removed, so that the replacement of a
+    /// VM finds one.
     #[builder(default = Duration::from_secs(120))]
     pub shrink_after: Duration,
 }
--- a/crates/member/src/view.rs
+++ b/crates/member/src/view.rs
@@ -1,41 +1,43 @@
-//! The VMs as one VM sees them.
+//! The view: all VMs as one VM sees them, and the choice of the VM that has a duty.
 
 use gs_types::prelude::*;
 use serde::Deserialize;
 use serde::Serialize;
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::vm::VmState;
+use crate::vm_state::VmState;
 
-/// The VMs as one VM sees them; another's view may differ at any time.
+/// All VMs as one VM sees them; the views of two VMs may differ at any time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
     /// The VM whose view it is.
     pub me: VmId,
-    /// All VMs that are not gone, this one included, by name.
+    /// All VMs that are not removed, this one included, sorted by name.
     pub vms: Vec<ViewVm>,
 }
 
 /// One VM in a view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewVm {
-    /// How it is listed.
+    /// Its entry in the list of VMs.
     pub entry: VmEntry,
-    /// The newest run of its process heard of; `None` if never.
+    /// The newest known incarnation of its process; `None` if none is known.
     pub incarnation: Option<Incarnation>,
-    /// What it is to this VM.
+    /// Its state as this VM sees it.
     pub state: VmState,
 }
 
 impl View {
-    /// The VMs that were heard lately and are not leaving, this one included unless it leaves.
+    /// Returns the VMs in state [`VmState::Alive`]; this VM is among them unless it is leaving.
     pub fn live(&self) -> impl Iterator<Item = &ViewVm> {
         self.vms.iter().filter(|v| v.state == VmState::Alive)
     }
 
-    /// The VM that takes a duty: the live one whose name hashes highest with the duty's.
+    /// Returns the VM that has a duty: the live VM with the highest rendezvous hash of its name and
+    /// the duty's.
     ///
-    /// Two VMs may each believe they hold it, or none may; whoever uses it must be safe then.
+    /// As views differ, two VMs may each find that they have the duty, or none may. Duties must
+    /// therefore be safe when no VM, or more than one, carries them out.
     #[must_use]
     pub fn holder(&self, duty: &str) -> Option<&VmId> {
         self.live()
@@ -43,13 +45,13 @@
             .max_by_key(|vm| rank(duty, vm))
     }
 
-    /// Whether this VM believes that it holds a duty.
+    /// Whether this VM has a duty according to its own view.
     #[must_use]
     pub fn holds(&self, duty: &str) -> bool {
         self.holder(duty) == Some(&self.me)
     }
 
-    /// The live VM of one data centre that takes a duty there.
+    /// Returns the live VM of a data centre that has a duty there, or `None` if none is live there.
     #[must_use]
     pub fn holder_in(&self, dc: &DataCentre, duty: &str) -> Option<&VmId> {
         self.live()
@@ -59,7 +61,7 @@
     }
 }
 
-/// The rendezvous hash of a duty and a VM; the name breaks ties.
+/// Returns the rendezvous hash of a duty and a VM; the name breaks ties.
 pub(crate) fn rank<'a>(duty: &str, vm: &'a VmId) -> (u64, &'a str) {
     let mut h = Xxh3::new();
     h.update(duty.as_bytes());
