--- a/crates/node/src/options.rs
+++ b/crates/node/src/options.rs
@@ -165,7 +165,7 @@
         OnceSettings::builder()
             .vm(self.settings.vm.name.clone())
             .incarnation(self.incarnation)
-            .window(self.settings.claims.window)
+            .claim_window(self.settings.claims.window)
             .skew(self.settings.claims.skew)
             .build()
     }
--- a/crates/once/examples/claims.rs
+++ b/crates/once/examples/claims.rs
@@ -94,7 +94,7 @@
             let cfg = OnceSettings::builder()
                 .vm(vm(i))
                 .incarnation(Incarnation(1_800_000_000_000))
-                .gather(gather)
+                .write_interval(gather)
                 .buckets(buckets)
                 .build();
             Once::new(cfg).expect("a chart")
--- a/crates/once/src/action.rs
+++ b/crates/once/src/action.rs
@@ -1,4 +1,4 @@
-//! What the claims ask their shell to do.
+//! Outputs of the claims state machine, carried out by its I/O driver (shell).
 
 use std::time::Duration;
 
@@ -11,18 +11,18 @@
 
 /// One output of [`crate::Once`].
 ///
-/// The shell makes each call to the platform once; it repeats none by itself.
+/// The driver makes each call to the platform once, and does not retry it by itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
     /// Read an object; answered by [`crate::Event::Read`].
     Read {
-        /// The object.
+        /// The path of the object.
         path: String,
     },
     /// Write an object; answered by [`crate::Event::Wrote`].
     Write {
-        /// The object.
+        /// The path of the object.
         path: String,
         /// The version to replace; 0 if it must not exist.
         if_version: u64,
@@ -31,16 +31,16 @@
     },
     /// Remove an object; answered by [`crate::Event::Removed`].
     Remove {
-        /// The object.
+        /// The path of the object.
         path: String,
         /// The version to remove.
         if_version: u64,
     },
     /// Send a message to another VM; it may be lost.
     Send(VmId, Message),
-    /// The one answer to an ask.
+    /// The decision on a claim that a lookup requested; sent once for each request.
     #[serde(rename = "verdict")]
     Decision(LookupSeq, ClaimVerdict),
-    /// Send [`crate::Event::Tick`] after this time at the latest; replaces the one asked before.
+    /// Send [`crate::Event::Tick`] after this time at the latest; replaces the previous request.
     Wake(Duration),
 }
--- a/crates/once/src/claim.rs
+++ b/crates/once/src/claim.rs
@@ -1,4 +1,4 @@
-//! One ask for a claim, and its states.
+//! A claim request and its states.
 
 use std::fmt;
 
@@ -10,8 +10,10 @@
 
 use crate::segment::Window;
 
-/// The 128-bit hash of an idempotency key. Two keys that hash alike make the second `Taken`: it is
-/// refused, never run twice.
+/// The 128-bit hash of an idempotency key.
+///
+/// If two keys have the same hash, the second one is `Taken`: it is rejected, and no key runs
+/// twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct KeyHash(pub u128);
@@ -24,14 +26,14 @@
     }
 }
 
-/// Names one ask in the whole fleet: the nonce of its claim.
+/// The fleet-wide unique id of a claim request, stored in the claim as its nonce.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimRequestId {
-    /// The VM whose caller wants it.
+    /// The VM that received the lookup.
     pub vm: VmId,
-    /// The run of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
-    /// The lookup there.
+    /// The number of the lookup in that process.
     pub seq: LookupSeq,
 }
 
@@ -41,20 +43,21 @@
     }
 }
 
-/// A claim wanted.
+/// A request for a claim on an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// Whose it is.
+    /// The id of the request.
     pub id: ClaimRequestId,
-    /// The key, hashed.
+    /// The hash of the key.
     pub key: KeyHash,
     /// The window in which the key was minted.
     pub window: Window,
-    /// What the lookup asks, kept with the claim for people who look into a dispute.
+    /// The fingerprint of the lookup's query, stored with the claim for operators who investigate a
+    /// dispute.
     pub fingerprint: Fingerprint,
 }
 
-/// Where an ask stands.
+/// The state of a claim request.
 #[derive(
     Clone,
     Copy,
@@ -72,60 +75,60 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum ClaimState {
-    /// Not part of any write yet.
+    /// Not in any write yet.
     Queued,
-    /// Handed to the bucket's writer.
+    /// Forwarded to the bucket's writer.
     Forwarded,
-    /// In a write whose answer is awaited.
+    /// In a write that is in flight.
     Writing,
-    /// In no write, while an earlier write or forward may still take effect.
+    /// In no write in flight, while an earlier write or forwarded request may still take effect.
     Exposed,
-    /// In a write, while an earlier write or forward may still take effect.
+    /// In a write in flight, while an earlier write or forwarded request may still take effect.
     Rewriting,
-    /// Its entry stands.
+    /// Its entry is stored.
     Granted,
-    /// Another entry stands for its key.
+    /// The entry of another request is stored for its key.
     Taken,
     /// The key is older than the claim window.
     Expired,
-    /// Given up before any write or forward that could still take effect.
+    /// Abandoned when no write or forwarded request could still take effect.
     Refused,
-    /// Given up while a write or forward may still take effect.
+    /// Abandoned while a write or forwarded request may still take effect.
     Unknown,
 }
 
-/// What moves an ask.
+/// An event that changes the state of a claim request.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, strum::EnumIter, strum::EnumString, strum::IntoStaticStr,
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum ClaimEvent {
-    /// It was handed to the bucket's writer.
+    /// It was forwarded to the bucket's writer.
     Forward,
     /// It was put into a write.
     Write,
-    /// The write's or forward's answer is lost or late.
+    /// The answer to the write or to the forwarded request is lost or late.
     Lose,
-    /// The write or forward provably has no effect.
+    /// The write or the forwarded request is known to have no effect.
     Miss,
-    /// Its entry was seen to stand.
+    /// Its entry was found.
     Stand,
-    /// Another entry for its key was seen to stand.
+    /// The entry of another request was found for its key.
     Clash,
-    /// The key's window was closed by the floor.
+    /// The watermark has closed the key's window.
     Close,
-    /// No time is left, or the platform is away.
+    /// No time is left, or the platform is unreachable.
     GiveUp,
 }
 
-/// The chart of an ask's states.
+/// The state machine definition of a claim request.
 pub type ClaimChart = Chart<ClaimState, ClaimEvent>;
 
-/// Reads the chart that is built into the program.
+/// Parses the state machine definition that is compiled into the program.
 ///
 /// # Errors
 ///
-/// [`ErrorKind::BadInput`] if `charts/claim.toml` has a fault.
+/// [`ErrorKind::BadInput`] if `charts/claim.toml` is invalid.
 pub fn chart() -> Result<ClaimChart> {
     Chart::parse(include_str!("../../../charts/claim.toml"))
 }
--- a/crates/once/src/claim_calls.rs
+++ b/crates/once/src/claim_calls.rs
@@ -1,4 +1,4 @@
-//! Reads and writes of claim objects.
+//! Reads and writes of claim objects, and the grants that follow from them.
 
 use gs_types::prelude::*;
 
@@ -9,40 +9,43 @@
 use crate::claim::KeyHash;
 use crate::claim_log::Call;
 use crate::claim_log::ClaimLog;
-use crate::claim_log::Existing;
+use crate::claim_log::ExistingEntry;
 use crate::once::Cx;
 use crate::once::Once;
 use crate::segment::Segment;
 use crate::segment::SegmentPath;
 use crate::segment::Window;
 
-/// Entries that are kept in memory; buckets and windows that nobody asks for go beyond that.
-const ENTRIES_MAX: usize = 200_000;
+/// The number of entries in memory above which idle claim logs are evicted.
+const CACHED_ENTRIES_MAX: usize = 200_000;
 
-type Key = (Window, u16);
+/// The key of a claim log: its window and bucket.
+type LogKey = (Window, u16);
 
 impl Once {
-    /// Starts every call that is due.
+    /// Starts all calls that are due, unless in backoff.
     pub(crate) fn start_calls(&mut self, cx: &mut Cx<'_>) {
         if !self.is_backing_off(cx.now) {
-            let keys: Vec<Key> = self.claim_logs.keys().copied().collect();
+            let keys: Vec<LogKey> = self.claim_logs.keys().copied().collect();
             for key in keys {
                 self.start_call(cx, key);
             }
             self.start_watermark_read(cx);
         }
-        self.forget();
+        self.evict_idle_logs();
     }
 
-    fn start_call(&mut self, cx: &mut Cx<'_>, key: Key) {
+    fn start_call(&mut self, cx: &mut Cx<'_>, key: LogKey) {
         let Some(claim_log) = self.claim_logs.get_mut(&key) else {
             return;
         };
         let requests = &self.claim_requests;
         claim_log.queue.retain(|id| requests.find(id).is_some());
-        claim_log.unproven.retain(|id| requests.find(id).is_some());
-        if !claim_log.unproven.is_empty() && claim_log.proof.is_none() {
-            claim_log.proof = Some(self.watermark.want());
+        claim_log
+            .unverified
+            .retain(|id| requests.find(id).is_some());
+        if !claim_log.unverified.is_empty() && claim_log.verification_round.is_none() {
+            claim_log.verification_round = Some(self.watermark.request_read());
         }
         if claim_log.call != Call::None || claim_log.queue.is_empty() {
             return;
@@ -52,18 +55,18 @@
             self.counts.reads += 1;
             let path = claim_log.path().to_string();
             cx.out.push(Action::Read { path });
-        } else if claim_log.next_write.is_none_or(|t| cx.now >= t) {
-            self.write(cx, key);
+        } else if claim_log.next_write_at.is_none_or(|t| cx.now >= t) {
+            self.write_batch(cx, key);
         }
     }
 
-    /// Writes all queued asks of a bucket and window at once.
-    fn write(&mut self, cx: &mut Cx<'_>, key: Key) {
+    /// Writes the queued requests of a bucket and window in one batch.
+    fn write_batch(&mut self, cx: &mut Cx<'_>, key: LogKey) {
         let Some(claim_log) = self.claim_logs.get_mut(&key) else {
             return;
         };
         let requests = &self.claim_requests;
-        let (existing, segment) = claim_log.gather(self.cfg.claims_per_segment, |id| {
+        let (existing, segment) = claim_log.gather_batch(self.cfg.claims_per_segment, |id| {
             requests.find(id).map(|p| &p.request)
         });
         let batch = match &claim_log.call {
@@ -72,7 +75,7 @@
         };
         let (path, if_version) = (claim_log.path().to_string(), claim_log.version());
         if let Some(content) = segment.and_then(|p| p.encode().ok()) {
-            claim_log.next_write = Some(cx.now + self.cfg.gather);
+            claim_log.next_write_at = Some(cx.now + self.cfg.write_interval);
             self.counts.writes += 1;
             cx.out.push(Action::Write {
                 path,
@@ -81,33 +84,33 @@
             });
         }
         for id in batch {
-            self.end(cx, &id, ClaimEvent::Write);
+            self.apply_event(cx, &id, ClaimEvent::Write);
         }
         for m in existing {
             match m {
-                Existing::Own(id) => self.entry_found(cx, key, &id),
-                Existing::Other(id) => self.end(cx, &id, ClaimEvent::Clash),
+                ExistingEntry::Own(id) => self.on_entry_found(cx, key, &id),
+                ExistingEntry::Other(id) => self.apply_event(cx, &id, ClaimEvent::Clash),
             }
         }
     }
 
-    pub(crate) fn read(
+    pub(crate) fn on_segment_read(
         &mut self,
         cx: &mut Cx<'_>,
         path: &str,
         result: Result<Option<Stored>, StoreError>,
     ) {
-        if self.is_swept(path) {
-            self.sweep_read(cx, result);
+        if self.is_being_removed(path) {
+            self.on_removal_read(cx, result);
             return;
         }
-        let Some((key, claim_log)) = self.called(path, |c| *c == Call::Read) else {
+        let Some((key, claim_log)) = self.log_with_call(path, |c| *c == Call::Read) else {
             return;
         };
         claim_log.call = Call::None;
         let read = match result {
             Ok(None) => Some((0, Segment::default())),
-            Ok(Some(s)) => decoded(path, &s).map(|segment| (s.version, segment)),
+            Ok(Some(s)) => decode_segment(path, &s).map(|segment| (s.version, segment)),
             Err(_) => None,
         };
         let Some((version, segment)) = read else {
@@ -116,14 +119,20 @@
         };
         let full = self.cfg.claims_per_segment;
         if let Some(claim_log) = self.claim_logs.get_mut(&key) {
-            claim_log.read(version, segment, full);
+            claim_log.on_read(version, segment, full);
         }
-        self.settle(cx, key);
+        self.resolve_lost_writes(cx, key);
     }
 
-    pub(crate) fn wrote(&mut self, cx: &mut Cx<'_>, path: &str, result: Result<u64, StoreError>) {
+    pub(crate) fn on_segment_written(
+        &mut self,
+        cx: &mut Cx<'_>,
+        path: &str,
+        result: Result<u64, StoreError>,
+    ) {
         let full = self.cfg.claims_per_segment;
-        let Some((key, claim_log)) = self.called(path, |c| matches!(c, Call::Write { .. })) else {
+        let Some((key, claim_log)) = self.log_with_call(path, |c| matches!(c, Call::Write { .. }))
+        else {
             return;
         };
         let Call::Write { batch, segment } = std::mem::replace(&mut claim_log.call, Call::None)
@@ -132,18 +141,18 @@
         };
         match result {
             Ok(version) => {
-                claim_log.wrote(version, segment, full);
+                claim_log.on_written(version, segment, full);
                 for id in &batch {
-                    self.entry_found(cx, key, id);
+                    self.on_entry_found(cx, key, id);
                 }
-                self.settle(cx, key);
+                self.resolve_lost_writes(cx, key);
             }
             Err(StoreError::Lost) => {
                 claim_log.note_unresolved_write(batch.clone());
                 self.requeue(cx, &batch, ClaimEvent::Lose);
             }
             Err(StoreError::Conflict) => {
-                claim_log.reread();
+                claim_log.mark_outdated();
                 self.requeue(cx, &batch, ClaimEvent::Miss);
             }
             Err(StoreError::NotDone) => {
@@ -153,12 +162,12 @@
         }
     }
 
-    /// Puts the asks of a write that did not succeed back.
+    /// Queues the requests of a write again that did not succeed.
     fn requeue(&mut self, cx: &mut Cx<'_>, batch: &[ClaimRequestId], event: ClaimEvent) {
         for id in batch {
             let state = self.claim_requests.find(id).map(|p| p.state);
             if matches!(state, Some(ClaimState::Writing | ClaimState::Rewriting)) {
-                self.end(cx, id, event);
+                self.apply_event(cx, id, event);
             }
             if event == ClaimEvent::Miss {
                 self.rule_out(cx, id);
@@ -167,8 +176,8 @@
         }
     }
 
-    /// Works out what became of lost writes, now that the last part's version is known.
-    fn settle(&mut self, cx: &mut Cx<'_>, key: Key) {
+    /// Resolves writes with an unknown result, now that the version of the last segment is known.
+    fn resolve_lost_writes(&mut self, cx: &mut Cx<'_>, key: LogKey) {
         let Some(claim_log) = self.claim_logs.get_mut(&key) else {
             return;
         };
@@ -176,14 +185,15 @@
             let claimed = self.claim_requests.find(&id).map(|p| p.request.key);
             let holder = claimed.and_then(|k| self.holder(key, k));
             if holder == Some(&id) {
-                self.entry_found(cx, key, &id);
+                self.on_entry_found(cx, key, &id);
             } else {
                 self.rule_out(cx, &id);
             }
         }
     }
 
-    /// Notes that nothing can make an ask an entry any more, unless something still can.
+    /// Records that no entry can be written for a request any more, unless an unresolved write or
+    /// the VM that it was forwarded to may still write one.
     pub(crate) fn rule_out(&mut self, cx: &mut Cx<'_>, id: &ClaimRequestId) {
         let Some(p) = self.claim_requests.find(id) else {
             return;
@@ -192,52 +202,53 @@
         let claim_log = self.claim_logs.get(&key);
         let unresolved = claim_log.is_some_and(|s| s.is_unresolved(id));
         if !unresolved && !p.forward_open {
-            self.end(cx, id, ClaimEvent::Miss);
+            self.apply_event(cx, id, ClaimEvent::Miss);
         }
     }
 
-    /// An ask's entry is there; it is granted once the floor was seen below it.
-    fn entry_found(&mut self, cx: &mut Cx<'_>, key: Key, id: &ClaimRequestId) {
+    /// Grants a request whose entry was found, or defers the grant until the watermark was seen
+    /// below its window.
+    fn on_entry_found(&mut self, cx: &mut Cx<'_>, key: LogKey, id: &ClaimRequestId) {
         let Some(claim_log) = self.claim_logs.get_mut(&key) else {
             return;
         };
-        if claim_log.proven {
+        if claim_log.verified {
             self.grant(cx, id);
         } else if self.claim_requests.find(id).is_some() {
-            claim_log.unproven.insert(id.clone());
+            claim_log.unverified.insert(id.clone());
         }
     }
 
-    /// Grants an ask whose entry stands, unless its key has become too old meanwhile, as after a
-    /// pause: other VMs may have told its caller so.
+    /// Grants a request whose entry is stored, unless its key has become too old in the meantime,
+    /// as after a process pause: other VMs may have reported to the caller that it is expired.
     pub(crate) fn grant(&mut self, cx: &mut Cx<'_>, id: &ClaimRequestId) {
         let Some(p) = self.claim_requests.find(id) else {
             return;
         };
-        let late = p.on_behalf.is_none() && self.is_too_old(cx.wall, p.minted);
-        let event = match late {
+        let is_expired = p.forwarded_by.is_none() && self.is_too_old(cx.wall, p.minted);
+        let event = match is_expired {
             true => ClaimEvent::GiveUp,
             false => ClaimEvent::Stand,
         };
-        self.end(cx, id, event);
+        self.apply_event(cx, id, event);
     }
 
-    /// The floor was read in this round.
-    pub(crate) fn prove(&mut self, cx: &mut Cx<'_>, round: u64) {
-        let due = |s: &&mut ClaimLog| s.proof.is_some_and(|r| r <= round);
-        let mut proven = Vec::new();
+    /// Grants the deferred requests that the watermark read of this number verifies.
+    pub(crate) fn verify_logs(&mut self, cx: &mut Cx<'_>, round: u64) {
+        let due = |s: &&mut ClaimLog| s.verification_round.is_some_and(|r| r <= round);
+        let mut ids = Vec::new();
         for claim_log in self.claim_logs.values_mut().filter(due) {
-            claim_log.proof = None;
-            claim_log.proven = true;
-            proven.extend(std::mem::take(&mut claim_log.unproven));
+            claim_log.verification_round = None;
+            claim_log.verified = true;
+            ids.extend(std::mem::take(&mut claim_log.unverified));
         }
-        for id in proven {
+        for id in ids {
             self.grant(cx, &id);
         }
     }
 
-    /// Ends everything at or below the floor.
-    pub(crate) fn close(&mut self, cx: &mut Cx<'_>) {
+    /// Ends all requests and drops all claim logs at or below the watermark.
+    pub(crate) fn expire_closed_windows(&mut self, cx: &mut Cx<'_>) {
         let closed = self.watermark.known.closed;
         let below = |id: &&ClaimRequestId| {
             let window = self.claim_requests.find(id).map(|p| p.request.window);
@@ -245,17 +256,17 @@
         };
         let ids: Vec<_> = self.claim_requests.ids().filter(below).cloned().collect();
         for id in ids {
-            self.end(cx, &id, ClaimEvent::Close);
+            self.apply_event(cx, &id, ClaimEvent::Close);
         }
         self.claim_logs.retain(|(window, _), _| *window > closed);
     }
 
-    /// Lets go of buckets and windows that nobody asks for, oldest first, if there are too many.
-    fn forget(&mut self) {
-        let mut entries: usize = self.claim_logs.values().map(ClaimLog::entries).sum();
-        while entries > ENTRIES_MAX {
+    /// Evicts idle claim logs, oldest window first, while too many entries are in memory.
+    fn evict_idle_logs(&mut self) {
+        let mut entries: usize = self.claim_logs.values().map(ClaimLog::entry_count).sum();
+        while entries > CACHED_ENTRIES_MAX {
             let idle = self.claim_logs.iter().find(|(_, s)| s.is_idle());
-            let Some((key, n)) = idle.map(|(k, s)| (*k, s.entries())) else {
+            let Some((key, n)) = idle.map(|(k, s)| (*k, s.entry_count())) else {
                 return;
             };
             self.claim_logs.remove(&key);
@@ -263,20 +274,24 @@
         }
     }
 
-    fn holder(&self, key: Key, claimed: KeyHash) -> Option<&ClaimRequestId> {
+    fn holder(&self, key: LogKey, claimed: KeyHash) -> Option<&ClaimRequestId> {
         self.claim_logs.get(&key)?.holder(claimed)
     }
 
-    /// The claim log whose call about this object is under way.
-    fn called(&mut self, path: &str, of: impl Fn(&Call) -> bool) -> Option<(Key, &mut ClaimLog)> {
+    /// Returns the claim log whose call in flight is about this object and of the wanted kind.
+    fn log_with_call(
+        &mut self,
+        path: &str,
+        is_wanted: impl Fn(&Call) -> bool,
+    ) -> Option<(LogKey, &mut ClaimLog)> {
         let path: SegmentPath = path.parse().ok()?;
         let key = (path.window, path.bucket);
         let claim_log = self.claim_logs.get_mut(&key)?;
-        (claim_log.path() == path && of(&claim_log.call)).then_some((key, claim_log))
+        (claim_log.path() == path && is_wanted(&claim_log.call)).then_some((key, claim_log))
     }
 }
 
-fn decoded(path: &str, s: &Stored) -> Option<Segment> {
+fn decode_segment(path: &str, s: &Stored) -> Option<Segment> {
     let segment = Segment::decode(&s.content);
     if let Err(e) = &segment {
         log::error!(
--- a/crates/once/src/claim_log.rs
+++ b/crates/once/src/claim_log.rs
@@ -1,4 +1,4 @@
-//! The claims of one bucket and window as this VM knows them, and the call about them under way.
+//! The claims of one bucket and window as this VM knows them, and the call about them in flight.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -13,21 +13,21 @@
 use crate::segment::SegmentPath;
 use crate::segment::Window;
 
-/// The call to the platform that is under way.
+/// The call to the platform that is in flight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Call {
     None,
     Read,
     Write {
-        /// The asks that are in it.
+        /// The requests whose entries are in it.
         batch: Vec<ClaimRequestId>,
-        /// What the part holds if it succeeds.
+        /// The content of the segment if the write succeeds.
         segment: Segment,
     },
 }
 
-/// A write whose answer is lost: it may have taken effect, and may yet while the part stays at the
-/// version that it was made against.
+/// A write with an unknown result. It may have taken effect, or may still do so while the segment
+/// is at the version that the write is conditional on.
 #[derive(Clone, Debug)]
 pub(crate) struct UnresolvedWrite {
     segment: u32,
@@ -35,39 +35,39 @@
     batch: Vec<ClaimRequestId>,
 }
 
-/// The claims of one bucket and window.
+/// The claims of one bucket and window, stored in segments.
 #[derive(Debug)]
 pub(crate) struct ClaimLog {
     window: Window,
     bucket: u16,
-    /// Every entry of every part, as far as read.
+    /// The entries of all segments, as far as read.
     known: BTreeMap<KeyHash, ClaimRequestId>,
-    /// The last part, to which entries are added.
+    /// The number of the last segment, to which entries are added.
     tail: u32,
     tail_claims: Vec<Claim>,
-    /// The last part's version; 0 if it is not there.
+    /// The version of the last segment; 0 if it does not exist.
     version: u64,
-    /// Whether every part there is believed to be was read.
+    /// Whether all segments that are believed to exist were read.
     loaded: bool,
-    /// Whether the floor was seen below this window after the last part was seen to exist.
-    pub(crate) proven: bool,
-    /// The read of the floor that proves it.
-    pub(crate) proof: Option<u64>,
+    /// Whether the watermark was seen below this window after the last segment was seen to exist.
+    pub(crate) verified: bool,
+    /// The number of the watermark read that verifies this.
+    pub(crate) verification_round: Option<u64>,
     pub(crate) call: Call,
     unresolved_writes: Vec<UnresolvedWrite>,
-    /// Asks to put into the next write.
+    /// Requests to put into the next write.
     pub(crate) queue: VecDeque<ClaimRequestId>,
-    /// Asks whose entry stands, waiting for the proof.
-    pub(crate) unproven: BTreeSet<ClaimRequestId>,
-    /// Not to write before.
-    pub(crate) next_write: Option<Instant>,
+    /// Requests whose entry is stored, and which wait for the watermark to be read.
+    pub(crate) unverified: BTreeSet<ClaimRequestId>,
+    /// No write is started before this time.
+    pub(crate) next_write_at: Option<Instant>,
 }
 
-/// What a queued ask meets when the next write is put together.
-pub(crate) enum Existing {
-    /// Its own entry stands already.
+/// An entry that already exists for the key of a queued request when the next write is prepared.
+pub(crate) enum ExistingEntry {
+    /// The request's own entry.
     Own(ClaimRequestId),
-    /// Another entry stands for its key.
+    /// The entry of another request.
     Other(ClaimRequestId),
 }
 
@@ -80,15 +80,15 @@
             tail: 0,
             tail_claims: Vec::new(),
             version: 0,
-            // Taken for empty until a write says otherwise: most often it is.
+            // Assumed to be empty until a write conflicts, as most are.
             loaded: true,
-            proven: false,
-            proof: None,
+            verified: false,
+            verification_round: None,
             call: Call::None,
             unresolved_writes: Vec::new(),
             queue: VecDeque::new(),
-            unproven: BTreeSet::new(),
-            next_write: None,
+            unverified: BTreeSet::new(),
+            next_write_at: None,
         }
     }
 
@@ -108,50 +108,51 @@
         self.loaded
     }
 
-    pub(crate) fn entries(&self) -> usize {
+    pub(crate) fn entry_count(&self) -> usize {
         self.known.len()
     }
 
-    /// Whether anything here waits for the platform.
+    /// Whether no call is in flight and no request waits for one.
     pub(crate) fn is_idle(&self) -> bool {
-        self.call == Call::None && self.queue.is_empty() && self.unproven.is_empty()
+        self.call == Call::None && self.queue.is_empty() && self.unverified.is_empty()
     }
 
-    /// Whose entry stands for a key, as far as known.
+    /// Returns the request that has claimed a key, as far as known.
     pub(crate) fn holder(&self, key: KeyHash) -> Option<&ClaimRequestId> {
         self.known.get(&key)
     }
 
-    /// Takes the last part as read; tells whether the next part has to be read too.
-    pub(crate) fn read(&mut self, version: u64, segment: Segment, full_at: usize) -> bool {
+    /// Applies a read of the last segment; returns whether the next segment has to be read too.
+    pub(crate) fn on_read(&mut self, version: u64, segment: Segment, full_at: usize) -> bool {
         let before = self.tail;
         self.version = version;
-        self.proven = false;
-        self.proof = None;
-        self.note(segment);
+        self.verified = false;
+        self.verification_round = None;
+        self.apply_segment(segment);
         self.advance_if_full(full_at);
         self.loaded = self.tail == before;
         !self.loaded
     }
 
-    /// Takes a write that succeeded.
-    pub(crate) fn wrote(&mut self, version: u64, segment: Segment, full_at: usize) {
-        // A part that was there before was not removed meanwhile, or its version had not matched.
+    /// Applies a write that succeeded.
+    pub(crate) fn on_written(&mut self, version: u64, segment: Segment, full_at: usize) {
+        // A segment that existed before the write cannot have been removed in the meantime: the
+        // write would have failed on its version.
         if self.version == 0 {
-            self.proven = false;
-            self.proof = None;
+            self.verified = false;
+            self.verification_round = None;
         }
         self.version = version;
-        self.note(segment);
+        self.apply_segment(segment);
         self.advance_if_full(full_at);
     }
 
-    /// What was known of the last part is out of date.
-    pub(crate) fn reread(&mut self) {
+    /// Marks what is known of the last segment as out of date, so that it is read again.
+    pub(crate) fn mark_outdated(&mut self) {
         self.loaded = false;
     }
 
-    /// Notes a write whose answer is lost.
+    /// Records a write with an unknown result.
     pub(crate) fn note_unresolved_write(&mut self, batch: Vec<ClaimRequestId>) {
         self.unresolved_writes.push(UnresolvedWrite {
             segment: self.tail,
@@ -161,26 +162,28 @@
         self.loaded = false;
     }
 
-    /// Takes out the doubts that what was read settles, and gives the asks that were in them. A
-    /// part that has moved on refuses the lost write for ever, as versions never come again.
+    /// Removes the unresolved writes whose result is known now that the last segment was read or
+    /// written, and returns their requests. Once the segment has another version, an unresolved
+    /// write can no longer take effect, as versions are never reused.
     pub(crate) fn resolve_writes(&mut self) -> Vec<ClaimRequestId> {
         let (tail, version) = (self.tail, self.version);
-        let settled = |d: &mut UnresolvedWrite| d.segment != tail || d.if_version != version;
-        let settled = self.unresolved_writes.extract_if(.., settled);
-        settled.flat_map(|d| d.batch).collect()
+        let is_resolved = |w: &mut UnresolvedWrite| w.segment != tail || w.if_version != version;
+        let resolved = self.unresolved_writes.extract_if(.., is_resolved);
+        resolved.flat_map(|w| w.batch).collect()
     }
 
-    /// Whether a lost write that may still take effect has this ask.
+    /// Whether an unresolved write contains this request.
     pub(crate) fn is_unresolved(&self, id: &ClaimRequestId) -> bool {
-        self.unresolved_writes.iter().any(|d| d.batch.contains(id))
+        self.unresolved_writes.iter().any(|w| w.batch.contains(id))
     }
 
-    /// Puts the next write together from queued asks that are still wanted.
-    pub(crate) fn gather<'a>(
+    /// Prepares the next write from the queued requests that are still pending. Returns the
+    /// existing entries that were found, and the segment to write unless no request needs an entry.
+    pub(crate) fn gather_batch<'a>(
         &mut self,
         max: usize,
         find: impl Fn(&ClaimRequestId) -> Option<&'a ClaimRequest>,
-    ) -> (Vec<Existing>, Option<Segment>) {
+    ) -> (Vec<ExistingEntry>, Option<Segment>) {
         let mut existing = Vec::new();
         let mut batch = Vec::new();
         let mut claims = self.tail_claims.clone();
@@ -188,8 +191,8 @@
         while let Some(id) = self.queue.pop_front() {
             let Some(request) = find(&id) else { continue };
             match self.known.get(&request.key) {
-                Some(own) if *own == id => existing.push(Existing::Own(id)),
-                Some(_) => existing.push(Existing::Other(id)),
+                Some(own) if *own == id => existing.push(ExistingEntry::Own(id)),
+                Some(_) => existing.push(ExistingEntry::Other(id)),
                 None if batch.len() >= max || claims.iter().any(|c| c.key == request.key) => {
                     later.push_back(id);
                 }
@@ -215,14 +218,15 @@
         (existing, Some(segment))
     }
 
-    fn note(&mut self, segment: Segment) {
+    /// Adds the entries of the last segment to those known.
+    fn apply_segment(&mut self, segment: Segment) {
         for c in &segment.claims {
             self.known.entry(c.key).or_insert_with(|| c.id.clone());
         }
         self.tail_claims = segment.claims;
     }
 
-    /// Goes on to the next part if the last one is full.
+    /// Starts the next segment if the last one is full.
     fn advance_if_full(&mut self, full_at: usize) {
         if self.tail_claims.len() >= full_at {
             self.tail += 1;
--- a/crates/once/src/claim_requests.rs
+++ b/crates/once/src/claim_requests.rs
@@ -1,4 +1,4 @@
-//! The asks that await their verdict.
+//! The claim requests that await a decision.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,23 +12,24 @@
 use crate::claim::ClaimRequestId;
 use crate::claim::ClaimState;
 
-/// An ask that awaits its verdict.
+/// A claim request that awaits a decision.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingClaim {
     pub(crate) request: ClaimRequest,
     pub(crate) state: ClaimState,
-    /// When the key was minted, in seconds since the Unix epoch; known for this VM's own asks.
+    /// When the key was minted, in seconds since the Unix epoch; only known for this VM's own
+    /// requests, and 0 for others.
     pub(crate) minted: u64,
-    /// The VM to answer; `None` if the ask is this VM's own.
-    pub(crate) on_behalf: Option<VmId>,
-    /// Whether a forward may still make it an entry.
+    /// The VM that forwarded the request and awaits the result; `None` for this VM's own requests.
+    pub(crate) forwarded_by: Option<VmId>,
+    /// Whether the VM that it was forwarded to may still write an entry for it.
     pub(crate) forward_open: bool,
     deadline: Instant,
-    /// Until when the bucket's writer is waited for.
+    /// Until when this VM waits for the bucket's writer.
     forwarded_until: Option<Instant>,
 }
 
-/// All of them, by id and by the time at which each is next due.
+/// The pending claim requests, by id and by the time of their next timeout.
 #[derive(Debug)]
 pub(crate) struct ClaimRequests {
     chart: ClaimChart,
@@ -61,7 +62,7 @@
         &mut self,
         request: ClaimRequest,
         minted: u64,
-        on_behalf: Option<VmId>,
+        forwarded_by: Option<VmId>,
         deadline: Instant,
     ) {
         let id = request.id.clone();
@@ -70,7 +71,7 @@
             request,
             state: self.chart.initial(),
             minted,
-            on_behalf,
+            forwarded_by,
             forward_open: false,
             deadline,
             forwarded_until: None,
@@ -78,9 +79,9 @@
         self.map.insert(id, pending);
     }
 
-    /// Notes that an ask was handed to the bucket's writer.
-    pub(crate) fn forward(&mut self, id: &ClaimRequestId, until: Instant) {
-        self.step(id, ClaimEvent::Forward);
+    /// Records that a request was forwarded to the bucket's writer.
+    pub(crate) fn note_forwarded(&mut self, id: &ClaimRequestId, until: Instant) {
+        self.apply(id, ClaimEvent::Forward);
         if let Some(p) = self.map.get_mut(id) {
             p.forward_open = true;
             p.forwarded_until = Some(until);
@@ -88,15 +89,15 @@
         }
     }
 
-    /// Notes that the bucket's writer has answered.
+    /// Records that the bucket's writer will not write an entry for a request.
     pub(crate) fn close_forward(&mut self, id: &ClaimRequestId) {
         if let Some(p) = self.map.get_mut(id) {
             p.forward_open = false;
         }
     }
 
-    /// Moves an ask by the chart, and takes it out if it came to its end.
-    pub(crate) fn step(&mut self, id: &ClaimRequestId, event: ClaimEvent) -> Option<PendingClaim> {
+    /// Applies an event to a request. Removes and returns the request if its new state is final.
+    pub(crate) fn apply(&mut self, id: &ClaimRequestId, event: ClaimEvent) -> Option<PendingClaim> {
         let p = self.map.get_mut(id)?;
         let next = self.chart.next(p.state, event)?;
         p.state = next;
@@ -111,12 +112,12 @@
         Some(p)
     }
 
-    /// Takes the next timer that is due: an ask, and whether its time is up for good.
-    pub(crate) fn due(&mut self, now: Instant) -> Option<(ClaimRequestId, bool)> {
+    /// Removes the next expired timer; returns its request, and whether the deadline has passed.
+    pub(crate) fn next_expired(&mut self, now: Instant) -> Option<(ClaimRequestId, bool)> {
         let (at, id) = self.timers.first().filter(|(at, _)| *at <= now)?.clone();
         self.timers.remove(&(at, id.clone()));
-        let over = self.map.get(&id).is_some_and(|p| p.deadline <= now);
-        Some((id, over))
+        let deadline_passed = self.map.get(&id).is_some_and(|p| p.deadline <= now);
+        Some((id, deadline_passed))
     }
 
     pub(crate) fn next_timer(&self) -> Option<Instant> {
--- a/crates/once/src/event.rs
+++ b/crates/once/src/event.rs
@@ -1,4 +1,4 @@
-//! What the claims are told.
+//! Inputs of the claims state machine.
 
 use std::sync::Arc;
 
@@ -14,34 +14,34 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
-    /// An at-most-once lookup wants its claim.
+    /// An at-most-once lookup requests a claim.
     #[serde(rename = "ask")]
     ClaimRequested(ClaimAsk),
     /// A [`crate::Action::Read`] ended; `None` if there is no such object.
     Read {
-        /// The object.
+        /// The path of the object.
         path: String,
-        /// What it holds, or why it could not be read.
+        /// Its content and version, or why it could not be read.
         result: Result<Option<Stored>, StoreError>,
     },
     /// A [`crate::Action::Write`] ended; with the object's new version.
     Wrote {
-        /// The object.
+        /// The path of the object.
         path: String,
         /// Its new version, or why it is not known to be written.
         result: Result<u64, StoreError>,
     },
-    /// A [`crate::Action::Remove`] ended; an object that is not there counts as removed.
+    /// A [`crate::Action::Remove`] ended; an object that does not exist counts as removed.
     Removed {
-        /// The object.
+        /// The path of the object.
         path: String,
-        /// Whether it is known to be gone.
+        /// Whether it is known to be removed.
         result: Result<(), StoreError>,
     },
-    /// An authenticated message of another VM.
+    /// An authenticated message from another VM.
     Peer(VmId, Message),
-    /// The VMs as this one sees them.
+    /// The view of this VM changed.
     Members(Arc<View>),
-    /// A timer asked for by [`crate::Action::Wake`] is due.
+    /// The timer set by [`crate::Action::Wake`] has expired.
     Tick,
 }
--- a/crates/once/src/peers.rs
+++ b/crates/once/src/forwarding.rs
@@ -1,4 +1,4 @@
-//! Asks handed to the bucket's writer, and those of other VMs.
+//! Claim requests forwarded to the bucket's writer, and those that other VMs forward to this one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,20 +16,21 @@
 use crate::once::Cx;
 use crate::once::Once;
 
-/// Senders remembered; beyond that, those that are not in view are forgotten.
+/// The number of senders above which those that are not in the view are forgotten.
 const SENDERS_MAX: usize = 10_000;
 
 impl Once {
-    /// Takes a newer view.
-    pub(crate) fn members(&mut self, view: Arc<View>) {
-        if self.heard.len() > SENDERS_MAX {
-            let seen = |vm: &VmId| view.vms.iter().any(|v| v.entry.vm == *vm);
-            self.heard.retain(|vm, _| seen(vm));
+    /// Applies a newer view.
+    pub(crate) fn on_view(&mut self, view: Arc<View>) {
+        if self.last_forwards.len() > SENDERS_MAX {
+            let is_in_view = |vm: &VmId| view.vms.iter().any(|v| v.entry.vm == *vm);
+            self.last_forwards.retain(|vm, _| is_in_view(vm));
         }
         self.view = Some(view);
     }
 
-    /// Hands an ask to the bucket's writer, for speed only: more asks go into one write there.
+    /// Forwards a request to the bucket's writer. This is only an optimisation: more requests share
+    /// a write there.
     pub(crate) fn forward(
         &mut self,
         cx: &mut Cx<'_>,
@@ -38,45 +39,45 @@
         budget: Duration,
     ) {
         self.counts.forwarded += 1;
-        self.sent += 1;
+        self.forwards_sent += 1;
         self.claim_requests
-            .forward(&request.id, cx.now + self.cfg.forward_for);
+            .note_forwarded(&request.id, cx.now + self.cfg.forward_timeout);
         let message = Message::Make {
-            number: self.sent,
+            number: self.forwards_sent,
             request,
             budget,
         };
         cx.out.push(Action::Send(writer, message));
     }
 
-    pub(crate) fn peer(&mut self, cx: &mut Cx<'_>, from: &VmId, message: Message) {
+    pub(crate) fn on_peer_message(&mut self, cx: &mut Cx<'_>, from: &VmId, message: Message) {
         match message {
             Message::Make {
                 number,
                 request,
                 budget,
             } => {
-                if request.id.vm == *from && self.is_fresh(&request.id, number) {
-                    self.make(cx, from, request, budget);
+                if request.id.vm == *from && self.is_newer_forward(&request.id, number) {
+                    self.on_make(cx, from, request, budget);
                 }
             }
-            Message::Made(id, settled) => self.made(cx, &id, settled),
+            Message::Made(id, result) => self.on_made(cx, &id, result),
         }
     }
 
-    /// Whether a forward is newer than every one taken of its sender.
+    /// Whether a forwarded request is newer than all others from its sender.
     ///
-    /// One that came twice, or late, could otherwise bring an ask to life that was told `Dropped`,
-    /// and whose caller was told that nothing would happen.
-    fn is_fresh(&mut self, id: &ClaimRequestId, number: u64) -> bool {
+    /// A duplicated or delayed message could otherwise restore a request that was reported as
+    /// `Dropped`, and whose caller was informed that nothing would be executed.
+    fn is_newer_forward(&mut self, id: &ClaimRequestId, number: u64) -> bool {
         let this = (id.incarnation, number);
-        let last = self.heard.entry(id.vm.clone()).or_default();
-        let fresh = this > *last;
+        let last = self.last_forwards.entry(id.vm.clone()).or_default();
+        let is_newer = this > *last;
         *last = this.max(*last);
-        fresh
+        is_newer
     }
 
-    fn make(&mut self, cx: &mut Cx<'_>, from: &VmId, request: ClaimRequest, budget: Duration) {
+    fn on_make(&mut self, cx: &mut Cx<'_>, from: &VmId, request: ClaimRequest, budget: Duration) {
         let id = request.id.clone();
         let closed = request.window <= self.watermark.known.closed;
         if closed || self.claim_requests.len() >= self.cfg.claim_requests_max {
@@ -90,18 +91,18 @@
         self.enqueue(cx, &id);
     }
 
-    fn made(&mut self, cx: &mut Cx<'_>, id: &ClaimRequestId, settled: ClaimResult) {
+    fn on_made(&mut self, cx: &mut Cx<'_>, id: &ClaimRequestId, result: ClaimResult) {
         let Some(p) = self.claim_requests.find(id).filter(|p| p.forward_open) else {
             return;
         };
         let state = p.state;
-        match settled {
+        match result {
             ClaimResult::Yours => self.grant(cx, id),
-            ClaimResult::Taken => self.end(cx, id, ClaimEvent::Clash),
-            // Told twice it must not disturb the write that this VM makes by then.
+            ClaimResult::Taken => self.apply_event(cx, id, ClaimEvent::Clash),
+            // A duplicate must not affect the write that this VM makes by then.
             ClaimResult::Unsure if state != ClaimState::Forwarded => {}
             ClaimResult::Unsure => {
-                self.end(cx, id, ClaimEvent::Lose);
+                self.apply_event(cx, id, ClaimEvent::Lose);
                 self.enqueue(cx, id);
             }
             ClaimResult::Dropped => {
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -1,9 +1,10 @@
-//! Claims: what makes an at-most-once lookup run at most once.
+//! Claims on idempotency keys, which ensure that an at-most-once lookup runs at most once.
 //!
-//! [`Once`] is a plain state machine. It is asked for a claim before a lookup is handed to any
-//! backend server, and answers each ask with one [`gs_query::ClaimVerdict`]. A claim is an entry in
-//! a platform object, made by conditional write; whose entry for a key stands first, has it for
-//! ever. Nothing else decides: no lease, no clock and no word of another VM can grant one.
+//! [`Once`] is a state machine without I/O. A claim is requested from it before an at-most-once
+//! lookup is dispatched to any backend server, and it returns one [`gs_query::ClaimVerdict`] for
+//! each request. A claim is an entry in a platform object, made by a conditional write. The first
+//! entry for a key claims it permanently. Nothing else can grant a claim: no lease, no clock and no
+//! message of another VM.
 
 mod action;
 mod claim;
@@ -11,9 +12,9 @@
 mod claim_log;
 mod claim_requests;
 mod event;
+mod forwarding;
 mod message;
 mod once;
-mod peers;
 mod retention;
 mod segment;
 mod settings;
--- a/crates/once/src/message.rs
+++ b/crates/once/src/message.rs
@@ -1,4 +1,4 @@
-//! What VMs tell each other about claims.
+//! Messages in which VMs forward claim requests and report the results.
 
 use std::time::Duration;
 
@@ -8,33 +8,34 @@
 use crate::claim::ClaimRequest;
 use crate::claim::ClaimRequestId;
 
-/// A message between the claims of two VMs; any may be lost, late or doubled.
+/// A message about claims between two VMs. Messages may be lost, delayed or duplicated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Please make this claim in one group with yours.
+    /// Forwards a claim request, to be written in one batch with the receiver's requests.
     Make {
-        /// Counts these messages of one run of the sender; one that is not larger than the last is
-        /// ignored, so that a message that comes twice cannot bring back an ask that was dropped.
+        /// Number of this message among those of the sender's incarnation. The receiver ignores a
+        /// number that is not larger than the last, so that a duplicated message cannot restore a
+        /// request that was dropped.
         number: u64,
-        /// The claim wanted, on behalf of the sender.
+        /// The request, made on behalf of the sender.
         #[serde(rename = "ask")]
         request: ClaimRequest,
         /// How long the sender waits for the answer.
         budget: Duration,
     },
-    /// How a claim asked for ended.
+    /// Returns the result of a forwarded request.
     Made(ClaimRequestId, ClaimResult),
 }
 
-/// How a claim made on another VM's behalf ended.
+/// The result of a claim request that was forwarded by another VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimResult {
-    /// The entry of this ask stands: its key is its own.
+    /// The entry of this request is stored: the key is claimed by it.
     Yours,
-    /// Another entry stands for the key.
+    /// The key is claimed by another request.
     Taken,
-    /// Nothing was written for this ask and nothing can be any more.
+    /// Nothing was written for this request, and nothing can be written any more.
     Dropped,
-    /// It may have been written or may yet be.
+    /// An entry may have been written, or may still be.
     Unsure,
 }
--- a/crates/once/src/once.rs
+++ b/crates/once/src/once.rs
@@ -1,4 +1,4 @@
-//! The state machine: asks in, verdicts out.
+//! The state machine that decides claim requests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -30,31 +30,31 @@
 use crate::watermark::WATERMARK_PATH;
 use crate::watermark::WatermarkTracker;
 
-/// Time after which a tick is asked for at the latest.
-const IDLE: Duration = Duration::from_secs(5);
+/// The longest time that [`Action::Wake`] requests.
+const WAKE_INTERVAL_MAX: Duration = Duration::from_secs(5);
 
-/// What a process has counted since its start.
+/// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Reads asked of the platform.
+    /// Reads requested from the platform.
     pub reads: u64,
-    /// Writes asked of the platform.
+    /// Writes requested from the platform.
     pub writes: u64,
-    /// Asks handed to a bucket's writer.
+    /// Requests forwarded to a bucket's writer.
     pub forwarded: u64,
-    /// Asks granted.
+    /// Requests granted.
     pub granted: u64,
-    /// Asks whose key was taken.
+    /// Requests whose key was claimed by another request.
     pub taken: u64,
-    /// Asks whose key had expired.
+    /// Requests whose key had expired.
     pub expired: u64,
-    /// Asks refused.
+    /// Requests refused: nothing was or will be written for them.
     pub refused: u64,
-    /// Asks left unknown.
+    /// Requests with an unknown result: an entry may have been or may still be written for them.
     pub unknown: u64,
 }
 
-/// The moment of an event and where its outputs go.
+/// The time of an event and the list that its actions are appended to.
 pub(crate) struct Cx<'a> {
     pub(crate) now: Instant,
     /// The time of day in seconds since the Unix epoch.
@@ -62,32 +62,37 @@
     pub(crate) out: &'a mut Vec<Action>,
 }
 
-/// Decides claims; see the crate's documentation.
+/// The state machine of the claims; see the crate's documentation.
 #[derive(Debug)]
 pub struct Once {
     pub(crate) cfg: OnceSettings,
     pub(crate) counts: Counts,
     pub(crate) view: Option<Arc<View>>,
     pub(crate) claim_requests: ClaimRequests,
+    /// The known claims, by window and bucket.
     pub(crate) claim_logs: BTreeMap<(Window, u16), ClaimLog>,
     pub(crate) watermark: WatermarkTracker,
+    /// When the backoff after a platform failure ends.
     pub(crate) backoff_until: Option<Instant>,
-    /// Forwards sent.
-    pub(crate) sent: u64,
-    /// The last forward taken of each VM.
-    pub(crate) heard: BTreeMap<VmId, (Incarnation, u64)>,
+    /// The number of requests forwarded, which numbers the messages.
+    pub(crate) forwards_sent: u64,
+    /// The incarnation and number of the last forwarded request accepted from each VM.
+    pub(crate) last_forwards: BTreeMap<VmId, (Incarnation, u64)>,
 }
 
 impl Once {
-    /// Starts with nothing known.
+    /// Creates the state machine without any known claims.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::BadInput`] if the chart that is built in has a fault, or there is no bucket.
+    /// [`ErrorKind::BadInput`] if the built-in state machine definition is invalid, or if the
+    /// number of buckets is 0.
     pub fn new(cfg: OnceSettings) -> Result<Self> {
         if cfg.buckets == 0 {
-            return Err(Error::new(ErrorKind::BadInput, "there is no claim bucket")
-                .with_hint("give one or more"));
+            return Err(
+                Error::new(ErrorKind::BadInput, "the number of claim buckets is 0")
+                    .with_hint("set it to 1 or more"),
+            );
         }
         Ok(Self {
             counts: Counts::default(),
@@ -96,43 +101,44 @@
             claim_logs: BTreeMap::new(),
             watermark: WatermarkTracker::default(),
             backoff_until: None,
-            sent: 0,
-            heard: BTreeMap::new(),
+            forwards_sent: 0,
+            last_forwards: BTreeMap::new(),
             cfg,
         })
     }
 
-    /// Takes one event at `now`; `wall` is the time of day in seconds since the Unix epoch.
+    /// Processes an event at the time `now`, and appends the resulting actions to `out`. `wall` is
+    /// the time of day in seconds since the Unix epoch.
     pub fn on(&mut self, now: Instant, wall: u64, event: Event, out: &mut Vec<Action>) {
         let cx = &mut Cx { now, wall, out };
         match event {
             Event::ClaimRequested(claim) => self.on_claim_requested(cx, &claim),
             Event::Read { path, result } if path == WATERMARK_PATH => {
-                self.watermark_read(cx, result)
+                self.on_watermark_read(cx, result)
             }
-            Event::Read { path, result } => self.read(cx, &path, result),
+            Event::Read { path, result } => self.on_segment_read(cx, &path, result),
             Event::Wrote { path, result } if path == WATERMARK_PATH => {
-                self.watermark_wrote(cx, result)
+                self.on_watermark_written(cx, result)
             }
-            Event::Wrote { path, result } => self.wrote(cx, &path, result),
-            Event::Removed { path, result } => self.removed(cx, &path, result),
-            Event::Peer(from, message) => self.peer(cx, &from, message),
-            Event::Members(view) => self.members(view),
+            Event::Wrote { path, result } => self.on_segment_written(cx, &path, result),
+            Event::Removed { path, result } => self.on_removed(cx, &path, result),
+            Event::Peer(from, message) => self.on_peer_message(cx, &from, message),
+            Event::Members(view) => self.on_view(view),
             Event::Tick => {}
         }
         self.run_timers(cx);
         self.check_watermark(cx);
         self.start_calls(cx);
-        self.wake(cx);
+        self.request_wake(cx);
     }
 
-    /// What was counted so far.
+    /// Returns the counters.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Asks that await their verdict here, those of other VMs included.
+    /// Returns the number of requests that await a decision here, including those of other VMs.
     #[must_use]
     pub fn pending(&self) -> usize {
         self.claim_requests.len()
@@ -151,8 +157,8 @@
             fingerprint: wanted.fingerprint,
         };
         let id = request.id.clone();
-        if let Some(verdict) = self.early_verdict(cx, &request, minted) {
-            self.tell(cx, id.seq, verdict);
+        if let Some(decision) = self.decide_without_call(cx, &request, minted) {
+            self.send_decision(cx, id.seq, decision);
             return;
         }
         let bucket = self.bucket(request.key);
@@ -161,7 +167,7 @@
         let writer = self
             .view
             .as_ref()
-            .and_then(|v| v.holder(&writer_role(bucket)));
+            .and_then(|v| v.holder(&writer_duty(bucket)));
         match writer.cloned() {
             Some(writer) if writer != self.cfg.vm => {
                 self.forward(cx, writer, request, wanted.budget)
@@ -170,8 +176,8 @@
         }
     }
 
-    /// The verdict that needs no call, if there is one.
-    fn early_verdict(
+    /// Returns the decision if it can be made without a call to the platform.
+    fn decide_without_call(
         &mut self,
         cx: &Cx<'_>,
         request: &ClaimRequest,
@@ -180,10 +186,11 @@
         if request.window <= self.watermark.known.closed {
             return Some(ClaimVerdict::Expired);
         }
-        // Only the floor says that a key is expired for ever. By the clock alone it is refused: the
-        // clock may be wrong, and a key from the future may be claimed later.
+        // Only the watermark shows that a key is permanently expired. If only the clock says so,
+        // the request is refused: the clock may be wrong, and a key that was minted in the future
+        // may be claimed later.
         if self.is_too_old(cx.wall, minted) || minted > cx.wall + self.cfg.skew.as_secs() {
-            self.watermark.want();
+            self.watermark.request_read();
             return Some(ClaimVerdict::Refused);
         }
         let claim_log = self
@@ -196,7 +203,7 @@
     }
 
     pub(crate) fn is_too_old(&self, wall: u64, minted: u64) -> bool {
-        wall.saturating_sub(minted) > self.cfg.window.as_secs()
+        wall.saturating_sub(minted) > self.cfg.claim_window.as_secs()
     }
 
     pub(crate) fn bucket(&self, key: KeyHash) -> u16 {
@@ -204,15 +211,15 @@
         u16::try_from(n).unwrap_or_default()
     }
 
-    /// Puts an ask into the next write of its bucket and window, or gives it up at once if the
-    /// platform is away.
+    /// Queues a request for the next write of its bucket and window. During the backoff after a
+    /// platform failure, a request that no call was made for is refused at once instead.
     pub(crate) fn enqueue(&mut self, cx: &mut Cx<'_>, id: &ClaimRequestId) {
         let Some(p) = self.claim_requests.find(id) else {
             return;
         };
         let key = (p.request.window, self.bucket(p.request.key));
         if p.state == ClaimState::Queued && self.is_backing_off(cx.now) {
-            self.end(cx, id, ClaimEvent::GiveUp);
+            self.apply_event(cx, id, ClaimEvent::GiveUp);
             return;
         }
         let claim_log = self
@@ -228,8 +235,8 @@
         self.backoff_until.is_some_and(|t| now < t)
     }
 
-    /// The platform failed: it is left alone for a while, and whoever has nothing under way is
-    /// refused at once, as no answer would come in time and nothing of theirs can take effect.
+    /// Starts the backoff after a platform failure. Requests that no call was made for are refused
+    /// at once, as they could not be decided in time and no write for them can take effect.
     pub(crate) fn back_off(&mut self, cx: &mut Cx<'_>) {
         self.backoff_until = Some(cx.now + self.cfg.backoff);
         let queued = |id: &&ClaimRequestId| {
@@ -238,29 +245,30 @@
         };
         let queued: Vec<_> = self.claim_requests.ids().filter(queued).cloned().collect();
         for id in queued {
-            self.end(cx, &id, ClaimEvent::GiveUp);
+            self.apply_event(cx, &id, ClaimEvent::GiveUp);
         }
     }
 
-    /// Moves an ask, and gives its verdict if that ends it.
-    pub(crate) fn end(&mut self, cx: &mut Cx<'_>, id: &ClaimRequestId, event: ClaimEvent) {
-        if let Some(p) = self.claim_requests.step(id, event) {
-            self.give(cx, p);
+    /// Applies an event to a request, and sends the outcome if its new state is final.
+    pub(crate) fn apply_event(&mut self, cx: &mut Cx<'_>, id: &ClaimRequestId, event: ClaimEvent) {
+        if let Some(p) = self.claim_requests.apply(id, event) {
+            self.send_outcome(cx, p);
         }
     }
 
-    fn give(&mut self, cx: &mut Cx<'_>, p: PendingClaim) {
-        match p.on_behalf {
+    /// Sends the result to the VM that forwarded the request, or the decision to the own lookup.
+    fn send_outcome(&mut self, cx: &mut Cx<'_>, p: PendingClaim) {
+        match p.forwarded_by {
             Some(vm) => {
-                let message = Message::Made(p.request.id, settled(p.state));
+                let message = Message::Made(p.request.id, result_of(p.state));
                 cx.out.push(Action::Send(vm, message));
             }
-            None => self.tell(cx, p.request.id.seq, verdict(p.state)),
+            None => self.send_decision(cx, p.request.id.seq, decision_of(p.state)),
         }
     }
 
-    fn tell(&mut self, cx: &mut Cx<'_>, seq: LookupSeq, verdict: ClaimVerdict) {
-        let count = match verdict {
+    fn send_decision(&mut self, cx: &mut Cx<'_>, seq: LookupSeq, decision: ClaimVerdict) {
+        let count = match decision {
             ClaimVerdict::Granted => &mut self.counts.granted,
             ClaimVerdict::Taken => &mut self.counts.taken,
             ClaimVerdict::Expired => &mut self.counts.expired,
@@ -268,40 +276,40 @@
             ClaimVerdict::Unknown => &mut self.counts.unknown,
         };
         *count += 1;
-        cx.out.push(Action::Decision(seq, verdict));
+        cx.out.push(Action::Decision(seq, decision));
     }
 
     fn run_timers(&mut self, cx: &mut Cx<'_>) {
-        while let Some((id, over)) = self.claim_requests.due(cx.now) {
+        while let Some((id, deadline_passed)) = self.claim_requests.next_expired(cx.now) {
             let state = self.claim_requests.find(&id).map(|p| p.state);
-            if over {
-                self.end(cx, &id, ClaimEvent::GiveUp);
+            if deadline_passed {
+                self.apply_event(cx, &id, ClaimEvent::GiveUp);
             } else if state == Some(ClaimState::Forwarded) {
-                self.end(cx, &id, ClaimEvent::Lose);
+                self.apply_event(cx, &id, ClaimEvent::Lose);
                 self.enqueue(cx, &id);
             }
         }
     }
 
-    fn wake(&mut self, cx: &mut Cx<'_>) {
+    fn request_wake(&mut self, cx: &mut Cx<'_>) {
         let busy = self.claim_logs.values().filter(|s| !s.is_idle());
-        let writes = busy.filter_map(|s| s.next_write);
+        let writes = busy.filter_map(|s| s.next_write_at);
         let soonest = writes
             .chain(self.backoff_until)
             .filter(|t| *t > cx.now)
             .chain(self.claim_requests.next_timer())
             .min();
-        let after = soonest.map_or(IDLE, |t| t.saturating_duration_since(cx.now));
-        cx.out.push(Action::Wake(after.min(IDLE)));
+        let after = soonest.map_or(WAKE_INTERVAL_MAX, |t| t.saturating_duration_since(cx.now));
+        cx.out.push(Action::Wake(after.min(WAKE_INTERVAL_MAX)));
     }
 }
 
-/// The task of writing a bucket's claims, by which its VM is chosen.
-fn writer_role(bucket: u16) -> String {
+/// Returns the name of the duty to write a bucket's claims, which selects the VM that writes them.
+fn writer_duty(bucket: u16) -> String {
     format!("claims/{bucket}")
 }
 
-fn verdict(state: ClaimState) -> ClaimVerdict {
+fn decision_of(state: ClaimState) -> ClaimVerdict {
     match state {
         ClaimState::Granted => ClaimVerdict::Granted,
         ClaimState::Taken => ClaimVerdict::Taken,
@@ -311,7 +319,7 @@
     }
 }
 
-fn settled(state: ClaimState) -> ClaimResult {
+fn result_of(state: ClaimState) -> ClaimResult {
     match state {
         ClaimState::Granted => ClaimResult::Yours,
         ClaimState::Taken => ClaimResult::Taken,
--- a/crates/once/src/retention.rs
+++ b/crates/once/src/retention.rs
@@ -1,4 +1,5 @@
-//! The floor: reading it, and the task of raising it and of removing what is below it.
+//! Retention: reads of the expiry watermark, and the duty to raise it and to remove the claims
+//! below it.
 
 use std::time::Duration;
 
@@ -13,34 +14,34 @@
 use crate::watermark::ExpiryWatermark;
 use crate::watermark::WATERMARK_PATH;
 
-/// Time between two looks at the floor by the VM whose task it is.
-const LOOK_EVERY: Duration = Duration::from_secs(30);
+/// Time between two reads of the watermark by the VM that has the duty to raise it.
+const WATERMARK_CHECK_INTERVAL: Duration = Duration::from_secs(30);
 
 impl Once {
-    /// Looks at the floor if that is this VM's task and the time has come.
+    /// Requests a read of the watermark if this VM has the duty to raise it and a check is due.
     pub(crate) fn check_watermark(&mut self, cx: &mut Cx<'_>) {
         let holds = self.view.as_ref().is_some_and(|v| v.holds(WATERMARK_PATH));
-        let looked = |t| cx.now.saturating_duration_since(t) < LOOK_EVERY;
-        if holds && !self.watermark.looked.is_some_and(looked) {
-            self.watermark.looked = Some(cx.now);
-            self.watermark.want();
+        let is_recent = |t| cx.now.saturating_duration_since(t) < WATERMARK_CHECK_INTERVAL;
+        if holds && !self.watermark.last_check.is_some_and(is_recent) {
+            self.watermark.last_check = Some(cx.now);
+            self.watermark.request_read();
         }
     }
 
     pub(crate) fn start_watermark_read(&mut self, cx: &mut Cx<'_>) {
-        if self.watermark.start() {
+        if self.watermark.start_read() {
             self.counts.reads += 1;
             let path = WATERMARK_PATH.to_owned();
             cx.out.push(Action::Read { path });
         }
     }
 
-    pub(crate) fn watermark_read(
+    pub(crate) fn on_watermark_read(
         &mut self,
         cx: &mut Cx<'_>,
         result: Result<Option<Stored>, StoreError>,
     ) {
-        let round = self.watermark.end();
+        let round = self.watermark.end_read();
         let read = match result {
             Ok(None) => Some((0, ExpiryWatermark::default())),
             Ok(Some(s)) => segment::decode(&s.content).ok().map(|f| (s.version, f)),
@@ -48,25 +49,27 @@
         };
         let Some((version, watermark)) = read else {
             for claim_log in self.claim_logs.values_mut() {
-                claim_log.proof = None;
+                claim_log.verification_round = None;
             }
             self.back_off(cx);
             return;
         };
-        self.watermark.take(version, watermark);
-        self.close(cx);
-        self.prove(cx, round);
+        self.watermark.apply(version, watermark);
+        self.expire_closed_windows(cx);
+        self.verify_logs(cx, round);
         self.raise_watermark(cx);
     }
 
-    /// Raises the floor to where no clock of ours is behind, or goes on removing what is below it.
+    /// Raises the watermark to the latest window that is older than the claim window plus the
+    /// retention margin, which allows for VMs whose clocks are behind. If the watermark is there
+    /// already, removes the claims below it.
     fn raise_watermark(&mut self, cx: &mut Cx<'_>) {
         let holds = self.view.as_ref().is_some_and(|v| v.holds(WATERMARK_PATH));
         if !holds || self.watermark.writing.is_some() {
             return;
         }
-        let kept = (self.cfg.window + self.cfg.margin).as_secs();
-        let oldest = Window::at(cx.wall.saturating_sub(kept));
+        let retention = (self.cfg.claim_window + self.cfg.retention_margin).as_secs();
+        let oldest = Window::at(cx.wall.saturating_sub(retention));
         let target = Window(oldest.0.saturating_sub(1));
         let known = self.watermark.known;
         if target > known.closed {
@@ -81,9 +84,9 @@
                     removed,
                 },
             );
-        } else if known.removed < known.closed && self.watermark.sweep.is_none() {
+        } else if known.removed < known.closed && self.watermark.removing.is_none() {
             let window = Window(known.removed.0 + 1);
-            self.sweep(
+            self.start_removal(
                 cx,
                 SegmentPath {
                     window,
@@ -107,35 +110,43 @@
         });
     }
 
-    pub(crate) fn watermark_wrote(&mut self, cx: &mut Cx<'_>, result: Result<u64, StoreError>) {
+    pub(crate) fn on_watermark_written(
+        &mut self,
+        cx: &mut Cx<'_>,
+        result: Result<u64, StoreError>,
+    ) {
         let Some(watermark) = self.watermark.writing.take() else {
             return;
         };
-        // Whatever else happened, the next look reads the floor first.
+        // After any other result, the next check reads the watermark first.
         if let Ok(version) = result {
-            self.watermark.take(version, watermark);
-            self.close(cx);
+            self.watermark.apply(version, watermark);
+            self.expire_closed_windows(cx);
             self.raise_watermark(cx);
         }
     }
 
-    pub(crate) fn is_swept(&self, path: &str) -> bool {
-        self.watermark.sweep.is_some_and(|p| p.to_string() == path)
+    /// Whether the object at this path is being removed.
+    pub(crate) fn is_being_removed(&self, path: &str) -> bool {
+        self.watermark
+            .removing
+            .is_some_and(|p| p.to_string() == path)
     }
 
-    fn sweep(&mut self, cx: &mut Cx<'_>, next: SegmentPath) {
-        self.watermark.sweep = Some(next);
+    /// Starts the removal of a claim object by reading its version.
+    fn start_removal(&mut self, cx: &mut Cx<'_>, next: SegmentPath) {
+        self.watermark.removing = Some(next);
         self.counts.reads += 1;
         let path = next.to_string();
         cx.out.push(Action::Read { path });
     }
 
-    pub(crate) fn sweep_read(
+    pub(crate) fn on_removal_read(
         &mut self,
         cx: &mut Cx<'_>,
         result: Result<Option<Stored>, StoreError>,
     ) {
-        let Some(at) = self.watermark.sweep else {
+        let Some(at) = self.watermark.removing else {
             return;
         };
         match result {
@@ -143,13 +154,14 @@
                 path: at.to_string(),
                 if_version: s.version,
             }),
-            Ok(None) => self.sweep_on(cx, at),
-            Err(_) => self.watermark.sweep = None,
+            Ok(None) => self.continue_removal(cx, at),
+            Err(_) => self.watermark.removing = None,
         }
     }
 
-    /// Goes on to the next bucket or window; at the floor, notes that all below is removed.
-    fn sweep_on(&mut self, cx: &mut Cx<'_>, at: SegmentPath) {
+    /// Continues the removal with the next bucket or window. At the watermark, records that all
+    /// claims up to it are removed.
+    fn continue_removal(&mut self, cx: &mut Cx<'_>, at: SegmentPath) {
         let last = at.bucket + 1 == self.cfg.buckets;
         let (window, bucket) = match last {
             true => (Window(at.window.0 + 1), 0),
@@ -157,7 +169,7 @@
         };
         let closed = self.watermark.known.closed;
         if window <= closed {
-            self.sweep(
+            self.start_removal(
                 cx,
                 SegmentPath {
                     window,
@@ -167,7 +179,7 @@
             );
             return;
         }
-        self.watermark.sweep = None;
+        self.watermark.removing = None;
         if self.watermark.writing.is_none() {
             self.write_watermark(
                 cx,
@@ -179,17 +191,26 @@
         }
     }
 
-    pub(crate) fn removed(&mut self, cx: &mut Cx<'_>, path: &str, result: Result<(), StoreError>) {
-        let Some(at) = self.watermark.sweep.filter(|_| self.is_swept(path)) else {
+    pub(crate) fn on_removed(
+        &mut self,
+        cx: &mut Cx<'_>,
+        path: &str,
+        result: Result<(), StoreError>,
+    ) {
+        let Some(at) = self
+            .watermark
+            .removing
+            .filter(|_| self.is_being_removed(path))
+        else {
             return;
         };
         match result {
             Ok(()) => {
                 let segment = at.segment + 1;
-                self.sweep(cx, SegmentPath { segment, ..at });
+                self.start_removal(cx, SegmentPath { segment, ..at });
             }
-            Err(StoreError::Conflict) => self.sweep(cx, at),
-            Err(_) => self.watermark.sweep = None,
+            Err(StoreError::Conflict) => self.start_removal(cx, at),
+            Err(_) => self.watermark.removing = None,
         }
     }
 }
--- a/crates/once/src/segment.rs
+++ b/crates/once/src/segment.rs
@@ -1,4 +1,4 @@
-//! Claim objects: their paths and content.
+//! Segments, the platform objects that store claims: their paths and content.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,10 +11,10 @@
 use crate::claim::ClaimRequestId;
 use crate::claim::KeyHash;
 
-/// The form of an object's content; the first byte.
+/// The version of an object's format, its first byte.
 const FORMAT: u8 = 1;
 
-/// Seconds in a window.
+/// The length of a window in seconds.
 pub(crate) const WINDOW_SECONDS: u64 = 60;
 
 /// The minute in which a key was minted, counted from the Unix epoch.
@@ -25,21 +25,22 @@
 pub struct Window(pub u64);
 
 impl Window {
-    /// The window of a time in seconds since the Unix epoch.
+    /// Returns the window of a time in seconds since the Unix epoch.
     #[must_use]
     pub fn at(seconds: u64) -> Self {
         Self(seconds / WINDOW_SECONDS)
     }
 }
 
-/// Names a claim object: the claims of one bucket and window, cut into parts of bounded size.
+/// The path of a claim object. The claims of a bucket and window are split into segments of bounded
+/// size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SegmentPath {
-    /// When the keys were minted.
+    /// The window in which the keys were minted.
     pub window: Window,
     /// The bucket that the keys hash to.
     pub bucket: u16,
-    /// Counts from 0; a part exists only when the one before it is full.
+    /// The number of the segment, from 0; a segment is only created when the one before it is full.
     #[serde(rename = "part")]
     pub segment: u32,
 }
@@ -58,7 +59,12 @@
     type Err = Error;
 
     fn from_str(s: &str) -> Result<Self> {
-        let bad = || Error::new(ErrorKind::BadInput, format!("`{s:.80}` is no claim object"));
+        let bad = || {
+            Error::new(
+                ErrorKind::BadInput,
+                format!("`{s:.80}` is not the path of a claim object"),
+            )
+        };
         let rest = s.strip_prefix("claims/").ok_or_else(bad)?;
         let mut it = rest.split('/');
         let mut next = || it.next().ok_or_else(bad);
@@ -74,35 +80,36 @@
     }
 }
 
-/// An entry of a claim object.
+/// An entry of a claim object, which claims a key for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The key, hashed.
+    /// The hash of the key.
     pub key: KeyHash,
-    /// Whose claim it is.
+    /// The request that claims the key.
     pub id: ClaimRequestId,
-    /// What that lookup asks.
+    /// The fingerprint of the query of that lookup.
     pub fingerprint: Fingerprint,
 }
 
 /// The content of a claim object; entries are only ever added.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Segment {
-    /// The entries, in the order they were made.
+    /// The entries, in the order in which they were added.
     pub claims: Vec<Claim>,
 }
 
 impl Segment {
-    /// Reads an object's content.
+    /// Decodes an object's content.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Version`] for another form, [`ErrorKind::BadInput`] if it does not decode.
+    /// [`ErrorKind::Version`] for another version of the format, [`ErrorKind::BadInput`] if the
+    /// content does not decode.
     pub fn decode(content: &[u8]) -> Result<Self> {
         decode(content)
     }
 
-    /// Writes an object's content.
+    /// Encodes the segment as its object's content.
     ///
     /// # Errors
     ///
@@ -112,7 +119,7 @@
     }
 }
 
-/// Reads any of our objects.
+/// Decodes the content of any of this crate's objects.
 pub(crate) fn decode<T: DeserializeOwned>(content: &[u8]) -> Result<T> {
     let bad = |kind, text: String| Err(Error::new(kind, text).at("read claims"));
     match content.split_first() {
@@ -121,13 +128,13 @@
         }
         Some((other, _)) => bad(
             ErrorKind::Version,
-            format!("the object has form {other}, not {FORMAT}"),
+            format!("the object has format version {other}, expected {FORMAT}"),
         ),
         None => bad(ErrorKind::BadInput, "the object is empty".to_owned()),
     }
 }
 
-/// Writes any of our objects.
+/// Encodes the content of any of this crate's objects.
 pub(crate) fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>> {
     postcard::to_extend(value, vec![FORMAT])
         .map_err(|e| Error::new(ErrorKind::BadInput, e.to_string()).at("write claims"))
--- a/crates/once/src/settings.rs
+++ b/crates/once/src/settings.rs
@@ -1,41 +1,43 @@
-//! What the claims are told at their start.
+//! Settings of the claims.
 
 use std::time::Duration;
 
 use gs_types::prelude::*;
 
-/// What the claims are told at their start; every VM of a fleet should have the same.
+/// Settings of [`crate::Once`]; all VMs of a fleet should use the same values.
 #[derive(Clone, Debug, bon::Builder)]
 pub struct OnceSettings {
-    /// This VM.
+    /// The name of this VM.
     pub vm: VmId,
-    /// This run of the process.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// How many buckets keys hash to; all VMs must have the same number, for ever.
+    /// The number of buckets that keys hash to. All VMs must have the same number, and it must
+    /// never change.
     #[builder(default = 2)]
     pub buckets: u16,
-    /// How long after its minting a key may be claimed; callers never resend later than that.
+    /// How long after a key was minted it may be claimed; callers must not resend it later.
     #[builder(default = Duration::from_secs(15 * 60))]
-    pub window: Duration,
-    /// How far in the future a caller's clock may be.
+    pub claim_window: Duration,
+    /// How far a caller's clock may be ahead.
     #[builder(default = Duration::from_secs(60))]
     pub skew: Duration,
-    /// How long claims are kept beyond the window before they are removed.
+    /// How long claims are stored beyond the claim window before they are removed.
     #[builder(default = Duration::from_secs(10 * 60))]
-    pub margin: Duration,
-    /// The shortest time between two writes of one bucket and window, in which asks gather.
+    pub retention_margin: Duration,
+    /// The shortest time between two writes of a bucket and window; requests are batched in
+    /// between.
     #[builder(default = Duration::from_millis(15))]
-    pub gather: Duration,
-    /// How long the bucket's writer is waited for before this VM writes itself.
+    pub write_interval: Duration,
+    /// How long this VM waits for the bucket's writer before it writes a claim itself.
     #[builder(default = Duration::from_millis(150))]
-    pub forward_for: Duration,
-    /// How long the platform is left alone after it failed.
+    pub forward_timeout: Duration,
+    /// How long the backoff after a failed call to the platform lasts.
     #[builder(default = Duration::from_millis(250))]
     pub backoff: Duration,
-    /// Claims after which a part is full; bounds an object's size.
+    /// The number of claims at which a segment is full; bounds the size of an object.
     #[builder(default = 512)]
     pub claims_per_segment: usize,
-    /// Asks held at the same time; more are refused.
+    /// The most requests that may await a decision; more are refused.
     #[builder(default = 8192)]
     pub claim_requests_max: usize,
 }
--- a/crates/once/src/watermark.rs
+++ b/crates/once/src/watermark.rs
@@ -1,11 +1,12 @@
-//! The floor: the window up to which every key is expired for ever.
+//! The expiry watermark: the window up to which all keys are permanently expired.
 //!
-//! Claims cannot be kept for ever, and once they are removed a key must not look unclaimed. Before
-//! the claims of a window are removed, the floor is raised to it by conditional write; and whoever
-//! *creates* a claim object, or first reads one, reads the floor afterwards and grants nothing at
-//! or below it. If the object was created after the old one's removal, the floor had been raised
-//! before, and that read shows it. So no clock decides whether a key can run twice: clocks only
-//! decide when the floor is raised.
+//! Claims cannot be stored forever, and once they are removed, their keys must not appear to be
+//! unclaimed. Before the claims of a window are removed, the watermark is raised to that window by
+//! a conditional write. A VM that *creates* a claim object, or reads one for the first time, reads
+//! the watermark afterwards and grants no claim at or below it. If the object was created after an
+//! older one had been removed, the watermark had been raised before, and that read shows it. Clocks
+//! therefore never decide whether a key can run twice; they only decide when the watermark is
+//! raised.
 
 use std::time::Instant;
 
@@ -15,61 +16,62 @@
 use crate::segment::SegmentPath;
 use crate::segment::Window;
 
-/// The platform object that holds the floor.
+/// The path of the platform object that stores the watermark.
 pub const WATERMARK_PATH: &str = "claims/floor";
 
-/// The content of the floor's object.
+/// The content of the watermark's object.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ExpiryWatermark {
     /// Keys of this window and earlier ones are expired.
     pub(crate) closed: Window,
-    /// Claims of this window and earlier ones are removed.
+    /// Claims of this window and earlier ones have been removed.
     pub(crate) removed: Window,
 }
 
-/// The floor as known, the reads of it, and the removal of claims below it.
+/// The watermark as known here, its reads and writes, and the removal of the claims below it.
 #[derive(Debug, Default)]
 pub(crate) struct WatermarkTracker {
     pub(crate) known: ExpiryWatermark,
+    /// The version of the watermark's object; 0 if it is not known to exist.
     pub(crate) version: u64,
-    /// Counts reads; the one under way is the last.
-    round: u64,
+    /// The number of the last read started, which is the one in flight if any.
+    read_round: u64,
     reading: bool,
-    /// The round that someone waits for.
-    wanted: u64,
-    /// The floor that is being written.
+    /// The number of the latest read that was requested.
+    wanted_round: u64,
+    /// The watermark of the write in flight.
     pub(crate) writing: Option<ExpiryWatermark>,
-    /// The object to remove next.
-    pub(crate) sweep: Option<SegmentPath>,
-    /// When the VM whose task it is last looked.
-    pub(crate) looked: Option<Instant>,
+    /// The claim object that is being removed.
+    pub(crate) removing: Option<SegmentPath>,
+    /// When this VM last requested a read because it has the duty to raise the watermark.
+    pub(crate) last_check: Option<Instant>,
 }
 
 impl WatermarkTracker {
-    /// Asks for a read that starts no earlier than now, and gives its round.
-    pub(crate) fn want(&mut self) -> u64 {
-        self.wanted = self.round + 1;
-        self.wanted
+    /// Requests a read that starts no earlier than now, and returns its number.
+    pub(crate) fn request_read(&mut self) -> u64 {
+        self.wanted_round = self.read_round + 1;
+        self.wanted_round
     }
 
-    /// Starts a read if one is wanted and none is under way.
-    pub(crate) fn start(&mut self) -> bool {
-        let due = !self.reading && self.wanted > self.round;
+    /// Starts a read if one is requested and none is in flight; returns whether it did.
+    pub(crate) fn start_read(&mut self) -> bool {
+        let due = !self.reading && self.wanted_round > self.read_round;
         if due {
             self.reading = true;
-            self.round += 1;
+            self.read_round += 1;
         }
         due
     }
 
-    /// Ends the read under way, and gives its round.
-    pub(crate) fn end(&mut self) -> u64 {
+    /// Ends the read in flight, and returns its number.
+    pub(crate) fn end_read(&mut self) -> u64 {
         self.reading = false;
-        self.round
+        self.read_round
     }
 
-    /// Takes the floor as read or written; it only ever rises.
-    pub(crate) fn take(&mut self, version: u64, watermark: ExpiryWatermark) {
+    /// Applies a watermark that was read or written; the known one never decreases.
+    pub(crate) fn apply(&mut self, version: u64, watermark: ExpiryWatermark) {
         self.version = version;
         self.known.closed = self.known.closed.max(watermark.closed);
         self.known.removed = self.known.removed.max(watermark.removed);
--- a/crates/once/tests/once/segment.rs
+++ b/crates/once/tests/once/segment.rs
@@ -45,7 +45,7 @@
     assert_eq!(e.kind(), ErrorKind::Version);
     assert_eq!(
         e.to_string(),
-        "the object has form 2, not 1 (step: read claims)"
+        "the object has format version 2, expected 1 (step: read claims)"
     );
 }
 
--- a/crates/once/tests/once/world.rs
+++ b/crates/once/tests/once/world.rs
@@ -144,9 +144,9 @@
         let cfg = OnceSettings::builder()
             .vm(vm(i))
             .incarnation(Incarnation(self.runs))
-            .window(Duration::from_secs(120))
+            .claim_window(Duration::from_secs(120))
             .skew(Duration::from_secs(10))
-            .margin(Duration::from_secs(60))
+            .retention_margin(Duration::from_secs(60))
             .claims_per_segment(self.claims_per_segment)
             .build();
         let p = Process {
