--- a/crates/member/examples/cost.rs
+++ b/crates/member/examples/cost.rs
@@ -1,8 +1,9 @@
-//! What membership costs a VM as the fleet grows: messages, bytes, processor time, state.
+//! Measures the cost of membership per VM by the size of the fleet: messages, bytes, CPU time and
+//! memory.
 //!
-//! All members are driven in one process on one thread with simulated time, without sockets, so
-//! that 300 fit on one machine: the figures are those of the decisions and of encoding their
-//! heartbeats. `gs-mesh`'s example of the same name adds real sockets.
+//! All members run in one process on one thread with simulated time and without sockets, so that
+//! 300 fit on one machine. The figures cover the state machines and the encoding of heartbeats. The
+//! example of the same name in `gs-mesh` adds real sockets.
 //!
 //! ```text
 //! cargo run --release -p gs-member --example cost -- 3 9 30 100 300
@@ -22,11 +23,11 @@
 
 const STEP: Duration = Duration::from_millis(10);
 const WARM_UP: Duration = Duration::from_secs(30);
-const MEASURED: Duration = Duration::from_secs(60);
-const SERVERS: usize = 110;
+const MEASURED_TIME: Duration = Duration::from_secs(60);
+const SERVER_COUNT: usize = 110;
 
-/// A frame's bytes around a heartbeat, as the mesh's example measures them.
-const FRAME: u64 = 70;
+/// The bytes that a frame of the mesh adds to a heartbeat, as measured by the example in `gs-mesh`.
+const FRAME_BYTES: u64 = 70;
 
 struct Member {
     m: Membership,
@@ -43,7 +44,7 @@
     reads: u64,
     messages: u64,
     bytes: u64,
-    spent: Duration,
+    cpu_time: Duration,
 }
 
 fn entry(i: usize) -> VmEntry {
@@ -66,7 +67,7 @@
         data_centre: format!("dc-{}", i % 3).parse().expect("a name"),
         connections: Connections(25),
     };
-    (0..SERVERS).map(one).collect()
+    (0..SERVER_COUNT).map(one).collect()
 }
 
 impl Fleet {
@@ -81,7 +82,7 @@
                 .build();
             let first = [Event::Servers(servers()), Event::List(list.clone())];
             Member {
-                m: Membership::new(cfg).expect("a chart"),
+                m: Membership::new(cfg).expect("valid definition"),
                 entry: entry(i),
                 inbox: first.into(),
                 wake: now,
@@ -95,7 +96,7 @@
             reads: 0,
             messages: 0,
             bytes: 0,
-            spent: Duration::ZERO,
+            cpu_time: Duration::ZERO,
         }
     }
 
@@ -115,11 +116,11 @@
             m.inbox.push_back(Event::Tick);
         }
         let mut out = Vec::new();
-        let begun = Instant::now();
+        let started = Instant::now();
         for event in std::mem::take(&mut m.inbox) {
             m.m.on(self.now, event, &mut out);
         }
-        self.spent += begun.elapsed();
+        self.cpu_time += started.elapsed();
         for action in out {
             self.act(i, action);
         }
@@ -128,10 +129,10 @@
     fn act(&mut self, i: usize, action: Action) {
         let event = match action {
             Action::Send(to, heartbeat) => {
-                let begun = Instant::now();
+                let started = Instant::now();
                 let buf = postcard::to_allocvec(&heartbeat).expect("encodes");
                 let heartbeat = postcard::from_bytes(&buf).expect("decodes");
-                self.spent += begun.elapsed();
+                self.cpu_time += started.elapsed();
                 self.messages += 1;
                 self.bytes += buf.len() as u64;
                 let from = self.members[i].entry.vm.clone();
@@ -175,8 +176,8 @@
     }
 }
 
-/// Resident memory in bytes.
-fn resident() -> u64 {
+/// Returns the resident memory of this process in bytes.
+fn resident_bytes() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split(' ').nth(1).and_then(|s| s.parse::<u64>().ok());
     pages.unwrap_or(0) * 4096
@@ -195,22 +196,22 @@
         "reads/s"
     );
     for n in std::env::args().skip(1).filter_map(|s| s.parse().ok()) {
-        let before = resident();
+        let before = resident_bytes();
         let mut fleet = Fleet::new(n);
         fleet.run(WARM_UP);
-        let state = resident().saturating_sub(before) / n as u64 / 1024;
+        let state_kb = resident_bytes().saturating_sub(before) / n as u64 / 1024;
         (fleet.messages, fleet.bytes, fleet.reads) = (0, 0, 0);
-        fleet.spent = Duration::ZERO;
-        fleet.run(MEASURED);
-        let each = n as f64 * MEASURED.as_secs_f64();
+        fleet.cpu_time = Duration::ZERO;
+        fleet.run(MEASURED_TIME);
+        let vm_seconds = n as f64 * MEASURED_TIME.as_secs_f64();
         println!(
-            "{n:>8} {:>12.1} {:>12.0} {:>12.0} {:>14.0} {state:>12} {:>10} {:>12.2}",
-            fleet.messages as f64 / each,
-            fleet.bytes as f64 / each,
-            (fleet.bytes + fleet.messages * FRAME) as f64 / each,
-            fleet.spent.as_secs_f64() * 1e6 / each,
+            "{n:>8} {:>12.1} {:>12.0} {:>12.0} {:>14.0} {state_kb:>12} {:>10} {:>12.2}",
+            fleet.messages as f64 / vm_seconds,
+            fleet.bytes as f64 / vm_seconds,
+            (fleet.bytes + fleet.messages * FRAME_BYTES) as f64 / vm_seconds,
+            fleet.cpu_time.as_secs_f64() * 1e6 / vm_seconds,
             fleet.table.as_ref().map_or(0, |s| s.content.len()),
-            fleet.reads as f64 / MEASURED.as_secs_f64(),
+            fleet.reads as f64 / MEASURED_TIME.as_secs_f64(),
         );
     }
 }
--- a/crates/member/tests/member/chart.rs
+++ b/crates/member/tests/member/chart.rs
@@ -1,4 +1,4 @@
-//! The chart of a VM's states.
+//! Tests of the state machine definition of a VM's state.
 
 use gs_chart::Chart;
 use gs_member::VmEvent;
@@ -6,7 +6,7 @@
 use rstest::rstest;
 
 fn chart() -> Chart<VmState, VmEvent> {
-    Chart::parse(include_str!("../../../../charts/vm.toml")).expect("a sound chart")
+    Chart::parse(include_str!("../../../../charts/vm.toml")).expect("valid definition")
 }
 
 #[rstest]
--- a/crates/member/tests/member/fuzz.rs
+++ b/crates/member/tests/member/fuzz.rs
@@ -1,7 +1,8 @@
-//! Any order of starts, kills, pauses, cuts, outages, lost and late writes.
+//! Property test of random sequences of starts, kills, pauses, partitions, platform outages, and
+//! lost and delayed writes.
 //!
-//! The oracle knows two promises: no server ever sees more connections than its limit, counting
-//! every process that exists; and once all is well everybody sees everybody, and nearly all
+//! The oracle checks two properties. The connections of all existing processes to a server never
+//! exceed its limit. Once all faults have ended, all VMs see each other as alive, and nearly all
 //! connections are in use.
 
 use std::collections::BTreeSet;
@@ -13,13 +14,13 @@
 use proptest_state_machine::ReferenceStateMachine;
 use proptest_state_machine::StateMachineTest;
 
-use crate::world::Mood;
+use crate::world::PlatformMode;
 use crate::world::World;
 
 const VMS: u8 = 9;
 const LIMITS: [u32; 3] = [25, 40, 100];
 
-/// A fixed seed; `GS_FUZZ_CASES` makes a run longer.
+/// Returns the configuration with a fixed seed; `GS_FUZZ_CASES` overrides the number of cases.
 pub fn config(cases: u32) -> Config {
     let asked = std::env::var("GS_FUZZ_CASES").ok();
     let cases = asked.and_then(|s| s.parse().ok()).unwrap_or(cases);
@@ -39,12 +40,12 @@
     Remove(u8),
     Leave(u8),
     Pause(u8, bool),
-    Cut(u8, bool),
-    Slow(u8, bool),
+    Partition(u8, bool),
+    DelayLowering(u8, bool),
     FreezeList,
-    Platform(Mood),
-    LandLate,
-    Run(u64),
+    Platform(PlatformMode),
+    ApplyDelayedWrites,
+    Advance(u64),
 }
 
 pub struct Model;
@@ -60,11 +61,11 @@
 
     fn transitions(_: &Self::State) -> BoxedStrategy<Op> {
         let vm = 0..=VMS;
-        let mood = prop_oneof![
-            3 => Just(Mood::Well),
-            1 => Just(Mood::Away),
-            1 => Just(Mood::LosesAnswers),
-            1 => Just(Mood::Late),
+        let mode = prop_oneof![
+            3 => Just(PlatformMode::Normal),
+            1 => Just(PlatformMode::Unreachable),
+            1 => Just(PlatformMode::LosesAnswers),
+            1 => Just(PlatformMode::DelaysWrites),
         ];
         prop_oneof![
             4 => vm.clone().prop_map(Op::Start),
@@ -72,24 +73,26 @@
             2 => vm.clone().prop_map(Op::Remove),
             1 => vm.clone().prop_map(Op::Leave),
             2 => (vm.clone(), any::<bool>()).prop_map(|(i, b)| Op::Pause(i, b)),
-            2 => (vm.clone(), any::<bool>()).prop_map(|(i, b)| Op::Cut(i, b)),
-            1 => (vm, any::<bool>()).prop_map(|(i, b)| Op::Slow(i, b)),
+            2 => (vm.clone(), any::<bool>()).prop_map(|(i, b)| Op::Partition(i, b)),
+            1 => (vm, any::<bool>()).prop_map(|(i, b)| Op::DelayLowering(i, b)),
             1 => Just(Op::FreezeList),
-            2 => mood.prop_map(Op::Platform),
-            1 => Just(Op::LandLate),
-            8 => (50u64..20_000).prop_map(Op::Run),
+            2 => mode.prop_map(Op::Platform),
+            1 => Just(Op::ApplyDelayedWrites),
+            8 => (50u64..20_000).prop_map(Op::Advance),
         ]
         .boxed()
     }
 
     fn preconditions(state: &Self::State, op: &Op) -> bool {
         match op {
-            // A VM runs one process; the next starts when the last is dead.
+            // A VM runs one process at a time.
             Op::Start(i) => !state.contains(i),
-            Op::Kill(i) | Op::Leave(i) | Op::Pause(i, _) | Op::Cut(i, _) | Op::Slow(i, _) => {
-                state.contains(i)
-            }
-            // The platform removes only what no longer runs.
+            Op::Kill(i)
+            | Op::Leave(i)
+            | Op::Pause(i, _)
+            | Op::Partition(i, _)
+            | Op::DelayLowering(i, _) => state.contains(i),
+            // The platform only removes VMs whose process has ended.
             Op::Remove(i) => !state.contains(i),
             _ => true,
         }
@@ -125,12 +128,14 @@
             Op::Remove(i) => w.remove(i),
             Op::Leave(i) => w.leave(i),
             Op::Pause(i, on) => w.processes.get_mut(&i).expect("running").paused = on,
-            Op::Cut(i, on) => w.processes.get_mut(&i).expect("running").cut = on,
-            Op::Slow(i, on) => w.processes.get_mut(&i).expect("running").slow = on,
+            Op::Partition(i, on) => w.processes.get_mut(&i).expect("running").partitioned = on,
+            Op::DelayLowering(i, on) => {
+                w.processes.get_mut(&i).expect("running").delays_lowering = on
+            }
             Op::FreezeList => w.freeze_list(),
-            Op::Platform(mood) => w.mood = mood,
-            Op::LandLate => w.land_late(),
-            Op::Run(ms) => w.run(Duration::from_millis(ms)),
+            Op::Platform(mode) => w.platform_mode = mode,
+            Op::ApplyDelayedWrites => w.apply_delayed_writes(),
+            Op::Advance(ms) => w.run(Duration::from_millis(ms)),
         }
         w.check();
         w
@@ -138,12 +143,12 @@
 
     fn teardown(mut w: World, vms: BTreeSet<u8>) {
         heal(&mut w);
-        let live: Vec<_> = w.processes.values().filter(|p| !p.left).collect();
+        let live: Vec<_> = w.processes.values().filter(|p| !p.released).collect();
         let n = u32::try_from(live.len()).expect("few");
         assert!(live.iter().all(|p| p.m.view().live().count() == live.len()));
         assert!(vms.len() >= live.len());
         for s in w.servers.iter().filter(|_| n > 0) {
-            // A spare seat stands for half a full one and stays empty.
+            // A spare seat stands for half as many connections as a full one, and stays vacant.
             let spare = s.connections.0.div_ceil(2 * n + 1) + 1;
             let sum = w.sum(s);
             assert!(
@@ -156,9 +161,9 @@
 }
 
 fn heal(w: &mut World) {
-    w.mood = Mood::Well;
+    w.platform_mode = PlatformMode::Normal;
     for p in w.processes.values_mut() {
-        (p.paused, p.cut, p.slow) = (false, false, false);
+        (p.paused, p.partitioned, p.delays_lowering) = (false, false, false);
     }
     for i in 0..=VMS {
         w.remove(i);
--- a/crates/member/tests/member/gossip.rs
+++ b/crates/member/tests/member/gossip.rs
@@ -1,10 +1,10 @@
-//! What VMs think of each other.
+//! Tests of the views that VMs have of each other.
 
 use std::time::Duration;
 
 use gs_member::VmState;
 
-use crate::world::Mood;
+use crate::world::PlatformMode;
 use crate::world::World;
 use crate::world::vm;
 
@@ -29,8 +29,8 @@
     }
 }
 
-/// A VM stops answering. Lookups sent there would wait in vain, so the others set it aside within
-/// seconds, and take it back as soon as it answers again.
+/// A paused VM does not answer lookups. The other VMs must mark it as unreachable within seconds,
+/// and as alive again once it answers.
 #[test]
 fn a_paused_vm_becomes_unreachable_and_comes_back() {
     let mut w = fleet(9);
@@ -65,7 +65,8 @@
     assert!((1..9).all(|by| holder(by) == holder(0)));
 }
 
-/// The platform's list is late to show a new VM. It speaks to the others itself, and they answer.
+/// The platform's list lags and does not contain a new VM yet. The new VM sends heartbeats to the
+/// others, and is alive in their views.
 #[test]
 fn a_vm_is_alive_to_others_before_the_list_shows_it() {
     let mut w = fleet(3);
@@ -84,14 +85,15 @@
     assert!((0..3).all(|by| state(&w, 3, by).is_none()));
 }
 
-/// A VM's process is replaced while the platform is away, so that it has no list of VMs. Its peers know
-/// its address from the run before and go on asking it, but it knows nobody to answer: unless they say
-/// who they are, it stays alone for as long as the platform is away.
+/// A VM's process is restarted while the platform is unreachable, so that it has no list of VMs.
+/// Its peers know its address from the previous incarnation and still probe it, but it does not
+/// know them. Unless their heartbeats contain their entries, it knows no other VM until the
+/// platform is reachable again.
 #[test]
 fn a_vm_that_starts_while_the_platform_is_away_meets_its_peers() {
     let mut w = fleet(3);
     w.kill(2);
-    w.mood = Mood::Away;
+    w.platform_mode = PlatformMode::Unreachable;
     w.start(2);
     w.run(Duration::from_secs(6));
     let seen: Vec<_> = (0..2).map(|i| state(&w, i, 2)).collect();
--- a/crates/member/tests/member/main.rs
+++ b/crates/member/tests/member/main.rs
@@ -1,4 +1,4 @@
-//! Tests of membership and shares, by feature.
+//! Tests of the membership and of the division of connections.
 
 mod chart;
 mod fuzz;
--- a/crates/member/tests/member/shares.rs
+++ b/crates/member/tests/member/shares.rs
@@ -1,8 +1,8 @@
-//! How connections are divided and handed over.
+//! Tests of the division of connections among seats, and of the transfer of seats between VMs.
 
 use std::time::Duration;
 
-use crate::world::Mood;
+use crate::world::PlatformMode;
 use crate::world::World;
 use crate::world::server;
 use gs_member::Seat;
@@ -59,52 +59,52 @@
     }
 }
 
-fn nine() -> World {
+fn nine_vms() -> World {
     let mut w = World::new(&[25, 40, 100]);
     (0..9).for_each(|i| w.start(i));
     w.run(Duration::from_secs(10));
     w
 }
 
-fn sums(w: &World) -> Vec<u32> {
+fn connections_in_use(w: &World) -> Vec<u32> {
     w.servers.iter().map(|s| w.sum(s)).collect()
 }
 
 #[test]
 fn nine_starting_together_soon_hold_nearly_all() {
-    assert_eq!(sums(&nine()), [24, 38, 95]);
+    assert_eq!(connections_in_use(&nine_vms()), [24, 38, 95]);
 }
 
-/// A VM is stopped under load. Its connections stay open at the servers, and as nobody can tell a
-/// stopped VM from a dead one, giving its share away would pass the servers' limits.
+/// The connections of a paused VM stay open at the servers. The other VMs cannot distinguish it
+/// from a dead one, so assigning its share to them would exceed the servers' limits.
 #[test]
 fn a_paused_vm_keeps_its_share() {
-    let mut w = nine();
+    let mut w = nine_vms();
     let before = w.processes[&4].held.clone();
     w.processes.get_mut(&4).expect("running").paused = true;
     w.run(Duration::from_secs(60));
     assert_eq!(w.processes[&4].held, before);
-    assert_eq!(sums(&w), [24, 38, 95]);
+    assert_eq!(connections_in_use(&w), [24, 38, 95]);
 }
 
-/// A tenth VM joins while another is cut off from everybody, and so cannot agree to hold less.
-/// Without a spare seat the newcomer would hold no connection until the cut heals.
+/// A tenth VM joins while another one is partitioned from all others and cannot lower its shares.
+/// Without a spare seat the new VM would hold no connections until the partition ends.
 #[test]
 fn a_newcomer_gets_connections_while_another_vm_is_cut_off() {
-    let mut w = nine();
-    w.processes.get_mut(&4).expect("running").cut = true;
+    let mut w = nine_vms();
+    w.processes.get_mut(&4).expect("running").partitioned = true;
     w.start(9);
     w.run(Duration::from_secs(5));
     let held: Vec<_> = w.processes[&9].held.values().copied().collect();
     assert_eq!(held, [5, 1, 2]);
 }
 
-/// Two VMs are replaced while a third is cut off. The platform removes the old ones, so that their
-/// seats are free for the new ones at once, whatever the cut-off one knows.
+/// Two VMs are replaced while a third one is partitioned. The platform removes the old VMs, so
+/// their seats can be assigned to the new ones at once, whatever epoch the partitioned VM is at.
 #[test]
 fn replacements_take_the_seats_of_removed_vms_during_a_cut() {
-    let mut w = nine();
-    w.processes.get_mut(&4).expect("running").cut = true;
+    let mut w = nine_vms();
+    w.processes.get_mut(&4).expect("running").partitioned = true;
     for i in [1, 2] {
         w.kill(i);
         w.remove(i);
@@ -117,11 +117,11 @@
     assert_eq!((of_25(10), of_25(11)), (3, 3));
 }
 
-/// A process is killed and started again on its VM at once. Its seat is its own still, so it holds
-/// its share again after one write, without anybody's consent.
+/// A process is killed and restarted at once. It still has its seat, so it gets its share back
+/// after one write, and does not depend on any other VM.
 #[test]
 fn a_restarted_process_has_its_share_back() {
-    let mut w = nine();
+    let mut w = nine_vms();
     let before = w.processes[&3].held.clone();
     w.kill(3);
     w.start(3);
@@ -129,60 +129,62 @@
     assert_eq!(w.processes[&3].held, before);
 }
 
-/// A leaving process gives up its seat by a write whose answer is lost and which is still under way
-/// when its next run starts. If it took effect then, a newcomer would be given a seat in use.
+/// A leaving process vacates its seat by a write whose answer is lost, and which is still in flight
+/// when its next incarnation starts. If it took effect then, a seat in use would be assigned to a
+/// new VM.
 #[test]
 fn a_late_write_of_an_earlier_run_cannot_vacate_the_seat() {
-    let mut w = nine();
-    w.mood = Mood::Late;
+    let mut w = nine_vms();
+    w.platform_mode = PlatformMode::DelaysWrites;
     w.leave(3);
     w.run(Duration::from_millis(300));
     w.kill(3);
-    w.mood = Mood::Well;
+    w.platform_mode = PlatformMode::Normal;
     w.start(3);
     w.run(Duration::from_secs(2));
-    w.land_late();
+    w.apply_delayed_writes();
     w.start(9);
     w.start(10);
     w.run(Duration::from_secs(30));
-    assert_eq!(sums(&w), [24, 38, 96]);
+    assert_eq!(connections_in_use(&w), [24, 38, 96]);
 }
 
-/// After a VM is removed for good, the rest share its connections, once everyone has lowered to
-/// the table without its seat.
+/// After a VM is removed permanently, the remaining VMs share its connections once all of them have
+/// lowered to the table without its seat.
 #[test]
 fn the_rest_share_what_a_removed_vm_held() {
-    let mut w = nine();
+    let mut w = nine_vms();
     w.kill(8);
     w.remove(8);
     w.run(Duration::from_secs(40));
-    assert_eq!(sums(&w), [24, 38, 94]);
+    assert_eq!(connections_in_use(&w), [24, 38, 94]);
     assert_eq!(w.processes.len(), 8);
 }
 
-/// A process is restarted while the platform loses writes, and told to leave before it could take
-/// over the seat of its earlier run. Left as it is, that seat's connections would stay unused for
-/// as long as the VM is listed.
+/// A process is restarted while writes are delayed, and has to leave before it could register for
+/// the seat of its previous incarnation. If it did not vacate that seat, the seat's connections
+/// would stay unused as long as the VM is listed.
 #[test]
 fn a_process_that_leaves_gives_up_the_seat_of_its_earlier_run() {
-    let mut w = nine();
-    w.mood = Mood::Late;
+    let mut w = nine_vms();
+    w.platform_mode = PlatformMode::DelaysWrites;
     w.kill(7);
     w.start(7);
     w.leave(7);
     w.run(Duration::from_secs(1));
-    w.mood = Mood::Well;
+    w.platform_mode = PlatformMode::Normal;
     w.run(Duration::from_secs(40));
-    assert_eq!(sums(&w), [24, 38, 94]);
+    assert_eq!(connections_in_use(&w), [24, 38, 94]);
 }
 
-/// A newcomer that may use nothing yet moves to a seat that fell free, by a write that hangs in the
-/// network. Meanwhile its first seat becomes usable. If it opened connections there and were paused,
-/// the write would land and the next newcomer would open them too.
+/// A new VM whose seat is not usable yet moves to a seat that was vacated, by a write that is
+/// delayed. In the meantime its first seat becomes usable. If it opened connections under that seat
+/// and were then paused, the write would take effect, and the next new VM would open the same
+/// connections.
 #[test]
 fn a_vm_that_is_moving_does_not_use_its_old_seat() {
-    let mut w = nine();
-    w.processes.get_mut(&4).expect("running").cut = true;
+    let mut w = nine_vms();
+    w.processes.get_mut(&4).expect("running").partitioned = true;
     w.start(9);
     w.run(Duration::from_secs(5));
     w.start(10);
@@ -191,14 +193,14 @@
     w.kill(1);
     w.remove(1);
     w.run(Duration::from_secs(14));
-    w.mood = Mood::Late;
+    w.platform_mode = PlatformMode::DelaysWrites;
     w.processes.get_mut(&10).expect("running").paused = false;
     w.run(Duration::from_secs(2));
-    w.processes.get_mut(&4).expect("running").cut = false;
+    w.processes.get_mut(&4).expect("running").partitioned = false;
     w.run(Duration::from_secs(3));
     w.processes.get_mut(&10).expect("running").paused = true;
-    w.land_late();
-    w.mood = Mood::Well;
+    w.apply_delayed_writes();
+    w.platform_mode = PlatformMode::Normal;
     w.start(11);
     w.run(Duration::from_secs(20));
     assert_eq!(w.processes[&10].held.values().sum::<u32>(), 0);
--- a/crates/member/tests/member/table.rs
+++ b/crates/member/tests/member/table.rs
@@ -1,4 +1,4 @@
-//! The seat table's object.
+//! Tests of the encoding of the seat table and of heartbeats.
 
 use std::time::Duration;
 
@@ -53,7 +53,8 @@
         let _ = postcard::from_bytes::<Heartbeat>(&bytes);
     }
 
-    /// A peer of ours may be wrong, as after a bad build: no heartbeat that decodes may stop a VM.
+    /// A peer may send wrong data, for example if its build is faulty. No heartbeat that decodes
+    /// may make a VM panic.
     #[test]
     fn no_heartbeat_stops_a_vm(all: Vec<(Vec<u8>, u8)>) {
         let mut w = World::new(&[25]);
@@ -61,7 +62,7 @@
         w.run(Duration::from_secs(1));
         for (bytes, from) in all {
             if let Ok(heartbeat) = postcard::from_bytes::<Heartbeat>(&bytes) {
-                w.hear(0, from % 4, heartbeat);
+                w.inject_heartbeat(0, from % 4, heartbeat);
             }
         }
         w.run(Duration::from_secs(1));
--- a/crates/member/tests/member/world.rs
+++ b/crates/member/tests/member/world.rs
@@ -1,4 +1,5 @@
-//! A fleet of decision machines, a fake platform and a fake network, all in one thread.
+//! Simulation of a fleet: the state machines of all VMs, a fake platform and a fake network, in one
+//! thread.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -16,54 +17,55 @@
 use gs_types::prelude::*;
 
 const STEP: Duration = Duration::from_millis(50);
-const LIST_EVERY: Duration = Duration::from_secs(1);
-/// The list never lags longer than this, well under `gone_after`.
-const LAG_MAX: Duration = Duration::from_secs(4);
-const QUEUE_MAX: usize = 64;
+const LIST_INTERVAL: Duration = Duration::from_secs(1);
+/// The longest lag of the list, well below `gone_after`.
+const LIST_LAG_MAX: Duration = Duration::from_secs(4);
+const INBOX_MAX: usize = 64;
 
-/// What the fake platform does with calls.
+/// How the fake platform handles calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
-    Well,
-    Away,
-    /// Writes take effect and their answers are lost.
+pub enum PlatformMode {
+    Normal,
+    Unreachable,
+    /// Writes take effect, but their answers are lost.
     LosesAnswers,
-    /// Writes take effect only when [`World::land_late`] is called; their answers are lost.
-    Late,
+    /// Writes only take effect when [`World::apply_delayed_writes`] is called; their answers are
+    /// lost.
+    DelaysWrites,
 }
 
-/// One process, dead ones left out.
+/// A process that exists.
 pub struct Process {
     pub m: Membership,
     entry: VmEntry,
     incarnation: Incarnation,
     pub paused: bool,
-    /// Whether it closes connections above its share only when told to.
-    pub slow: bool,
-    pub cut: bool,
-    /// Whether it said its last word.
-    pub left: bool,
+    /// Whether it leaves connections above its shares open for now.
+    pub delays_lowering: bool,
+    pub partitioned: bool,
+    /// Whether it has closed its connections and sent [`Event::Released`].
+    pub released: bool,
     pub held: BTreeMap<ServerName, u32>,
-    told: (Epoch, BTreeMap<ServerName, u32>),
+    shares: (Epoch, BTreeMap<ServerName, u32>),
     inbox: VecDeque<Event>,
     wake: Instant,
 }
 
 pub struct World {
     pub now: Instant,
-    pub mood: Mood,
+    pub platform_mode: PlatformMode,
     pub processes: BTreeMap<u8, Process>,
     pub servers: Vec<ServerLimit>,
     pub bytes: u64,
     pub messages: u64,
     listed: BTreeMap<u8, VmEntry>,
-    shown: Vec<VmEntry>,
-    frozen: Option<Instant>,
+    visible_list: Vec<VmEntry>,
+    list_frozen_since: Option<Instant>,
     next_list: Instant,
     table: Option<Stored>,
     version: u64,
-    late: Vec<(u64, Vec<u8>)>,
-    runs: u64,
+    delayed_writes: Vec<(u64, Vec<u8>)>,
+    incarnations: u64,
 }
 
 pub fn vm(i: u8) -> VmId {
@@ -97,43 +99,43 @@
         let named = |l: &u32| server(&format!("s-{l}"), *l);
         Self {
             now,
-            mood: Mood::Well,
+            platform_mode: PlatformMode::Normal,
             processes: BTreeMap::new(),
             servers: limits.iter().map(named).collect(),
             bytes: 0,
             messages: 0,
             listed: BTreeMap::new(),
-            shown: Vec::new(),
-            frozen: None,
+            visible_list: Vec::new(),
+            list_frozen_since: None,
             next_list: now,
             table: None,
             version: 0,
-            late: Vec::new(),
-            runs: 0,
+            delayed_writes: Vec::new(),
+            incarnations: 0,
         }
     }
 
-    /// Starts a VM, or the next run of its process.
+    /// Starts a VM, or the next incarnation of its process.
     pub fn start(&mut self, i: u8) {
-        self.runs += 1;
+        self.incarnations += 1;
         self.listed.insert(i, entry(i));
         let cfg = MemberSettings::builder()
             .me(entry(i))
-            .incarnation(Incarnation(self.runs))
-            .seed(self.runs)
+            .incarnation(Incarnation(self.incarnations))
+            .seed(self.incarnations)
             .gone_after(Duration::from_secs(10))
             .shrink_after(Duration::from_secs(15))
             .build();
         let mut p = Process {
-            m: Membership::new(cfg).expect("a chart"),
+            m: Membership::new(cfg).expect("valid definition"),
             entry: entry(i),
-            incarnation: Incarnation(self.runs),
+            incarnation: Incarnation(self.incarnations),
             paused: false,
-            slow: false,
-            cut: false,
-            left: false,
+            delays_lowering: false,
+            partitioned: false,
+            released: false,
             held: BTreeMap::new(),
-            told: (Epoch::default(), BTreeMap::new()),
+            shares: (Epoch::default(), BTreeMap::new()),
             inbox: VecDeque::new(),
             wake: self.now,
         };
@@ -145,32 +147,33 @@
         self.processes.remove(&i);
     }
 
-    /// The platform removes a VM that no longer runs.
+    /// Removes a VM from the platform, if its process has ended.
     pub fn remove(&mut self, i: u8) {
         if !self.processes.contains_key(&i) {
             self.listed.remove(&i);
         }
     }
 
-    /// The process closes what it holds, says its last word and goes on gossiping until killed.
+    /// Makes a process close its connections and leave; it continues to send heartbeats until
+    /// killed.
     pub fn leave(&mut self, i: u8) {
         let Some(p) = self.processes.get_mut(&i) else {
             return;
         };
-        p.left = true;
-        p.slow = false;
+        p.released = true;
+        p.delays_lowering = false;
         p.held.clear();
         p.inbox.push_back(Event::Leave);
         p.inbox.push_back(Event::Released);
     }
 
     pub fn freeze_list(&mut self) {
-        self.frozen.get_or_insert(self.now);
+        self.list_frozen_since.get_or_insert(self.now);
     }
 
-    /// Writes that were sent long ago take effect now, where their condition still holds.
-    pub fn land_late(&mut self) {
-        for (if_version, content) in std::mem::take(&mut self.late) {
+    /// Applies the delayed writes whose conditions still hold.
+    pub fn apply_delayed_writes(&mut self) {
+        for (if_version, content) in std::mem::take(&mut self.delayed_writes) {
             let _ = self.put(if_version, content);
         }
     }
@@ -179,7 +182,7 @@
         let end = self.now + time;
         while self.now < end {
             self.now += STEP;
-            self.show_list();
+            self.send_list();
             for i in self.processes.keys().copied().collect::<Vec<_>>() {
                 self.run_process(i);
             }
@@ -187,8 +190,8 @@
         }
     }
 
-    /// Hands a VM a heartbeat that another never sent.
-    pub fn hear(&mut self, i: u8, from: u8, heartbeat: Heartbeat) {
+    /// Delivers a heartbeat to a VM that no other VM sent.
+    pub fn inject_heartbeat(&mut self, i: u8, from: u8, heartbeat: Heartbeat) {
         let p = self.processes.get_mut(&i).expect("running");
         p.push(Event::Heartbeat {
             from: vm(from),
@@ -197,7 +200,7 @@
         });
     }
 
-    /// The oracle: no server ever sees more connections than its limit.
+    /// Checks that no server has more connections than its limit.
     pub fn check(&self) {
         for s in &self.servers {
             let held = |p: &Process| p.held.get(&s.server).copied().unwrap_or(0);
@@ -212,18 +215,25 @@
         held.flatten().sum()
     }
 
-    fn show_list(&mut self) {
+    fn send_list(&mut self) {
         if self.now < self.next_list {
             return;
         }
-        self.next_list = self.now + LIST_EVERY;
-        if self.frozen.is_none_or(|t| self.now > t + LAG_MAX) {
-            self.frozen = None;
-            self.shown = self.listed.values().cloned().collect();
+        self.next_list = self.now + LIST_INTERVAL;
+        if self
+            .list_frozen_since
+            .is_none_or(|t| self.now > t + LIST_LAG_MAX)
+        {
+            self.list_frozen_since = None;
+            self.visible_list = self.listed.values().cloned().collect();
         }
-        let away = self.mood == Mood::Away;
-        for p in self.processes.values_mut().filter(|p| !p.cut && !away) {
-            p.push(Event::List(self.shown.clone()));
+        let unreachable = self.platform_mode == PlatformMode::Unreachable;
+        for p in self
+            .processes
+            .values_mut()
+            .filter(|p| !p.partitioned && !unreachable)
+        {
+            p.push(Event::List(self.visible_list.clone()));
         }
     }
 
@@ -234,8 +244,8 @@
         if p.paused {
             return;
         }
-        if !p.slow {
-            p.settle();
+        if !p.delays_lowering {
+            p.lower();
         }
         if self.now >= p.wake {
             p.push(Event::Tick);
@@ -254,11 +264,11 @@
             Action::Send(to, heartbeat) => self.send(i, &to, heartbeat),
             Action::Shares { epoch, shares } => {
                 let p = self.processes.get_mut(&i).expect("a process");
-                p.told = (epoch, shares.into_iter().map(|(s, n)| (s, n.0)).collect());
-                p.raise();
+                p.shares = (epoch, shares.into_iter().map(|(s, n)| (s, n.0)).collect());
+                p.open_connections();
             }
             Action::ReadTable => {
-                let answer = match self.reachable(i) {
+                let answer = match self.platform_reachable(i) {
                     true => Ok(self.table.clone()),
                     false => Err(StoreError::NotDone),
                 };
@@ -290,27 +300,27 @@
             incarnation: p.incarnation,
             heartbeat,
         };
-        let cut = p.cut;
+        let partitioned = p.partitioned;
         let mut all = self.processes.values_mut();
-        if let Some(p) = all.find(|p| p.entry.vm == *to && p.cut == cut) {
+        if let Some(p) = all.find(|p| p.entry.vm == *to && p.partitioned == partitioned) {
             p.push(heard);
         }
     }
 
-    fn reachable(&self, i: u8) -> bool {
-        self.mood != Mood::Away && !self.processes[&i].cut
+    fn platform_reachable(&self, i: u8) -> bool {
+        self.platform_mode != PlatformMode::Unreachable && !self.processes[&i].partitioned
     }
 
     fn write(&mut self, i: u8, if_version: u64, content: Vec<u8>) -> Result<u64, StoreError> {
-        if !self.reachable(i) {
+        if !self.platform_reachable(i) {
             return Err(StoreError::NotDone);
         }
-        match self.mood {
-            Mood::Late => {
-                self.late.push((if_version, content));
+        match self.platform_mode {
+            PlatformMode::DelaysWrites => {
+                self.delayed_writes.push((if_version, content));
                 Err(StoreError::Lost)
             }
-            Mood::LosesAnswers => {
+            PlatformMode::LosesAnswers => {
                 let _ = self.put(if_version, content);
                 Err(StoreError::Lost)
             }
@@ -339,24 +349,24 @@
 
 impl Process {
     fn push(&mut self, event: Event) {
-        if self.inbox.len() < QUEUE_MAX {
+        if self.inbox.len() < INBOX_MAX {
             self.inbox.push_back(event);
         }
     }
 
-    /// Opens all the connections it may.
-    fn raise(&mut self) {
-        for (s, n) in &self.told.1 {
+    /// Opens all connections that its shares allow.
+    fn open_connections(&mut self) {
+        for (s, n) in &self.shares.1 {
             let held = self.held.entry(s.clone()).or_default();
             *held = (*held).max(*n);
         }
     }
 
-    /// Closes what it holds above its shares, and says so.
-    fn settle(&mut self) {
+    /// Closes the connections above its shares, and reports that.
+    fn lower(&mut self) {
         for (s, held) in &mut self.held {
-            *held = (*held).min(self.told.1.get(s).copied().unwrap_or(0));
+            *held = (*held).min(self.shares.1.get(s).copied().unwrap_or(0));
         }
-        self.inbox.push_back(Event::Lowered(self.told.0));
+        self.inbox.push_back(Event::Lowered(self.shares.0));
     }
 }
--- a/crates/once/examples/claims.rs
+++ b/crates/once/examples/claims.rs
@@ -1,8 +1,9 @@
-//! What a claim costs: time added, platform calls, bytes, processor time; by rate of lookups.
+//! Measures the cost of a claim by the rate of lookups: added latency, platform calls, bytes and
+//! CPU time.
 //!
-//! Nine VMs' decisions are driven in one process with simulated time. The platform answers after
-//! 4 ms and a message between VMs takes 3 ms. The baseline writes one object a claim: one call, one
-//! round-trip, whatever the rate.
+//! The state machines of nine VMs run in one process with simulated time. The platform answers
+//! after 4 ms, and a message between VMs takes 3 ms. The baseline to compare with writes one object
+//! per claim: one call and one round trip at any rate.
 //!
 //! ```text
 //! cargo run --release -p gs-once --example claims -- 1 10 100 500
@@ -29,30 +30,31 @@
 use gs_types::prelude::*;
 
 const VMS: usize = 9;
-const PLATFORM: Duration = Duration::from_millis(4);
-const HOP: Duration = Duration::from_millis(3);
-const MEASURED: Duration = Duration::from_secs(120);
-const WALL: u64 = 1_800_000_000;
+const PLATFORM_LATENCY: Duration = Duration::from_millis(4);
+const MESSAGE_LATENCY: Duration = Duration::from_millis(3);
+const MEASURED_TIME: Duration = Duration::from_secs(120);
+const START_SECONDS: u64 = 1_800_000_000;
 
-/// What happens at a time to a VM; the number keeps the order of what happens together.
-type Due = Reverse<(Duration, u64, usize)>;
+/// The time of an event, its number and its VM. The number preserves the order of events at the
+/// same time.
+type ScheduledEvent = Reverse<(Duration, u64, usize)>;
 
 struct World {
-    begun: Instant,
+    started: Instant,
     now: Duration,
     vms: Vec<Once>,
-    due: BinaryHeap<Due>,
+    schedule: BinaryHeap<ScheduledEvent>,
     events: BTreeMap<u64, Event>,
     wakes: Vec<Duration>,
-    next: u64,
+    last_number: u64,
     objects: BTreeMap<String, Stored>,
     version: u64,
-    asked: BTreeMap<LookupSeq, Duration>,
-    took: Vec<Duration>,
+    requested_at: BTreeMap<LookupSeq, Duration>,
+    latencies: Vec<Duration>,
     granted: u64,
     bytes: u64,
     messages: u64,
-    spent: Duration,
+    cpu_time: Duration,
 }
 
 fn vm(i: usize) -> VmId {
@@ -80,56 +82,57 @@
     })
 }
 
-/// A setting from the environment.
-fn setting(name: &str, otherwise: u64) -> u64 {
+/// Returns a number from an environment variable, or a default.
+fn setting(name: &str, default: u64) -> u64 {
     let value = std::env::var(name).ok().and_then(|s| s.parse().ok());
-    value.unwrap_or(otherwise)
+    value.unwrap_or(default)
 }
 
 impl World {
     fn new() -> Self {
-        let gather = Duration::from_millis(setting("GATHER_MS", 15));
+        let write_interval = Duration::from_millis(setting("GATHER_MS", 15));
         let buckets = u16::try_from(setting("BUCKETS", 2)).expect("few buckets");
         let one = |i| {
             let cfg = OnceSettings::builder()
                 .vm(vm(i))
                 .incarnation(Incarnation(1_800_000_000_000))
-                .write_interval(gather)
+                .write_interval(write_interval)
                 .buckets(buckets)
                 .build();
-            Once::new(cfg).expect("a chart")
+            Once::new(cfg).expect("valid definition")
         };
         let mut w = Self {
-            begun: Instant::now(),
+            started: Instant::now(),
             now: Duration::ZERO,
             vms: (0..VMS).map(one).collect(),
-            due: BinaryHeap::new(),
+            schedule: BinaryHeap::new(),
             events: BTreeMap::new(),
             wakes: vec![Duration::MAX; VMS],
-            next: 0,
+            last_number: 0,
             objects: BTreeMap::new(),
             version: 0,
-            asked: BTreeMap::new(),
-            took: Vec::new(),
+            requested_at: BTreeMap::new(),
+            latencies: Vec::new(),
             granted: 0,
             bytes: 0,
             messages: 0,
-            spent: Duration::ZERO,
+            cpu_time: Duration::ZERO,
         };
-        (0..VMS).for_each(|i| w.put(Duration::ZERO, i, Event::Members(view(i))));
+        (0..VMS).for_each(|i| w.schedule_event(Duration::ZERO, i, Event::Members(view(i))));
         w
     }
 
-    fn put(&mut self, after: Duration, i: usize, event: Event) {
-        self.next += 1;
-        self.due.push(Reverse((self.now + after, self.next, i)));
-        self.events.insert(self.next, event);
+    fn schedule_event(&mut self, after: Duration, i: usize, event: Event) {
+        self.last_number += 1;
+        self.schedule
+            .push(Reverse((self.now + after, self.last_number, i)));
+        self.events.insert(self.last_number, event);
     }
 
     fn run(&mut self, end: Duration) {
-        while let Some(Reverse((at, n, i))) = self.due.pop() {
+        while let Some(Reverse((at, n, i))) = self.schedule.pop() {
             if at > end {
-                self.due.push(Reverse((at, n, i)));
+                self.schedule.push(Reverse((at, n, i)));
                 return;
             }
             self.now = at;
@@ -137,14 +140,14 @@
             if event == Event::Tick && self.wakes[i] > at {
                 continue;
             }
-            if let Event::ClaimRequested(ask) = &event {
-                self.asked.insert(ask.seq, at);
+            if let Event::ClaimRequested(claim) = &event {
+                self.requested_at.insert(claim.seq, at);
             }
             let mut out = Vec::new();
-            let begun = Instant::now();
-            let wall = WALL + at.as_secs();
-            self.vms[i].on(self.begun + at, wall, event, &mut out);
-            self.spent += begun.elapsed();
+            let started = Instant::now();
+            let wall = START_SECONDS + at.as_secs();
+            self.vms[i].on(self.started + at, wall, event, &mut out);
+            self.cpu_time += started.elapsed();
             out.into_iter().for_each(|a| self.act(i, a));
         }
     }
@@ -153,7 +156,7 @@
         match action {
             Action::Read { path } => {
                 let result = Ok(self.objects.get(&path).cloned());
-                self.put(PLATFORM, i, Event::Read { path, result });
+                self.schedule_event(PLATFORM_LATENCY, i, Event::Read { path, result });
             }
             Action::Write {
                 path,
@@ -171,32 +174,32 @@
                 } else {
                     Err(StoreError::Conflict)
                 };
-                self.put(PLATFORM, i, Event::Wrote { path, result });
+                self.schedule_event(PLATFORM_LATENCY, i, Event::Wrote { path, result });
             }
             Action::Remove { path, .. } => {
                 self.objects.remove(&path);
                 let result = Ok(());
-                self.put(PLATFORM, i, Event::Removed { path, result });
+                self.schedule_event(PLATFORM_LATENCY, i, Event::Removed { path, result });
             }
             Action::Send(to, message) => {
                 self.messages += 1;
                 let j = (0..VMS).find(|j| vm(*j) == to).expect("a VM");
-                self.put(HOP, j, Event::Peer(vm(i), message));
+                self.schedule_event(MESSAGE_LATENCY, j, Event::Peer(vm(i), message));
             }
-            Action::Decision(seq, verdict) => {
-                let asked = self.asked.remove(&seq).expect("an ask");
-                self.took.push(self.now - asked);
-                self.granted += u64::from(verdict == ClaimVerdict::Granted);
+            Action::Decision(seq, decision) => {
+                let requested_at = self.requested_at.remove(&seq).expect("a request");
+                self.latencies.push(self.now - requested_at);
+                self.granted += u64::from(decision == ClaimVerdict::Granted);
             }
             Action::Wake(after) => {
                 self.wakes[i] = self.now + after;
-                self.put(after, i, Event::Tick);
+                self.schedule_event(after, i, Event::Tick);
             }
         }
     }
 }
 
-/// Spreads asks over time and VMs like independent callers do, the same on every run.
+/// Returns the times and VMs of requests from independent callers, the same in every run.
 fn arrivals(rate: f64) -> Vec<(Duration, usize)> {
     let mut x = 88_172_645_463_325_252_u64;
     let mut random = move || {
@@ -207,7 +210,7 @@
     };
     let mut at = 0.0;
     let mut all = Vec::new();
-    while at < MEASURED.as_secs_f64() {
+    while at < MEASURED_TIME.as_secs_f64() {
         let uniform = (random() >> 11) as f64 / (1_u64 << 53) as f64;
         at += -(1.0 - uniform).ln() / rate;
         all.push((
@@ -237,20 +240,20 @@
         let mut w = World::new();
         let all = arrivals(rate);
         for (n, (at, i)) in all.iter().enumerate() {
-            let minted = WALL + at.as_secs();
-            let ask = ClaimAsk {
+            let minted = START_SECONDS + at.as_secs();
+            let claim = ClaimAsk {
                 seq: LookupSeq(n as u64),
                 key: format!("{minted}-{n:0>8}").parse().expect("a key"),
                 fingerprint: Fingerprint(n as u64),
                 budget: Duration::from_secs(1),
             };
-            w.put(*at, *i, Event::ClaimRequested(ask));
+            w.schedule_event(*at, *i, Event::ClaimRequested(claim));
         }
-        w.run(MEASURED + Duration::from_secs(2));
-        w.took.sort_unstable();
-        let n = w.took.len();
+        w.run(MEASURED_TIME + Duration::from_secs(2));
+        w.latencies.sort_unstable();
+        let n = w.latencies.len();
         let ms = |d: Duration| d.as_secs_f64() * 1e3;
-        let at = |q: f64| ms(w.took[((n - 1) as f64 * q) as usize]);
+        let at = |q: f64| ms(w.latencies[((n - 1) as f64 * q) as usize]);
         let counts: Vec<_> = w.vms.iter().map(Once::counts).collect();
         let stored: usize = w.objects.values().map(|s| s.content.len()).sum();
         let each = |total: u64| total as f64 / n as f64;
@@ -259,12 +262,12 @@
             at(0.5),
             at(0.99),
             at(1.0),
-            at(0.5) / ms(PLATFORM),
+            at(0.5) / ms(PLATFORM_LATENCY),
             each(counts.iter().map(|c| c.writes).sum()),
             each(counts.iter().map(|c| c.reads).sum()),
             each(counts.iter().map(|c| c.forwarded).sum()),
             each(w.bytes),
-            w.spent.as_secs_f64() * 1e6 / n as f64,
+            w.cpu_time.as_secs_f64() * 1e6 / n as f64,
             stored as f64 / w.granted as f64,
         );
     }
--- a/crates/once/src/claim_requests.rs
+++ b/crates/once/src/claim_requests.rs
@@ -113,7 +113,7 @@
     }
 
     /// Removes the next expired timer; returns its request, and whether the deadline has passed.
-    pub(crate) fn next_expired(&mut self, now: Instant) -> Option<(ClaimRequestId, bool)> {
+    pub(crate) fn pop_expired(&mut self, now: Instant) -> Option<(ClaimRequestId, bool)> {
         let (at, id) = self.timers.first().filter(|(at, _)| *at <= now)?.clone();
         self.timers.remove(&(at, id.clone()));
         let deadline_passed = self.map.get(&id).is_some_and(|p| p.deadline <= now);
--- a/crates/once/src/once.rs
+++ b/crates/once/src/once.rs
@@ -280,7 +280,7 @@
     }
 
     fn run_timers(&mut self, cx: &mut Cx<'_>) {
-        while let Some((id, deadline_passed)) = self.claim_requests.next_expired(cx.now) {
+        while let Some((id, deadline_passed)) = self.claim_requests.pop_expired(cx.now) {
             let state = self.claim_requests.find(&id).map(|p| p.state);
             if deadline_passed {
                 self.apply_event(cx, &id, ClaimEvent::GiveUp);
--- a/crates/once/tests/once/chart.rs
+++ b/crates/once/tests/once/chart.rs
@@ -1,4 +1,4 @@
-//! The chart of an ask's states.
+//! Tests of the state machine definition of a claim request.
 
 use gs_chart::Chart;
 use gs_once::ClaimEvent;
@@ -19,6 +19,6 @@
     #[case] to: Option<ClaimState>,
 ) {
     let text = include_str!("../../../../charts/claim.toml");
-    let chart: Chart<ClaimState, ClaimEvent> = Chart::parse(text).expect("a sound chart");
+    let chart: Chart<ClaimState, ClaimEvent> = Chart::parse(text).expect("valid definition");
     assert_eq!(chart.next(from, event), to);
 }
--- a/crates/once/tests/once/main.rs
+++ b/crates/once/tests/once/main.rs
@@ -1,7 +1,7 @@
-//! Tests of claims, by feature.
+//! Tests of the claims.
 
-mod asks;
 mod chart;
+mod decisions;
 mod fuzz;
 mod segment;
 mod world;
--- a/crates/once/tests/once/segment.rs
+++ b/crates/once/tests/once/segment.rs
@@ -1,4 +1,4 @@
-//! Claim objects as bytes.
+//! Tests of the paths and the encoding of claim objects, and of messages.
 
 use gs_once::Claim;
 use gs_once::ClaimRequestId;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_part_survives_its_object() {
+fn a_segment_survives_its_object() {
     let segment = Segment {
         claims: vec![claim(1), claim(2)],
     };
@@ -32,8 +32,9 @@
 }
 
 #[test]
-fn the_fullest_part_stays_below_a_megabyte() {
-    // A part is full at 512 entries, and one write adds 512 at most to one that is not.
+fn the_fullest_segment_stays_below_a_megabyte() {
+    // A segment is full at 512 entries, and one write adds at most 512 to a segment that is not
+    // full.
     let claims = (0..1023).map(claim).collect();
     let content = Segment { claims }.encode().expect("encodes");
     assert!(content.len() < 1 << 20, "{} bytes", content.len());
@@ -67,7 +68,7 @@
     #![proptest_config(crate::fuzz::config(256))]
 
     #[test]
-    fn any_bytes_are_a_part_or_an_error(mut bytes: Vec<u8>) {
+    fn any_bytes_are_a_segment_or_an_error(mut bytes: Vec<u8>) {
         let _ = Segment::decode(&bytes);
         bytes.insert(0, 1);
         let _ = Segment::decode(&bytes);
--- a/crates/once/tests/once/world.rs
+++ b/crates/once/tests/once/world.rs
@@ -1,4 +1,5 @@
-//! VMs' decision machines, a fake platform and a fake network, all in one thread.
+//! Simulation of a fleet: the state machines of all VMs, a fake platform and a fake network, in one
+//! thread.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -29,60 +30,61 @@
 const STEP: Duration = Duration::from_millis(5);
 pub const START: u64 = 1_800_000_000;
 
-/// What the fake platform does with calls.
+/// How the fake platform handles calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mood {
-    Well,
-    Away,
-    /// Writes take effect and their answers are lost.
+pub enum PlatformMode {
+    Normal,
+    Unreachable,
+    /// Writes take effect, but their answers are lost.
     LosesAnswers,
-    /// Writes take effect only when [`World::land_late`] is called; their answers are lost.
-    Late,
-    /// Reads fail too, and writes as in `Late`.
-    LateAndBlind,
+    /// Writes only take effect when [`World::apply_delayed_writes`] is called; their answers are
+    /// lost.
+    DelaysWrites,
+    /// Writes are handled as by `DelaysWrites`, and reads fail.
+    DelaysWritesAndFailsReads,
 }
 
-/// What the fake network does with messages.
+/// How the fake network handles messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Net {
-    Well,
+pub enum NetworkMode {
+    Normal,
     Lossy,
-    Doubling,
-    Dead,
+    Duplicating,
+    Down,
 }
 
 pub struct Process {
     pub once: Once,
     pub paused: bool,
-    /// How far its clock is ahead, in seconds.
-    pub ahead: i64,
-    pub cut: bool,
+    /// How many seconds its clock is ahead.
+    pub clock_ahead: i64,
+    pub partitioned: bool,
     incarnation: Incarnation,
     inbox: VecDeque<Event>,
     wake: Instant,
-    asked: BTreeMap<LookupSeq, String>,
+    requested_keys: BTreeMap<LookupSeq, String>,
 }
 
 pub struct World {
     pub now: Instant,
-    pub mood: Mood,
-    pub net: Net,
+    pub platform_mode: PlatformMode,
+    pub network_mode: NetworkMode,
     pub processes: BTreeMap<u8, Process>,
     pub objects: BTreeMap<String, Stored>,
-    pub verdicts: Vec<(String, ClaimVerdict)>,
-    /// Writes of claims, the floor left out.
+    pub decisions: Vec<(String, ClaimVerdict)>,
+    /// The number of claim writes; writes of the watermark are not counted.
     pub writes: u64,
-    /// Claims after which a part is full.
+    /// The number of claims at which a segment is full.
     pub claims_per_segment: usize,
-    /// Whether a clock was wrong by more than the margin; `Expired` is only promised without that.
-    wild: bool,
+    /// Whether a clock was wrong by more than 25 seconds; no check depends on it.
+    clock_far_off: bool,
     begun: Instant,
     version: u64,
-    late: Vec<(String, u64, Vec<u8>)>,
+    delayed_writes: Vec<(String, u64, Vec<u8>)>,
     granted: BTreeSet<String>,
     expired: BTreeSet<String>,
     refused: BTreeSet<ClaimRequestId>,
-    runs: u64,
+    incarnations: u64,
     seq: u64,
     messages: u64,
 }
@@ -117,21 +119,21 @@
         let now = Instant::now();
         let mut w = Self {
             now,
-            mood: Mood::Well,
-            net: Net::Well,
+            platform_mode: PlatformMode::Normal,
+            network_mode: NetworkMode::Normal,
             processes: BTreeMap::new(),
             objects: BTreeMap::new(),
-            verdicts: Vec::new(),
+            decisions: Vec::new(),
             writes: 0,
             claims_per_segment: 3,
-            wild: false,
+            clock_far_off: false,
             begun: now,
             version: 0,
-            late: Vec::new(),
+            delayed_writes: Vec::new(),
             granted: BTreeSet::new(),
             expired: BTreeSet::new(),
             refused: BTreeSet::new(),
-            runs: 0,
+            incarnations: 0,
             seq: 0,
             messages: 0,
         };
@@ -140,24 +142,24 @@
     }
 
     pub fn start(&mut self, i: u8) {
-        self.runs += 1;
+        self.incarnations += 1;
         let cfg = OnceSettings::builder()
             .vm(vm(i))
-            .incarnation(Incarnation(self.runs))
+            .incarnation(Incarnation(self.incarnations))
             .claim_window(Duration::from_secs(120))
             .skew(Duration::from_secs(10))
             .retention_margin(Duration::from_secs(60))
             .claims_per_segment(self.claims_per_segment)
             .build();
         let p = Process {
-            once: Once::new(cfg).expect("a chart"),
+            once: Once::new(cfg).expect("valid definition"),
             paused: false,
-            ahead: 0,
-            cut: false,
-            incarnation: Incarnation(self.runs),
+            clock_ahead: 0,
+            partitioned: false,
+            incarnation: Incarnation(self.incarnations),
             inbox: VecDeque::new(),
             wake: self.now,
-            asked: BTreeMap::new(),
+            requested_keys: BTreeMap::new(),
         };
         self.processes.insert(i, p);
         let all: Vec<u8> = self.processes.keys().copied().collect();
@@ -166,25 +168,25 @@
         }
     }
 
-    /// The time of day on a VM, in seconds since the Unix epoch.
+    /// Returns the time of day on a VM, in seconds since the Unix epoch.
     pub fn wall(&self, i: u8) -> u64 {
         let wall = START + self.now.duration_since(self.begun).as_secs();
-        wall.saturating_add_signed(self.processes.get(&i).map_or(0, |p| p.ahead))
+        wall.saturating_add_signed(self.processes.get(&i).map_or(0, |p| p.clock_ahead))
     }
 
-    /// Puts a VM's clock ahead by so many seconds.
-    pub fn set_clock(&mut self, i: u8, ahead: i64) {
-        self.wild |= ahead.abs() > 25;
-        self.processes.get_mut(&i).expect("running").ahead = ahead;
+    /// Sets how many seconds a VM's clock is ahead.
+    pub fn set_clock(&mut self, i: u8, clock_ahead: i64) {
+        self.clock_far_off |= clock_ahead.abs() > 25;
+        self.processes.get_mut(&i).expect("running").clock_ahead = clock_ahead;
     }
 
-    pub fn ask(&mut self, i: u8, key: &str) {
+    pub fn request(&mut self, i: u8, key: &str) {
         self.seq += 1;
         let seq = LookupSeq(self.seq);
         let Some(p) = self.processes.get_mut(&i) else {
             return;
         };
-        p.asked.insert(seq, key.to_owned());
+        p.requested_keys.insert(seq, key.to_owned());
         p.inbox.push_back(Event::ClaimRequested(ClaimAsk {
             seq,
             key: key.parse().expect("a key"),
@@ -193,47 +195,48 @@
         }));
     }
 
-    /// Asks through a VM, and gives the ask's id if it is forwarded; calls go nowhere.
-    pub fn forwarded(&mut self, i: u8, key: &str) -> Option<ClaimRequestId> {
-        self.ask(i, key);
+    /// Requests a claim through a VM, and returns the request's id if it is forwarded; its actions
+    /// are dropped.
+    pub fn request_forwarded(&mut self, i: u8, key: &str) -> Option<ClaimRequestId> {
+        self.request(i, key);
         let event = self.processes.get_mut(&i)?.inbox.pop_back()?;
-        let out = self.feed(i, event);
+        let out = self.process_event(i, event);
         out.into_iter().find_map(|a| match a {
             Action::Send(_, Message::Make { request, .. }) => Some(request.id),
             _ => None,
         })
     }
 
-    /// The object that a key's first claim goes to.
-    pub fn part_of(&self, key: &str) -> String {
+    /// Returns the path of the object that the first claim for a key is written to.
+    pub fn object_of(&self, key: &str) -> String {
         let key: IdempotencyKey = key.parse().expect("a key");
         let window = Window::at(key.minted()).0;
         format!("claims/{window}/{}/0", KeyHash::of(&key).0 % 2)
     }
 
-    /// Gives a VM one event now and carries out none of its actions but verdicts.
-    pub fn feed(&mut self, i: u8, event: Event) -> Vec<Action> {
+    /// Passes an event to a VM, and carries out none of the resulting actions but decisions.
+    pub fn process_event(&mut self, i: u8, event: Event) -> Vec<Action> {
         let (now, wall) = (self.now, self.wall(i));
         let p = self.processes.get_mut(&i).expect("running");
         let mut out = Vec::new();
         p.once.on(now, wall, event, &mut out);
         for a in &out {
-            if let Action::Decision(seq, verdict) = a {
-                self.judge(i, *seq, *verdict);
+            if let Action::Decision(seq, decision) = a {
+                self.check_decision(i, *seq, *decision);
             }
         }
         out
     }
 
-    /// A key minted so many seconds ago by the true clock.
+    /// Returns a key minted the given number of seconds ago by the correct clock.
     pub fn key(&self, age: i64, tail: &str) -> String {
         let wall = START + self.now.duration_since(self.begun).as_secs();
         format!("{}-{tail:0>8}", wall.saturating_add_signed(-age))
     }
 
-    /// Writes that were sent long ago take effect now, where their condition still holds.
-    pub fn land_late(&mut self) {
-        for (path, if_version, content) in std::mem::take(&mut self.late) {
+    /// Applies the delayed writes whose conditions still hold.
+    pub fn apply_delayed_writes(&mut self) {
+        for (path, if_version, content) in std::mem::take(&mut self.delayed_writes) {
             let _ = self.put(&path, if_version, content);
         }
     }
@@ -248,15 +251,18 @@
         }
     }
 
-    /// Lets the time pass in which nobody asks for anything, quickly.
-    pub fn idle(&mut self, time: Duration) {
+    /// Advances the time without requests in one large step.
+    pub fn skip(&mut self, time: Duration) {
         self.run(Duration::from_millis(50));
         self.now += time;
         self.run(Duration::from_millis(50));
     }
 
     pub fn unanswered(&self) -> usize {
-        self.processes.values().map(|p| p.asked.len()).sum()
+        self.processes
+            .values()
+            .map(|p| p.requested_keys.len())
+            .sum()
     }
 
     fn run_process(&mut self, i: u8) {
@@ -281,14 +287,17 @@
     }
 
     fn act(&mut self, i: u8, action: Action) {
-        let away = self.mood == Mood::Away || self.processes[&i].cut;
+        let unreachable =
+            self.platform_mode == PlatformMode::Unreachable || self.processes[&i].partitioned;
         match action {
             Action::Read { path } => {
-                let result = match away || self.mood == Mood::LateAndBlind {
+                let result = match unreachable
+                    || self.platform_mode == PlatformMode::DelaysWritesAndFailsReads
+                {
                     true => Err(StoreError::Lost),
                     false => Ok(self.objects.get(&path).cloned()),
                 };
-                self.tell(i, Event::Read { path, result });
+                self.push_event(i, Event::Read { path, result });
             }
             Action::Write {
                 path,
@@ -296,21 +305,21 @@
                 content,
             } => {
                 self.writes += u64::from(path != WATERMARK_PATH);
-                let result = match away {
+                let result = match unreachable {
                     true => Err(StoreError::NotDone),
                     false => self.write(&path, if_version, content),
                 };
-                self.tell(i, Event::Wrote { path, result });
+                self.push_event(i, Event::Wrote { path, result });
             }
             Action::Remove { path, if_version } => {
-                let result = match away {
+                let result = match unreachable {
                     true => Err(StoreError::NotDone),
                     false => self.remove(&path, if_version),
                 };
-                self.tell(i, Event::Removed { path, result });
+                self.push_event(i, Event::Removed { path, result });
             }
             Action::Send(to, message) => self.send(i, &to, message),
-            Action::Decision(seq, verdict) => self.judge(i, seq, verdict),
+            Action::Decision(seq, decision) => self.check_decision(i, seq, decision),
             Action::Wake(after) => {
                 let wake = self.now + after;
                 self.processes.get_mut(&i).expect("a process").wake = wake;
@@ -319,12 +328,13 @@
     }
 
     fn write(&mut self, path: &str, if_version: u64, content: Vec<u8>) -> Result<u64, StoreError> {
-        match self.mood {
-            Mood::Late | Mood::LateAndBlind => {
-                self.late.push((path.to_owned(), if_version, content));
+        match self.platform_mode {
+            PlatformMode::DelaysWrites | PlatformMode::DelaysWritesAndFailsReads => {
+                self.delayed_writes
+                    .push((path.to_owned(), if_version, content));
                 Err(StoreError::Lost)
             }
-            Mood::LosesAnswers => {
+            PlatformMode::LosesAnswers => {
                 let _ = self.put(path, if_version, content);
                 Err(StoreError::Lost)
             }
@@ -357,11 +367,11 @@
 
     fn send(&mut self, from: u8, to: &VmId, message: Message) {
         self.messages += 1;
-        let copies = match self.net {
-            Net::Well => 1,
-            Net::Lossy => u64::from(self.messages.is_multiple_of(2)),
-            Net::Doubling => 2,
-            Net::Dead => 0,
+        let copies = match self.network_mode {
+            NetworkMode::Normal => 1,
+            NetworkMode::Lossy => u64::from(self.messages.is_multiple_of(2)),
+            NetworkMode::Duplicating => 2,
+            NetworkMode::Down => 0,
         };
         let mut all = self.processes.iter_mut();
         let Some((_, p)) = all.find(|(i, _)| vm(**i) == *to) else {
@@ -372,12 +382,15 @@
         }
     }
 
-    /// The oracle: a key is granted once at most, and never once it was called expired.
-    fn judge(&mut self, i: u8, seq: LookupSeq, verdict: ClaimVerdict) {
+    /// Checks that a key is granted at most once, and not after it was reported as expired.
+    fn check_decision(&mut self, i: u8, seq: LookupSeq, decision: ClaimVerdict) {
         let p = self.processes.get_mut(&i).expect("a process");
-        let key = p.asked.remove(&seq).expect("one verdict for an ask");
+        let key = p
+            .requested_keys
+            .remove(&seq)
+            .expect("one decision for each request");
         let incarnation = p.incarnation;
-        match verdict {
+        match decision {
             ClaimVerdict::Granted => {
                 assert!(self.granted.insert(key.clone()), "{key} is granted twice");
                 assert!(
@@ -398,26 +411,26 @@
             }
             ClaimVerdict::Taken | ClaimVerdict::Unknown => {}
         }
-        self.verdicts.push((key, verdict));
+        self.decisions.push((key, decision));
     }
 
     fn is_claimed(&self, id: &ClaimRequestId) -> bool {
-        let parts = self
+        let segments = self
             .objects
             .iter()
             .filter_map(|(p, s)| claims(p, &s.content));
-        parts.flat_map(|p| p.claims).any(|c| c.id == *id)
+        segments.flat_map(|p| p.claims).any(|c| c.id == *id)
     }
 
-    /// The oracle: what was refused is never claimed afterwards.
+    /// Checks that a refused request never claims its key afterwards.
     fn check_claims(&self, path: &str, content: &[u8]) {
-        let part = claims(path, content).unwrap_or_default();
-        for c in part.claims {
+        let segment = claims(path, content).unwrap_or_default();
+        for c in segment.claims {
             assert!(!self.refused.contains(&c.id), "{} was refused", c.id);
         }
     }
 
-    fn tell(&mut self, i: u8, event: Event) {
+    fn push_event(&mut self, i: u8, event: Event) {
         let p = self.processes.get_mut(&i).expect("a process");
         p.inbox.push_back(event);
     }
