--- a/crates/member/src/heartbeat.rs
+++ b/crates/member/src/heartbeat.rs
@@ -7,7 +7,7 @@
 use crate::seat_table::Epoch;
 use crate::vm_state::VmState;
 
-/// A heartbeat: the sender's own state, and a bounded number of rumours about other VMs.
+/// A heartbeat: the sender's own state, and a bounded number of rumours about VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Whether the receiver should answer at once; set in a probe.
@@ -21,7 +21,7 @@
     /// The epochs of the seat table that the sender has read and lowered to.
     #[serde(rename = "claimed")]
     pub table_epochs: TableEpochs,
-    /// Recent changes of other VMs' states; at most `MemberSettings::rumours_max`.
+    /// The states of some VMs, those that changed recently first; at most `MemberSettings::rumours_max`.
     pub rumours: Vec<Rumour>,
     /// A seat table newer than the receiver's: its object's version and content.
     pub table: Option<(u64, Vec<u8>)>,
@@ -36,7 +36,8 @@
     pub lowered: Epoch,
 }
 
-/// What the sender of a heartbeat knows of a third VM.
+/// The state of a VM as the sender of a heartbeat knows it. The VM may also be the sender itself,
+/// which refutes a suspicion in this way.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rumour {
     /// The VM that the rumour is about.
--- a/crates/member/src/peer_table.rs
+++ b/crates/member/src/peer_table.rs
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Applies a rumour, which is what a VM reports of a third one.
+    /// Applies a rumour received from another VM.
     pub(crate) fn on_rumour(&mut self, now: Instant, r: &Rumour) {
         if r.vm == self.cfg.me.vm {
             self.refute(r);
--- a/crates/member/tests/member/fuzz.rs
+++ b/crates/member/tests/member/fuzz.rs
@@ -22,8 +22,8 @@
 
 /// Returns the configuration with a fixed seed; `GS_FUZZ_CASES` overrides the number of cases.
 pub fn config(cases: u32) -> Config {
-    let asked = std::env::var("GS_FUZZ_CASES").ok();
-    let cases = asked.and_then(|s| s.parse().ok()).unwrap_or(cases);
+    let requested = std::env::var("GS_FUZZ_CASES").ok();
+    let cases = requested.and_then(|s| s.parse().ok()).unwrap_or(cases);
     Config {
         cases,
         rng_seed: RngSeed::Fixed(20_261_203),
--- a/crates/member/tests/member/shares.rs
+++ b/crates/member/tests/member/shares.rs
@@ -80,10 +80,10 @@
 #[test]
 fn a_paused_vm_keeps_its_share() {
     let mut w = nine_vms();
-    let before = w.processes[&4].held.clone();
+    let before = w.processes[&4].connections.clone();
     w.processes.get_mut(&4).expect("running").paused = true;
     w.run(Duration::from_secs(60));
-    assert_eq!(w.processes[&4].held, before);
+    assert_eq!(w.processes[&4].connections, before);
     assert_eq!(connections_in_use(&w), [24, 38, 95]);
 }
 
@@ -95,7 +95,7 @@
     w.processes.get_mut(&4).expect("running").partitioned = true;
     w.start(9);
     w.run(Duration::from_secs(5));
-    let held: Vec<_> = w.processes[&9].held.values().copied().collect();
+    let held: Vec<_> = w.processes[&9].connections.values().copied().collect();
     assert_eq!(held, [5, 1, 2]);
 }
 
@@ -113,7 +113,7 @@
     w.start(10);
     w.start(11);
     w.run(Duration::from_secs(5));
-    let of_25 = |i: u8| w.processes[&i].held[&w.servers[0].server];
+    let of_25 = |i: u8| w.processes[&i].connections[&w.servers[0].server];
     assert_eq!((of_25(10), of_25(11)), (3, 3));
 }
 
@@ -122,11 +122,11 @@
 #[test]
 fn a_restarted_process_has_its_share_back() {
     let mut w = nine_vms();
-    let before = w.processes[&3].held.clone();
+    let before = w.processes[&3].connections.clone();
     w.kill(3);
     w.start(3);
     w.run(Duration::from_secs(2));
-    assert_eq!(w.processes[&3].held, before);
+    assert_eq!(w.processes[&3].connections, before);
 }
 
 /// A leaving process vacates its seat by a write whose answer is lost, and which is still in flight
@@ -203,5 +203,5 @@
     w.platform_mode = PlatformMode::Normal;
     w.start(11);
     w.run(Duration::from_secs(20));
-    assert_eq!(w.processes[&10].held.values().sum::<u32>(), 0);
+    assert_eq!(w.processes[&10].connections.values().sum::<u32>(), 0);
 }
--- a/crates/member/tests/member/world.rs
+++ b/crates/member/tests/member/world.rs
@@ -40,12 +40,15 @@
     entry: VmEntry,
     incarnation: Incarnation,
     pub paused: bool,
-    /// Whether it leaves connections above its shares open for now.
+    /// Whether it leaves connections open that are above its shares.
     pub delays_lowering: bool,
+    /// Whether it can reach neither the platform nor VMs that are not partitioned.
     pub partitioned: bool,
     /// Whether it has closed its connections and sent [`Event::Released`].
     pub released: bool,
-    pub held: BTreeMap<ServerName, u32>,
+    /// Open connections per server.
+    pub connections: BTreeMap<ServerName, u32>,
+    /// The last shares, with their epoch.
     shares: (Epoch, BTreeMap<ServerName, u32>),
     inbox: VecDeque<Event>,
     wake: Instant,
@@ -58,7 +61,9 @@
     pub servers: Vec<ServerLimit>,
     pub bytes: u64,
     pub messages: u64,
+    /// The VMs that the platform knows.
     listed: BTreeMap<u8, VmEntry>,
+    /// The list that the platform sends, which may lag behind `listed`.
     visible_list: Vec<VmEntry>,
     list_frozen_since: Option<Instant>,
     next_list: Instant,
@@ -134,7 +139,7 @@
             delays_lowering: false,
             partitioned: false,
             released: false,
-            held: BTreeMap::new(),
+            connections: BTreeMap::new(),
             shares: (Epoch::default(), BTreeMap::new()),
             inbox: VecDeque::new(),
             wake: self.now,
@@ -162,7 +167,7 @@
         };
         p.released = true;
         p.delays_lowering = false;
-        p.held.clear();
+        p.connections.clear();
         p.inbox.push_back(Event::Leave);
         p.inbox.push_back(Event::Released);
     }
@@ -203,7 +208,7 @@
     /// Checks that no server has more connections than its limit.
     pub fn check(&self) {
         for s in &self.servers {
-            let held = |p: &Process| p.held.get(&s.server).copied().unwrap_or(0);
+            let held = |p: &Process| p.connections.get(&s.server).copied().unwrap_or(0);
             let sum: u32 = self.processes.values().map(held).sum();
             let all: Vec<_> = self.processes.iter().map(|(i, p)| (i, held(p))).collect();
             assert!(sum <= s.connections.0, "{} has {sum}: {all:?}", s.server);
@@ -211,7 +216,10 @@
     }
 
     pub fn sum(&self, s: &ServerLimit) -> u32 {
-        let held = self.processes.values().map(|p| p.held.get(&s.server));
+        let held = self
+            .processes
+            .values()
+            .map(|p| p.connections.get(&s.server));
         held.flatten().sum()
     }
 
@@ -295,7 +303,7 @@
             .expect("a heartbeat")
             .len() as u64;
         let p = &self.processes[&from];
-        let heard = Event::Heartbeat {
+        let event = Event::Heartbeat {
             from: p.entry.vm.clone(),
             incarnation: p.incarnation,
             heartbeat,
@@ -303,7 +311,7 @@
         let partitioned = p.partitioned;
         let mut all = self.processes.values_mut();
         if let Some(p) = all.find(|p| p.entry.vm == *to && p.partitioned == partitioned) {
-            p.push(heard);
+            p.push(event);
         }
     }
 
@@ -357,14 +365,14 @@
     /// Opens all connections that its shares allow.
     fn open_connections(&mut self) {
         for (s, n) in &self.shares.1 {
-            let held = self.held.entry(s.clone()).or_default();
+            let held = self.connections.entry(s.clone()).or_default();
             *held = (*held).max(*n);
         }
     }
 
     /// Closes the connections above its shares, and reports that.
     fn lower(&mut self) {
-        for (s, held) in &mut self.held {
+        for (s, held) in &mut self.connections {
             *held = (*held).min(self.shares.1.get(s).copied().unwrap_or(0));
         }
         self.inbox.push_back(Event::Lowered(self.shares.0));
--- a/crates/once/src/claim_calls.rs
+++ b/crates/once/src/claim_calls.rs
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Queues the requests of a write again that did not succeed.
+    /// Queues the requests of a failed write again.
     fn requeue(&mut self, cx: &mut Cx<'_>, batch: &[ClaimRequestId], event: ClaimEvent) {
         for id in batch {
             let state = self.claim_requests.find(id).map(|p| p.state);
--- a/crates/once/tests/once/world.rs
+++ b/crates/once/tests/once/world.rs
@@ -28,7 +28,8 @@
 use gs_types::prelude::*;
 
 const STEP: Duration = Duration::from_millis(5);
-pub const START: u64 = 1_800_000_000;
+/// The time of day at the start of a test, in seconds since the Unix epoch.
+pub const START_SECONDS: u64 = 1_800_000_000;
 
 /// How the fake platform handles calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -58,6 +59,7 @@
     pub paused: bool,
     /// How many seconds its clock is ahead.
     pub clock_ahead: i64,
+    /// Whether it cannot reach the platform; messages between VMs are not affected.
     pub partitioned: bool,
     incarnation: Incarnation,
     inbox: VecDeque<Event>,
@@ -78,7 +80,7 @@
     pub claims_per_segment: usize,
     /// Whether a clock was wrong by more than 25 seconds; no check depends on it.
     clock_far_off: bool,
-    begun: Instant,
+    started: Instant,
     version: u64,
     delayed_writes: Vec<(String, u64, Vec<u8>)>,
     granted: BTreeSet<String>,
@@ -127,7 +129,7 @@
             writes: 0,
             claims_per_segment: 3,
             clock_far_off: false,
-            begun: now,
+            started: now,
             version: 0,
             delayed_writes: Vec::new(),
             granted: BTreeSet::new(),
@@ -170,7 +172,7 @@
 
     /// Returns the time of day on a VM, in seconds since the Unix epoch.
     pub fn wall(&self, i: u8) -> u64 {
-        let wall = START + self.now.duration_since(self.begun).as_secs();
+        let wall = START_SECONDS + self.now.duration_since(self.started).as_secs();
         wall.saturating_add_signed(self.processes.get(&i).map_or(0, |p| p.clock_ahead))
     }
 
@@ -230,7 +232,7 @@
 
     /// Returns a key minted the given number of seconds ago by the correct clock.
     pub fn key(&self, age: i64, tail: &str) -> String {
-        let wall = START + self.now.duration_since(self.begun).as_secs();
+        let wall = START_SECONDS + self.now.duration_since(self.started).as_secs();
         format!("{}-{tail:0>8}", wall.saturating_add_signed(-age))
     }
 
