--- a/crates/member/tests/member/table.rs
+++ b/crates/member/tests/member/table.rs
@@ -1,8 +1,8 @@
-//! The seat table's object.
+//! Tests of the encoding of the seat table and of heartbeats.
 
 use std::time::Duration;
 
-use gs_member::Beat;
+use gs_member::Heartbeat;
 use gs_member::SeatTable;
 use gs_types::prelude::*;
 use proptest::prelude::*;
@@ -15,20 +15,20 @@
 
 #[test]
 fn a_table_survives_its_object() {
-    let table = SeatTable::first(dcs().iter());
+    let table = SeatTable::initial(dcs().iter());
     let content = table.encode().expect("encodes");
     assert_eq!(SeatTable::decode(&content), Ok(table));
 }
 
 #[test]
 fn another_form_is_refused() {
-    let mut content = SeatTable::first(dcs().iter()).encode().expect("encodes");
+    let mut content = SeatTable::initial(dcs().iter()).encode().expect("encodes");
     content[0] = 9;
     let e = SeatTable::decode(&content).expect_err("refused");
     assert_eq!(e.kind(), ErrorKind::Version);
     assert_eq!(
         e.to_string(),
-        "the seat table has form 9, not 1 (step: read seat table)"
+        "the seat table has format version 9, expected 1 (step: read seat table)"
     );
 }
 
@@ -50,18 +50,19 @@
 
     #[test]
     fn any_bytes_are_a_heartbeat_or_an_error(bytes: Vec<u8>) {
-        let _ = postcard::from_bytes::<Beat>(&bytes);
+        let _ = postcard::from_bytes::<Heartbeat>(&bytes);
     }
 
-    /// A peer of ours may be wrong, as after a bad build: no heartbeat that decodes may stop a VM.
+    /// A peer may send wrong data, for example if its build is faulty. No heartbeat that decodes
+    /// may make a VM panic.
     #[test]
     fn no_heartbeat_stops_a_vm(all: Vec<(Vec<u8>, u8)>) {
         let mut w = World::new(&[25]);
         (0..3).for_each(|i| w.start(i));
         w.run(Duration::from_secs(1));
         for (bytes, from) in all {
-            if let Ok(beat) = postcard::from_bytes::<Beat>(&bytes) {
-                w.hear(0, from % 4, beat);
+            if let Ok(heartbeat) = postcard::from_bytes::<Heartbeat>(&bytes) {
+                w.inject_heartbeat(0, from % 4, heartbeat);
             }
         }
         w.run(Duration::from_secs(1));
--- a/crates/node/src/options.rs
+++ b/crates/node/src/options.rs
@@ -157,7 +157,7 @@
             .me(me)
             .incarnation(self.incarnation)
             .seed(self.seed)
-            .period(self.settings.mesh.heartbeat)
+            .heartbeat_interval(self.settings.mesh.heartbeat)
             .build()
     }
 
@@ -165,7 +165,7 @@
         OnceSettings::builder()
             .vm(self.settings.vm.name.clone())
             .incarnation(self.incarnation)
-            .window(self.settings.claims.window)
+            .claim_window(self.settings.claims.window)
             .skew(self.settings.claims.skew)
             .build()
     }
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -1,39 +1,40 @@
-//! Claims: what makes an at-most-once lookup run at most once.
+//! Claims on idempotency keys, which ensure that an at-most-once lookup runs at most once.
 //!
-//! [`Once`] is a plain state machine. It is asked for a claim before a lookup is handed to any
-//! backend server, and answers each ask with one [`gs_query::ClaimDecision`]. A claim is an entry in
-//! a platform object, made by conditional write; whose entry for a key stands first, has it for
-//! ever. Nothing else decides: no lease, no clock and no word of another VM can grant one.
+//! [`Once`] is a state machine without I/O. A claim is requested from it before an at-most-once
+//! lookup is dispatched to any backend server, and it returns one [`gs_query::ClaimDecision`] for
+//! each request. A claim is an entry in a platform object, made by a conditional write. The first
+//! entry for a key claims it permanently. Nothing else can grant a claim: no lease, no clock and no
+//! message of another VM.
 
 mod action;
-mod asks;
 mod claim;
 mod claim_calls;
 mod claim_log;
+mod claim_requests;
 mod event;
-mod floor;
+mod forwarding;
 mod message;
 mod once;
-mod part;
-mod peers;
 mod retention;
+mod segment;
 mod settings;
+mod watermark;
 
 pub use action::Action;
-pub use claim::Ask;
-pub use claim::AskId;
 pub use claim::ClaimChart;
 pub use claim::ClaimEvent;
+pub use claim::ClaimRequest;
+pub use claim::ClaimRequestId;
 pub use claim::ClaimState;
 pub use claim::KeyHash;
 pub use event::Event;
-pub use floor::FLOOR_PATH;
+pub use message::ClaimResult;
 pub use message::Message;
-pub use message::Settled;
 pub use once::Counts;
 pub use once::Once;
-pub use part::Claim;
-pub use part::Part;
-pub use part::PartPath;
-pub use part::Window;
+pub use segment::Claim;
+pub use segment::Segment;
+pub use segment::SegmentPath;
+pub use segment::Window;
 pub use settings::OnceSettings;
+pub use watermark::WATERMARK_PATH;
--- a/crates/once/src/once.rs
+++ b/crates/once/src/once.rs
@@ -1,4 +1,4 @@
-//! The state machine: asks in, verdicts out.
+//! The state machine that decides claim requests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,48 +13,48 @@
 use serde::Serialize;
 
 use crate::action::Action;
-use crate::asks::Asks;
-use crate::asks::Pending;
 use crate::claim;
-use crate::claim::Ask;
-use crate::claim::AskId;
 use crate::claim::ClaimEvent;
+use crate::claim::ClaimRequest;
+use crate::claim::ClaimRequestId;
 use crate::claim::ClaimState;
 use crate::claim::KeyHash;
 use crate::claim_log::ClaimLog;
+use crate::claim_requests::ClaimRequests;
+use crate::claim_requests::PendingClaim;
 use crate::event::Event;
-use crate::floor::FLOOR_PATH;
-use crate::floor::FloorWatch;
+use crate::message::ClaimResult;
 use crate::message::Message;
-use crate::message::Settled;
-use crate::part::Window;
+use crate::segment::Window;
 use crate::settings::OnceSettings;
+use crate::watermark::WATERMARK_PATH;
+use crate::watermark::WatermarkTracker;
 
-/// Time after which a tick is asked for at the latest.
-const IDLE: Duration = Duration::from_secs(5);
+/// The longest time that [`Action::Wake`] requests.
+const WAKE_INTERVAL_MAX: Duration = Duration::from_secs(5);
 
-/// What a process has counted since its start.
+/// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Reads asked of the platform.
+    /// Reads requested from the platform.
     pub reads: u64,
-    /// Writes asked of the platform.
+    /// Writes requested from the platform.
     pub writes: u64,
-    /// Asks handed to a bucket's writer.
+    /// Requests forwarded to a bucket's writer.
     pub forwarded: u64,
-    /// Asks granted.
+    /// Requests granted.
     pub granted: u64,
-    /// Asks whose key was taken.
+    /// Requests whose key was claimed by another request.
     pub taken: u64,
-    /// Asks whose key had expired.
+    /// Requests whose key had expired.
     pub expired: u64,
-    /// Asks refused.
+    /// Requests refused: nothing was or will be written for them.
     pub refused: u64,
-    /// Asks left unknown.
+    /// Requests with an unknown result: an entry may have been or may still be written for them.
     pub unknown: u64,
 }
 
-/// The moment of an event and where its outputs go.
+/// The time of an event and the list that its actions are appended to.
 pub(crate) struct Cx<'a> {
     pub(crate) now: Instant,
     /// The time of day in seconds since the Unix epoch.
@@ -62,82 +62,92 @@
     pub(crate) out: &'a mut Vec<Action>,
 }
 
-/// Decides claims; see the crate's documentation.
+/// The state machine of the claims; see the crate's documentation.
 #[derive(Debug)]
 pub struct Once {
     pub(crate) cfg: OnceSettings,
     pub(crate) counts: Counts,
     pub(crate) view: Option<Arc<View>>,
-    pub(crate) asks: Asks,
+    pub(crate) claim_requests: ClaimRequests,
+    /// The known claims, by window and bucket.
     pub(crate) claim_logs: BTreeMap<(Window, u16), ClaimLog>,
-    pub(crate) floor: FloorWatch,
-    pub(crate) away_until: Option<Instant>,
-    /// Forwards sent.
-    pub(crate) sent: u64,
-    /// The last forward taken of each VM.
-    pub(crate) heard: BTreeMap<VmId, (Incarnation, u64)>,
+    pub(crate) watermark: WatermarkTracker,
+    /// When the backoff after a platform failure ends.
+    pub(crate) backoff_until: Option<Instant>,
+    /// The number of requests forwarded, which numbers the messages.
+    pub(crate) forwards_sent: u64,
+    /// The incarnation and number of the last forwarded request accepted from each VM.
+    pub(crate) last_forwards: BTreeMap<VmId, (Incarnation, u64)>,
 }
 
 impl Once {
-    /// Starts with nothing known.
+    /// Creates the state machine without any known claims.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::BadInput`] if the chart that is built in has a fault, or there is no bucket.
+    /// [`ErrorKind::BadInput`] if the built-in state machine definition is invalid, or if the
+    /// number of buckets is 0.
     pub fn new(cfg: OnceSettings) -> Result<Self> {
         if cfg.buckets == 0 {
-            return Err(Error::new(ErrorKind::BadInput, "there is no claim bucket")
-                .with_hint("give one or more"));
+            return Err(
+                Error::new(ErrorKind::BadInput, "the number of claim buckets is 0")
+                    .with_hint("set it to 1 or more"),
+            );
         }
         Ok(Self {
             counts: Counts::default(),
             view: None,
-            asks: Asks::new(claim::chart()?),
+            claim_requests: ClaimRequests::new(claim::chart()?),
             claim_logs: BTreeMap::new(),
-            floor: FloorWatch::default(),
-            away_until: None,
-            sent: 0,
-            heard: BTreeMap::new(),
+            watermark: WatermarkTracker::default(),
+            backoff_until: None,
+            forwards_sent: 0,
+            last_forwards: BTreeMap::new(),
             cfg,
         })
     }
 
-    /// Takes one event at `now`; `wall` is the time of day in seconds since the Unix epoch.
+    /// Processes an event at the time `now`, and appends the resulting actions to `out`. `wall` is
+    /// the time of day in seconds since the Unix epoch.
     pub fn on(&mut self, now: Instant, wall: u64, event: Event, out: &mut Vec<Action>) {
         let cx = &mut Cx { now, wall, out };
         match event {
-            Event::Ask(ask) => self.ask(cx, &ask),
-            Event::Read { path, result } if path == FLOOR_PATH => self.floor_read(cx, result),
-            Event::Read { path, result } => self.read(cx, &path, result),
-            Event::Wrote { path, result } if path == FLOOR_PATH => self.floor_wrote(cx, result),
-            Event::Wrote { path, result } => self.wrote(cx, &path, result),
-            Event::Removed { path, result } => self.removed(cx, &path, result),
-            Event::Peer(from, message) => self.peer(cx, &from, message),
-            Event::Members(view) => self.members(view),
+            Event::ClaimRequested(claim) => self.on_claim_requested(cx, &claim),
+            Event::Read { path, result } if path == WATERMARK_PATH => {
+                self.on_watermark_read(cx, result)
+            }
+            Event::Read { path, result } => self.on_segment_read(cx, &path, result),
+            Event::Wrote { path, result } if path == WATERMARK_PATH => {
+                self.on_watermark_written(cx, result)
+            }
+            Event::Wrote { path, result } => self.on_segment_written(cx, &path, result),
+            Event::Removed { path, result } => self.on_removed(cx, &path, result),
+            Event::Peer(from, message) => self.on_peer_message(cx, &from, message),
+            Event::Members(view) => self.on_view(view),
             Event::Tick => {}
         }
         self.run_timers(cx);
-        self.check_floor(cx);
+        self.check_watermark(cx);
         self.start_calls(cx);
-        self.wake(cx);
+        self.request_wake(cx);
     }
 
-    /// What was counted so far.
+    /// Returns the counters.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Asks that await their verdict here, those of other VMs included.
+    /// Returns the number of requests that await a decision here, including those of other VMs.
     #[must_use]
     pub fn pending(&self) -> usize {
-        self.asks.len()
+        self.claim_requests.len()
     }
 
-    fn ask(&mut self, cx: &mut Cx<'_>, wanted: &LookupClaim) {
+    fn on_claim_requested(&mut self, cx: &mut Cx<'_>, wanted: &LookupClaim) {
         let minted = wanted.key.minted();
-        let ask = Ask {
-            id: AskId {
+        let request = ClaimRequest {
+            id: ClaimRequestId {
                 vm: self.cfg.vm.clone(),
                 incarnation: self.cfg.incarnation,
                 seq: wanted.seq,
@@ -146,44 +156,54 @@
             window: Window::at(minted),
             fingerprint: wanted.fingerprint,
         };
-        let id = ask.id.clone();
-        if let Some(verdict) = self.early_verdict(cx, &ask, minted) {
-            self.tell(cx, id.seq, verdict);
+        let id = request.id.clone();
+        if let Some(decision) = self.decide_without_call(cx, &request, minted) {
+            self.send_decision(cx, id.seq, decision);
             return;
         }
-        let bucket = self.bucket(ask.key);
-        self.asks
-            .add(ask.clone(), minted, None, cx.now + wanted.budget);
+        let bucket = self.bucket(request.key);
+        self.claim_requests
+            .add(request.clone(), minted, None, cx.now + wanted.budget);
         let writer = self
             .view
             .as_ref()
-            .and_then(|v| v.holder(&writer_role(bucket)));
+            .and_then(|v| v.holder(&writer_duty(bucket)));
         match writer.cloned() {
-            Some(writer) if writer != self.cfg.vm => self.forward(cx, writer, ask, wanted.budget),
+            Some(writer) if writer != self.cfg.vm => {
+                self.forward(cx, writer, request, wanted.budget)
+            }
             _ => self.enqueue(cx, &id),
         }
     }
 
-    /// The verdict that needs no call, if there is one.
-    fn early_verdict(&mut self, cx: &Cx<'_>, ask: &Ask, minted: u64) -> Option<ClaimDecision> {
-        if ask.window <= self.floor.floor.closed {
+    /// Returns the decision if it can be made without a call to the platform.
+    fn decide_without_call(
+        &mut self,
+        cx: &Cx<'_>,
+        request: &ClaimRequest,
+        minted: u64,
+    ) -> Option<ClaimDecision> {
+        if request.window <= self.watermark.known.closed {
             return Some(ClaimDecision::Expired);
         }
-        // Only the floor says that a key is expired for ever. By the clock alone it is refused: the
-        // clock may be wrong, and a key from the future may be claimed later.
+        // Only the watermark shows that a key is permanently expired. If only the clock says so,
+        // the request is refused: the clock may be wrong, and a key that was minted in the future
+        // may be claimed later.
         if self.is_too_old(cx.wall, minted) || minted > cx.wall + self.cfg.skew.as_secs() {
-            self.floor.want();
+            self.watermark.request_read();
             return Some(ClaimDecision::Refused);
         }
-        let claim_log = self.claim_logs.get(&(ask.window, self.bucket(ask.key)));
-        if claim_log.is_some_and(|s| s.holder(ask.key).is_some()) {
+        let claim_log = self
+            .claim_logs
+            .get(&(request.window, self.bucket(request.key)));
+        if claim_log.is_some_and(|s| s.holder(request.key).is_some()) {
             return Some(ClaimDecision::Taken);
         }
-        (self.asks.len() >= self.cfg.asks_max).then_some(ClaimDecision::Refused)
+        (self.claim_requests.len() >= self.cfg.claim_requests_max).then_some(ClaimDecision::Refused)
     }
 
     pub(crate) fn is_too_old(&self, wall: u64, minted: u64) -> bool {
-        wall.saturating_sub(minted) > self.cfg.window.as_secs()
+        wall.saturating_sub(minted) > self.cfg.claim_window.as_secs()
     }
 
     pub(crate) fn bucket(&self, key: KeyHash) -> u16 {
@@ -191,15 +211,15 @@
         u16::try_from(n).unwrap_or_default()
     }
 
-    /// Puts an ask into the next write of its bucket and window, or gives it up at once if the
-    /// platform is away.
-    pub(crate) fn enqueue(&mut self, cx: &mut Cx<'_>, id: &AskId) {
-        let Some(p) = self.asks.find(id) else {
+    /// Queues a request for the next write of its bucket and window. During the backoff after a
+    /// platform failure, a request that no call was made for is refused at once instead.
+    pub(crate) fn enqueue(&mut self, cx: &mut Cx<'_>, id: &ClaimRequestId) {
+        let Some(p) = self.claim_requests.find(id) else {
             return;
         };
-        let key = (p.ask.window, self.bucket(p.ask.key));
-        if p.state == ClaimState::Queued && self.is_away(cx.now) {
-            self.end(cx, id, ClaimEvent::GiveUp);
+        let key = (p.request.window, self.bucket(p.request.key));
+        if p.state == ClaimState::Queued && self.is_backing_off(cx.now) {
+            self.apply_event(cx, id, ClaimEvent::GiveUp);
             return;
         }
         let claim_log = self
@@ -211,43 +231,44 @@
         }
     }
 
-    pub(crate) fn is_away(&self, now: Instant) -> bool {
-        self.away_until.is_some_and(|t| now < t)
+    pub(crate) fn is_backing_off(&self, now: Instant) -> bool {
+        self.backoff_until.is_some_and(|t| now < t)
     }
 
-    /// The platform failed: it is left alone for a while, and whoever has nothing under way is
-    /// refused at once, as no answer would come in time and nothing of theirs can take effect.
-    pub(crate) fn go_away(&mut self, cx: &mut Cx<'_>) {
-        self.away_until = Some(cx.now + self.cfg.rest);
-        let queued = |id: &&AskId| {
-            let state = self.asks.find(id).map(|p| p.state);
+    /// Starts the backoff after a platform failure. Requests that no call was made for are refused
+    /// at once, as they could not be decided in time and no write for them can take effect.
+    pub(crate) fn back_off(&mut self, cx: &mut Cx<'_>) {
+        self.backoff_until = Some(cx.now + self.cfg.backoff);
+        let queued = |id: &&ClaimRequestId| {
+            let state = self.claim_requests.find(id).map(|p| p.state);
             state == Some(ClaimState::Queued)
         };
-        let queued: Vec<_> = self.asks.ids().filter(queued).cloned().collect();
+        let queued: Vec<_> = self.claim_requests.ids().filter(queued).cloned().collect();
         for id in queued {
-            self.end(cx, &id, ClaimEvent::GiveUp);
+            self.apply_event(cx, &id, ClaimEvent::GiveUp);
         }
     }
 
-    /// Moves an ask, and gives its verdict if that ends it.
-    pub(crate) fn end(&mut self, cx: &mut Cx<'_>, id: &AskId, event: ClaimEvent) {
-        if let Some(p) = self.asks.step(id, event) {
-            self.give(cx, p);
+    /// Applies an event to a request, and sends the outcome if its new state is final.
+    pub(crate) fn apply_event(&mut self, cx: &mut Cx<'_>, id: &ClaimRequestId, event: ClaimEvent) {
+        if let Some(p) = self.claim_requests.apply(id, event) {
+            self.send_outcome(cx, p);
         }
     }
 
-    fn give(&mut self, cx: &mut Cx<'_>, p: Pending) {
-        match p.on_behalf {
+    /// Sends the result to the VM that forwarded the request, or the decision to the own lookup.
+    fn send_outcome(&mut self, cx: &mut Cx<'_>, p: PendingClaim) {
+        match p.forwarded_by {
             Some(vm) => {
-                let message = Message::Made(p.ask.id, settled(p.state));
+                let message = Message::Made(p.request.id, result_of(p.state));
                 cx.out.push(Action::Send(vm, message));
             }
-            None => self.tell(cx, p.ask.id.seq, verdict(p.state)),
+            None => self.send_decision(cx, p.request.id.seq, decision_of(p.state)),
         }
     }
 
-    fn tell(&mut self, cx: &mut Cx<'_>, seq: LookupSeq, verdict: ClaimDecision) {
-        let count = match verdict {
+    fn send_decision(&mut self, cx: &mut Cx<'_>, seq: LookupSeq, decision: ClaimDecision) {
+        let count = match decision {
             ClaimDecision::Granted => &mut self.counts.granted,
             ClaimDecision::Taken => &mut self.counts.taken,
             ClaimDecision::Expired => &mut self.counts.expired,
@@ -255,40 +276,40 @@
             ClaimDecision::Unknown => &mut self.counts.unknown,
         };
         *count += 1;
-        cx.out.push(Action::Verdict(seq, verdict));
+        cx.out.push(Action::Decision(seq, decision));
     }
 
     fn run_timers(&mut self, cx: &mut Cx<'_>) {
-        while let Some((id, over)) = self.asks.due(cx.now) {
-            let state = self.asks.find(&id).map(|p| p.state);
-            if over {
-                self.end(cx, &id, ClaimEvent::GiveUp);
+        while let Some((id, deadline_passed)) = self.claim_requests.pop_expired(cx.now) {
+            let state = self.claim_requests.find(&id).map(|p| p.state);
+            if deadline_passed {
+                self.apply_event(cx, &id, ClaimEvent::GiveUp);
             } else if state == Some(ClaimState::Forwarded) {
-                self.end(cx, &id, ClaimEvent::Lose);
+                self.apply_event(cx, &id, ClaimEvent::Lose);
                 self.enqueue(cx, &id);
             }
         }
     }
 
-    fn wake(&mut self, cx: &mut Cx<'_>) {
+    fn request_wake(&mut self, cx: &mut Cx<'_>) {
         let busy = self.claim_logs.values().filter(|s| !s.is_idle());
-        let writes = busy.filter_map(|s| s.next_write);
+        let writes = busy.filter_map(|s| s.next_write_at);
         let soonest = writes
-            .chain(self.away_until)
+            .chain(self.backoff_until)
             .filter(|t| *t > cx.now)
-            .chain(self.asks.next_timer())
+            .chain(self.claim_requests.next_timer())
             .min();
-        let after = soonest.map_or(IDLE, |t| t.saturating_duration_since(cx.now));
-        cx.out.push(Action::Wake(after.min(IDLE)));
+        let after = soonest.map_or(WAKE_INTERVAL_MAX, |t| t.saturating_duration_since(cx.now));
+        cx.out.push(Action::Wake(after.min(WAKE_INTERVAL_MAX)));
     }
 }
 
-/// The task of writing a bucket's claims, by which its VM is chosen.
-fn writer_role(bucket: u16) -> String {
+/// Returns the name of the duty to write a bucket's claims, which selects the VM that writes them.
+fn writer_duty(bucket: u16) -> String {
     format!("claims/{bucket}")
 }
 
-fn verdict(state: ClaimState) -> ClaimDecision {
+fn decision_of(state: ClaimState) -> ClaimDecision {
     match state {
         ClaimState::Granted => ClaimDecision::Granted,
         ClaimState::Taken => ClaimDecision::Taken,
@@ -298,11 +319,11 @@
     }
 }
 
-fn settled(state: ClaimState) -> Settled {
+fn result_of(state: ClaimState) -> ClaimResult {
     match state {
-        ClaimState::Granted => Settled::Yours,
-        ClaimState::Taken => Settled::Taken,
-        ClaimState::Refused => Settled::Dropped,
-        _ => Settled::Unsure,
+        ClaimState::Granted => ClaimResult::Yours,
+        ClaimState::Taken => ClaimResult::Taken,
+        ClaimState::Refused => ClaimResult::Dropped,
+        _ => ClaimResult::Unsure,
     }
 }
