--- a/crates/conf/tests/patches/cost.rs
+++ b/crates/conf/tests/patches/cost.rs
@@ -1,6 +1,6 @@
-//! What a patch, and what holding still, costs as VMs grow in number.
+//! The messages and platform calls of a patch, and of idle VMs, for different numbers of VMs.
 //!
-//! `cargo test -p gs-conf --test patches cost -- --nocapture` shows the figures.
+//! `cargo test -p gs-conf --test patches cost -- --nocapture` prints the figures.
 
 use gs_conf::Change;
 use gs_conf::Patch;
@@ -11,31 +11,31 @@
 use crate::world::Cost;
 use crate::world::World;
 
-/// Holds still for so many seconds.
-const STILL: usize = 60;
+/// The measured time without patches, in seconds.
+const IDLE_SECONDS: usize = 60;
 
 fn per_vm(cost: Cost, vms: usize, seconds: usize) -> (usize, usize) {
     let share = vms * seconds;
     (cost.messages.div_ceil(share), cost.bytes.div_ceil(share))
 }
 
-/// Without patches, a VM sends two short messages a second however many VMs there are, and calls
-/// the platform for nothing beside its watch.
+/// Without patches a VM sends two short messages per second regardless of the number of VMs, and makes
+/// no platform calls besides its watch.
 #[rstest]
 fn holding_still_costs_the_same_at_every_size(#[values(3, 9, 30, 100)] vms: usize) {
     let mut w = World::start(vms, 1);
     w.run(5_000);
     w.cost = Cost::default();
-    w.run(STILL as u64 * 1_000);
-    let (messages, bytes) = per_vm(w.cost, vms, STILL);
+    w.run(IDLE_SECONDS as u64 * 1_000);
+    let (messages, bytes) = per_vm(w.cost, vms, IDLE_SECONDS);
     println!("{vms} VMs still: {messages} messages, {bytes} bytes a VM and second");
     assert_eq!(messages, 2);
     assert!(bytes <= 40, "{bytes}");
     assert_eq!(w.cost.calls, 0);
 }
 
-/// A patch costs three writes however many VMs there are. Its messages grow with the VMs and not
-/// with their square.
+/// A patch needs three writes regardless of the number of VMs. Its messages grow linearly with the
+/// number of VMs, not quadratically.
 #[rstest]
 fn a_patch_costs_three_writes_and_a_few_messages_a_vm(#[values(3, 9, 30, 100)] vms: usize) {
     let mut w = World::start(vms, 1);
@@ -51,11 +51,11 @@
         against: ConfVersion(1),
         changes: vec![Change::PutFront(front)],
     };
-    let ask = w.propose(0, patch).expect("runs");
-    let verdict = w.verdict(ask);
+    let call = w.propose(0, patch).expect("runs");
+    let outcome = w.outcome(call);
     assert!(
-        matches!(verdict, PatchOutcome::Accepted { .. }),
-        "{verdict:?}"
+        matches!(outcome, PatchOutcome::Accepted { .. }),
+        "{outcome:?}"
     );
     let took = w.now - start;
     let Cost {
--- a/crates/conf/tests/patches/first.rs
+++ b/crates/conf/tests/patches/first.rs
@@ -1,4 +1,4 @@
-//! The first configuration.
+//! Creation of the first configuration.
 
 use gs_conf::Bootstrap;
 use gs_conf::CURRENT_PATH;
@@ -17,27 +17,27 @@
 }
 
 fn versions(w: &World) -> Vec<Option<u64>> {
-    let held = |b: &gs_conf::ConfigManager| b.config().map(|c| c.version.0);
+    let known = |b: &gs_conf::ConfigManager| b.config().map(|c| c.version.0);
     w.vms
         .iter()
-        .map(|vm| vm.book.as_ref().and_then(held))
+        .map(|vm| vm.manager.as_ref().and_then(known))
         .collect()
 }
 
-/// Four VMs start at once on an empty platform, and the answer of the write that is first gets lost.
-/// There must be one first version, with the team of the settings.
+/// Four VMs start at the same time on an empty platform, and the reply to the first write is lost. Only
+/// one first version may be created, with the team from the settings.
 #[test]
 fn vms_that_start_together_create_one_first_configuration() {
     let mut w = World::new(4, 1, Platform::empty(4));
     w.bootstrap = bootstrap();
-    w.platform.lose = 1;
+    w.platform.lost_replies = 1;
     w.start_all();
     w.run(2_000);
     assert_eq!(versions(&w), [Some(1); 4]);
     assert!(
         w.vms
             .iter()
-            .all(|vm| vm.book.as_ref().is_some_and(|b| b.is_ready()))
+            .all(|vm| vm.manager.as_ref().is_some_and(|b| b.is_ready()))
     );
     let cfg = w.platform.record().config();
     assert!(authenticate(&cfg, "root", "first-key").is_ok());
@@ -63,8 +63,8 @@
     assert!(authenticate(&cfg, "root", "first-key").is_err());
 }
 
-/// The platform is away when the first VM starts. That it does not answer must not be taken for
-/// there being nothing.
+/// The platform is unreachable when the first VM starts. A missing reply must not be treated as a missing
+/// configuration.
 #[test]
 fn an_outage_is_not_an_empty_platform() {
     let mut w = World::new(1, 4, Platform::new(1));
@@ -79,8 +79,8 @@
     assert_eq!(w.platform.record().teams[0].name.as_str(), "ops");
 }
 
-/// The object is removed by hand while VMs run. A VM that starts creates a first configuration, and
-/// the others must not follow it back.
+/// The object is removed manually while VMs run. A starting VM creates a first configuration, and the
+/// others must not return to that older version.
 #[test]
 fn a_removed_object_leads_nobody_back() {
     let mut w = World::new(2, 5, Platform::new(2));
@@ -95,8 +95,8 @@
         against: ConfVersion(1),
         changes: vec![gs_conf::Change::PutFront(front)],
     };
-    let ask = w.propose(0, patch).expect("runs");
-    let _ = w.verdict(ask);
+    let call = w.propose(0, patch).expect("runs");
+    let _ = w.outcome(call);
     w.platform.prune(CURRENT_PATH);
     w.restart(1);
     w.run(3_000);
--- a/crates/conf/tests/patches/fuzz.rs
+++ b/crates/conf/tests/patches/fuzz.rs
@@ -1,6 +1,6 @@
-//! Patches under faults in any order, against the promises of the brief.
+//! Random sequences of patches and faults, checked against the guarantees of the oracle.
 //!
-//! `GS_FUZZ_CASES=2000 cargo test -p gs-conf --release --test patches` runs longer.
+//! `GS_FUZZ_CASES=2000 cargo test -p gs-conf --release --test patches` runs more cases.
 
 use gs_conf::CURRENT_PATH;
 use gs_conf::Change;
@@ -18,16 +18,16 @@
 
 const VMS: usize = 4;
 
-/// What an operator or fate does next.
+/// An action of an operator, or a fault.
 #[derive(Clone, Debug)]
 enum Step {
-    /// A new patch, on a VM, to a front; `stale` against the version before the one held there.
+    /// Proposes a new patch of a front on a VM; if `stale`, against the version before the one known there.
     Propose {
         vm: usize,
         front: u8,
         stale: bool,
     },
-    /// The patch of this number again, on a VM.
+    /// Sends the patch with this number again, on a VM.
     Resend {
         vm: usize,
         patch: usize,
@@ -40,7 +40,7 @@
     Slow(bool),
     CutFromPlatform(usize, bool),
     CutFromPeers(usize, bool),
-    /// A data centre of two VMs is cut off from the rest and from the platform, or healed.
+    /// Partitions a data centre of two VMs from the others and from the platform, or heals it.
     Split(usize, bool),
     Kill(usize),
     Restart(usize),
@@ -72,9 +72,9 @@
     .boxed()
 }
 
-struct Fate;
+struct FaultModel;
 
-impl ReferenceStateMachine for Fate {
+impl ReferenceStateMachine for FaultModel {
     type State = u64;
     type Transition = Step;
 
@@ -95,58 +95,58 @@
 
 struct Sut {
     world: World,
-    sent: Vec<Patch>,
+    proposed: Vec<Patch>,
 }
 
 impl Sut {
     fn propose(&mut self, vm: usize, front: u8, stale: bool) {
-        let held = self.world.vms[vm].book.as_ref().and_then(|b| b.config());
-        let held = held.map_or(1, |c| c.version.0);
-        let against = ConfVersion(held.saturating_sub(u64::from(stale)));
+        let known = self.world.vms[vm].manager.as_ref().and_then(|b| b.config());
+        let known = known.map_or(1, |c| c.version.0);
+        let against = ConfVersion(known.saturating_sub(u64::from(stale)));
         let front = Front {
             name: format!("front-{front}").parse().expect("a name"),
             lookups: Vec::new(),
         };
         let patch = Patch {
-            id: format!("patch-{}", self.sent.len())
+            id: format!("patch-{}", self.proposed.len())
                 .parse()
                 .expect("a name"),
             against,
             changes: vec![Change::PutFront(front)],
         };
-        self.sent.push(patch.clone());
+        self.proposed.push(patch.clone());
         self.world.propose(vm, patch);
     }
 
-    fn take(&mut self, step: Step) {
+    fn perform(&mut self, step: Step) {
         let w = &mut self.world;
         match step {
             Step::Propose { vm, front, stale } => self.propose(vm, front, stale),
             Step::Resend { vm, patch } => {
-                if let Some(p) = self.sent.get(patch % self.sent.len().max(1)) {
+                if let Some(p) = self.proposed.get(patch % self.proposed.len().max(1)) {
                     w.propose(vm, p.clone());
                 }
             }
             Step::Run(ms) => w.run(ms),
             Step::Loss(on) => w.loss = if on { 0.3 } else { 0.0 },
             Step::Down(on) => w.platform.down = on,
-            Step::Lose(n) => w.platform.lose = n,
+            Step::Lose(n) => w.platform.lost_replies = n,
             Step::Stall(true) => w.platform.stall = true,
             Step::Stall(false) => w.unstall(),
-            Step::Slow(on) => w.platform.slow = if on { 900 } else { 0 },
-            Step::CutFromPlatform(vm, on) => w.vms[vm].from_platform = on,
-            Step::CutFromPeers(vm, on) => w.vms[vm].from_peers = on,
+            Step::Slow(on) => w.platform.extra_delay_ms = if on { 900 } else { 0 },
+            Step::CutFromPlatform(vm, on) => w.vms[vm].cut_from_platform = on,
+            Step::CutFromPeers(vm, on) => w.vms[vm].cut_from_peers = on,
             Step::Split(vm, on) => {
                 for vm in [vm, (vm + 1) % VMS] {
-                    w.vms[vm].from_platform = on;
-                    w.vms[vm].from_peers = on;
+                    w.vms[vm].cut_from_platform = on;
+                    w.vms[vm].cut_from_peers = on;
                 }
             }
             Step::Kill(vm) => w.kill(vm),
             Step::Restart(vm) => w.restart(vm),
             Step::Pause(vm, on) => w.pause(vm, on),
             Step::Delist(vm) => {
-                if w.vms[vm].book.is_none() {
+                if w.vms[vm].manager.is_none() {
                     w.delist(vm);
                 }
             }
@@ -156,22 +156,22 @@
 
 impl StateMachineTest for Patches {
     type SystemUnderTest = Sut;
-    type Reference = Fate;
+    type Reference = FaultModel;
 
     fn init_test(seed: &u64) -> Sut {
         Sut {
             world: World::start(VMS, *seed),
-            sent: Vec::new(),
+            proposed: Vec::new(),
         }
     }
 
     fn apply(mut sut: Sut, _: &u64, step: Step) -> Sut {
-        sut.take(step);
+        sut.perform(step);
         sut
     }
 
-    /// After the faults end, every VM holds the newest, nothing is left undecided, and every
-    /// version that was replaced is in the history.
+    /// Checks that after the faults every VM has the newest record, no patch is undecided, and the
+    /// history contains every replaced version.
     fn teardown(mut sut: Sut, _: u64) {
         let w = &mut sut.world;
         w.heal();
@@ -181,10 +181,10 @@
         let record = w.platform.record();
         assert_eq!(record.pending, None, "a patch is left undecided");
         for vm in &w.vms {
-            let book = vm.book.as_ref().expect("healed");
-            assert!(book.is_ready());
-            assert_eq!(book.summary().object, object, "not the newest");
-            assert_eq!(book.in_doubt_targets(w.now), &[], "still in doubt");
+            let manager = vm.manager.as_ref().expect("healed");
+            assert!(manager.is_ready());
+            assert_eq!(manager.summary().object, object, "not the newest");
+            assert_eq!(manager.in_doubt_targets(w.now), &[], "still in doubt");
         }
         for v in 1..record.version.0 {
             let (_, old) = w.platform.get(&history_path(ConfVersion(v))).expect("kept");
--- a/crates/conf/tests/patches/main.rs
+++ b/crates/conf/tests/patches/main.rs
@@ -1,4 +1,4 @@
-//! Patches on several VMs, with a platform and a network that fail.
+//! Tests of patches on several VMs, with faults of the platform, the network and the VMs.
 
 mod cost;
 mod first;
--- a/crates/conf/tests/patches/races.rs
+++ b/crates/conf/tests/patches/races.rs
@@ -1,4 +1,4 @@
-//! Stories of patches that meet each other or a fault.
+//! Scenarios of patches that race with each other or with a fault.
 
 use gs_conf::Change;
 use gs_conf::Patch;
@@ -20,84 +20,84 @@
     }
 }
 
-fn accepted(verdict: &PatchOutcome) -> Option<u64> {
-    match verdict {
+fn accepted(outcome: &PatchOutcome) -> Option<u64> {
+    match outcome {
         PatchOutcome::Accepted { version, .. } => Some(version.0),
         _ => None,
     }
 }
 
 fn propose(w: &mut World, vm: usize, patch: Patch) -> PatchOutcome {
-    let ask = w.propose(vm, patch).expect("the VM runs");
-    w.verdict(ask)
+    let call = w.propose(vm, patch).expect("the VM runs");
+    w.outcome(call)
 }
 
 #[test]
 fn an_accepted_patch_is_in_force_everywhere() {
     let mut w = World::start(4, 1);
-    let verdict = propose(&mut w, 0, patch("a", 1));
+    let outcome = propose(&mut w, 0, patch("a", 1));
     let PatchOutcome::Accepted {
         version,
         in_force,
         awaiting,
         ..
-    } = verdict
+    } = outcome
     else {
-        panic!("{verdict:?}");
+        panic!("{outcome:?}");
     };
     assert_eq!(version, ConfVersion(2));
     assert_eq!(in_force, (0..4).map(name).collect::<Vec<_>>());
     assert_eq!(awaiting, Vec::new());
 }
 
-/// Two operators read version 1 and send different patches through different VMs at the same
-/// moment. One must win, and the other must learn which patch was first; neither may vanish.
+/// Two operators read version 1 and send different patches through different VMs at the same time. One
+/// must be accepted and the other refused with a conflict; neither may be lost.
 #[test]
 fn of_two_racing_patches_one_is_accepted() {
     let mut w = World::start(4, 2);
     let a = w.propose(0, patch("a", 1)).expect("runs");
     let b = w.propose(1, patch("b", 1)).expect("runs");
-    let verdicts = [w.verdict(a), w.verdict(b)];
-    let made: Vec<_> = verdicts.iter().map(accepted).collect();
+    let outcomes = [w.outcome(a), w.outcome(b)];
+    let created: Vec<_> = outcomes.iter().map(accepted).collect();
     assert!(
-        made == [Some(2), None] || made == [None, Some(2)],
-        "{verdicts:?}"
+        created == [Some(2), None] || created == [None, Some(2)],
+        "{outcomes:?}"
     );
-    let loser = verdicts.iter().find(|v| accepted(v).is_none());
+    let loser = outcomes.iter().find(|v| accepted(v).is_none());
     let Some(PatchOutcome::Refused { error, .. }) = loser else {
-        panic!("{verdicts:?}");
+        panic!("{outcomes:?}");
     };
     assert_eq!(error.kind(), ErrorKind::Conflict);
 }
 
-/// The platform commits a patch and its answer is lost on the way. The operator must still hear
-/// that it is accepted, and no second version may come of it.
+/// The platform commits a patch and the reply is lost. The operator must still receive that it is
+/// accepted, and no second version may be created.
 #[test]
 fn a_lost_answer_to_the_commit_is_decided_by_reading_back() {
     let mut w = World::start(4, 3);
-    w.platform.lose = 3;
+    w.platform.lost_replies = 3;
     assert_eq!(accepted(&propose(&mut w, 0, patch("a", 1))), Some(2));
 }
 
-/// The operator's client loses the answer and sends the patch again through another VM, during the
-/// first run and after it. Each gets the same verdict.
+/// The operator's client loses the reply and sends the patch again through another VM, while the first
+/// proposal is in progress and after it. Each call gets the same outcome.
 #[test]
 fn a_resend_through_another_vm_gets_the_same_verdict() {
     let mut w = World::start(4, 4);
     let first = w.propose(0, patch("a", 1)).expect("runs");
     let crossing = w.propose(1, patch("a", 1)).expect("runs");
-    let verdicts = [w.verdict(first), w.verdict(crossing)];
+    let outcomes = [w.outcome(first), w.outcome(crossing)];
     let later = propose(&mut w, 2, patch("a", 1));
-    let made = [
-        accepted(&verdicts[0]),
-        accepted(&verdicts[1]),
+    let created = [
+        accepted(&outcomes[0]),
+        accepted(&outcomes[1]),
         accepted(&later),
     ];
-    assert_eq!(made, [Some(2); 3]);
+    assert_eq!(created, [Some(2); 3]);
 }
 
-/// A VM hangs. A patch could not be in force there, so it is refused with that VM's name, and the
-/// refusal stands when the VM is back and the operator's client sends it again.
+/// A VM is unresponsive, so a patch cannot be in force there. It is refused naming that VM, and the
+/// refusal stays when the VM is back and the operator's client sends the patch again.
 #[test]
 fn a_silent_vm_refuses_a_patch_by_name_and_for_good() {
     let mut w = World::start(4, 5);
@@ -114,9 +114,9 @@
     assert_eq!(accepted(&propose(&mut w, 1, patch("b", 1))), Some(2));
 }
 
-/// The proposer is paused between the acknowledgements and the commit. The others withdraw its
-/// patch, another is accepted, and the proposer wakes up and tries to commit. Its patch must stay
-/// refused and version 2 must stay what it is.
+/// The proposer is paused between the acknowledgements and the commit. The others withdraw its patch,
+/// another one is accepted, and the proposer resumes and tries to commit. Its patch must stay refused
+/// and version 2 unchanged.
 #[test]
 fn a_proposer_that_was_paused_commits_nothing() {
     let mut w = World::start(4, 6);
@@ -128,22 +128,22 @@
     w.run(1_000);
     assert_eq!(accepted(&propose(&mut w, 1, patch("b", 1))), Some(2));
     w.pause(0, false);
-    let verdict = w.verdict(a);
+    let outcome = w.outcome(a);
     assert!(
-        matches!(verdict, PatchOutcome::Refused { .. }),
-        "{verdict:?}"
+        matches!(outcome, PatchOutcome::Refused { .. }),
+        "{outcome:?}"
     );
 }
 
-/// A VM acknowledges and is then cut off from everyone before it learns of the commit. The patch is
-/// accepted, and that VM must not go on serving the old declaration of the lookups it changes.
+/// A VM acknowledges and is then partitioned before it learns of the commit. The patch is accepted, and
+/// that VM must stop serving the old declaration of the changed lookups.
 #[test]
 fn a_vm_cut_off_after_its_acknowledgement_stops_serving_what_the_patch_changes() {
     let mut w = World::start(4, 7);
     let a = w.propose(0, patch("a", 1)).expect("runs");
     let prepared = |w: &World| {
         w.vms[3]
-            .book
+            .manager
             .as_ref()
             .is_some_and(|b| b.pending().is_some())
     };
@@ -152,45 +152,45 @@
     }
     w.run(12);
     assert!(prepared(&w), "the commit is not known there yet");
-    w.vms[3].from_peers = true;
-    w.vms[3].from_platform = true;
-    let PatchOutcome::Accepted { awaiting, .. } = w.verdict(a) else {
+    w.vms[3].cut_from_peers = true;
+    w.vms[3].cut_from_platform = true;
+    let PatchOutcome::Accepted { awaiting, .. } = w.outcome(a) else {
         panic!("all four acknowledged");
     };
     assert_eq!(awaiting, [name(3)]);
-    let book = w.vms[3].book.as_ref().expect("runs");
+    let manager = w.vms[3].manager.as_ref().expect("runs");
     let archive = "archive".parse().expect("a name");
     let any = "any".parse().expect("a name");
     let other = "other".parse().expect("a name");
-    assert!(book.in_doubt(w.now, &archive, &any));
-    assert!(!book.in_doubt(w.now, &other, &any), "the rest is served");
+    assert!(manager.in_doubt(w.now, &archive, &any));
+    assert!(!manager.in_doubt(w.now, &other, &any), "the rest is served");
     w.heal();
     w.run(5_000);
-    let book = w.vms[3].book.as_ref().expect("runs");
-    assert_eq!(book.config().map(|c| c.version), Some(ConfVersion(2)));
+    let manager = w.vms[3].manager.as_ref().expect("runs");
+    assert_eq!(manager.config().map(|c| c.version), Some(ConfVersion(2)));
 }
 
-/// The platform goes away after a patch was prepared and stays away. The operator is told that it
-/// is not decided, and all lookups are served meanwhile, as every VM knows that nobody has it in
-/// force. Once the platform is back the same id gets a final verdict.
+/// The platform becomes unreachable after a patch was prepared. The operator receives that it is not
+/// decided, and all lookups are served meanwhile, because every VM knows that the patch is in force
+/// nowhere. Once the platform is back, the same id gets a final outcome.
 #[test]
 fn an_outage_in_the_middle_leaves_lookups_served() {
     let mut w = World::start(4, 8);
     let a = w.propose(0, patch("a", 1)).expect("runs");
     while w.vms[0]
-        .book
+        .manager
         .as_ref()
         .is_some_and(|b| b.pending().is_none())
     {
         w.run(1);
     }
     w.platform.down = true;
-    let verdict = w.verdict(a);
-    assert!(accepted(&verdict).is_none(), "{verdict:?}");
+    let outcome = w.outcome(a);
+    assert!(accepted(&outcome).is_none(), "{outcome:?}");
     w.run(20_000);
     for vm in &w.vms {
-        let book = vm.book.as_ref().expect("runs");
-        assert_eq!(book.in_doubt_targets(w.now), &[]);
+        let manager = vm.manager.as_ref().expect("runs");
+        assert_eq!(manager.in_doubt_targets(w.now), &[]);
     }
     w.platform.down = false;
     w.run(5_000);
@@ -201,24 +201,24 @@
     );
 }
 
-/// The platform is away when a VM starts. It must serve by the newest that its peers can show, and
-/// not before they showed it.
+/// The platform is unreachable when a VM starts. It must serve by the newest configuration of its peers,
+/// and not before it has it.
 #[test]
 fn a_vm_started_in_an_outage_waits_for_what_its_peers_hold() {
     let mut w = World::start(4, 9);
     assert_eq!(accepted(&propose(&mut w, 0, patch("a", 1))), Some(2));
     w.platform.down = true;
     w.restart(3);
-    assert!(!w.vms[3].book.as_ref().expect("runs").is_ready());
+    assert!(!w.vms[3].manager.as_ref().expect("runs").is_ready());
     w.run(3_000);
-    let book = w.vms[3].book.as_ref().expect("runs");
-    assert!(book.is_ready());
-    assert_eq!(book.config().map(|c| c.version), Some(ConfVersion(2)));
+    let manager = w.vms[3].manager.as_ref().expect("runs");
+    assert!(manager.is_ready());
+    assert_eq!(manager.config().map(|c| c.version), Some(ConfVersion(2)));
 }
 
-/// A VM starts while a patch is being decided, and is cut off right after it read the prepared
-/// record from the platform. It never acknowledged, so it must serve none of what the patch changes
-/// until it knows more.
+/// A VM starts while a patch is being decided, and is partitioned right after it read the prepared
+/// record from the platform. It never acknowledged, so it must serve none of the changed lookups until
+/// it knows the outcome.
 #[test]
 fn a_vm_started_in_between_is_in_doubt_until_told() {
     let mut w = World::start(4, 10);
@@ -227,49 +227,52 @@
     w.run(2_000);
     let a = w.propose(0, patch("a", 1)).expect("runs");
     while w.vms[0]
-        .book
+        .manager
         .as_ref()
         .is_some_and(|b| b.pending().is_none())
     {
         w.run(1);
     }
-    w.platform.slow = 50;
-    w.vms[3].from_peers = true;
+    w.platform.extra_delay_ms = 50;
+    w.vms[3].cut_from_peers = true;
     w.restart(3);
-    while w.vms[3].book.as_ref().is_some_and(|b| b.config().is_none()) {
+    while w.vms[3]
+        .manager
+        .as_ref()
+        .is_some_and(|b| b.config().is_none())
+    {
         w.run(1);
     }
-    w.vms[3].from_platform = true;
-    let book = w.vms[3].book.as_ref().expect("runs");
+    w.vms[3].cut_from_platform = true;
+    let manager = w.vms[3].manager.as_ref().expect("runs");
     let archive = "archive".parse().expect("a name");
     let any = "any".parse().expect("a name");
-    let knows = book.config().map(|c| c.version) == Some(ConfVersion(2));
-    assert!(knows || book.in_doubt(w.now, &archive, &any));
-    let _ = w.verdict(a);
+    let knows = manager.config().map(|c| c.version) == Some(ConfVersion(2));
+    assert!(knows || manager.in_doubt(w.now, &archive, &any));
+    let _ = w.outcome(a);
 }
 
-/// The commit takes effect, and its answer is lost together with the link of the proposer's data
-/// centre to everyone else. The operator sends the patch again elsewhere and hears that it is
-/// accepted. In the cut-off data centre the proposer must not keep its neighbour serving by the
-/// version before, and must not go on itself.
+/// The commit takes effect, but its reply is lost because the proposer's data centre is partitioned. The
+/// operator sends the patch again elsewhere and receives that it is accepted. In the partitioned data
+/// centre the proposer must not let its neighbour serve by the previous version, nor do so itself.
 #[test]
 fn a_cut_off_proposer_that_waits_for_its_answer_keeps_nobody_serving() {
     let mut w = World::start(4, 11);
     let _ = w.propose(0, patch("a", 1)).expect("runs");
     while w.vms[0]
-        .book
+        .manager
         .as_ref()
         .is_some_and(|b| b.pending().is_none())
     {
         w.run(1);
     }
-    w.platform.lose = 10;
+    w.platform.lost_replies = 10;
     while w.platform.record().version == ConfVersion(1) {
         w.run(1);
     }
     for vm in [0, 3] {
-        w.vms[vm].from_platform = true;
-        w.vms[vm].from_peers = true;
+        w.vms[vm].cut_from_platform = true;
+        w.vms[vm].cut_from_peers = true;
     }
     let PatchOutcome::Accepted { awaiting, .. } = propose(&mut w, 1, patch("a", 1)) else {
         panic!("it is committed");
@@ -279,52 +282,56 @@
     w.heal();
     w.run(5_000);
     for vm in &w.vms {
-        let held = vm.book.as_ref().and_then(|b| b.config());
-        assert_eq!(held.map(|c| c.version), Some(ConfVersion(2)));
+        let known = vm.manager.as_ref().and_then(|b| b.config());
+        assert_eq!(known.map(|c| c.version), Some(ConfVersion(2)));
     }
 }
 
-/// A patch hangs, and an operator looks at the dump of the VM that it was given to.
+/// A patch waits for an acknowledgement, and an operator reads the dump of the VM that received it.
 #[test]
 fn the_dump_shows_where_a_patch_stands_and_no_hash_of_a_key() {
     let mut w = World::start(4, 12);
     w.pause(3, true);
     w.propose(0, patch("a", 1)).expect("runs");
     w.run(200);
-    let book = w.vms[0].book.as_ref().expect("runs");
-    let dump = book.dump(w.now);
-    let proposal = dump.proposal.as_ref().expect("under way");
+    let manager = w.vms[0].manager.as_ref().expect("runs");
+    let dump = manager.dump(w.now);
+    let proposal = dump.proposal.as_ref().expect("in progress");
     assert_eq!((proposal.id.as_str(), proposal.state), ("a", "asking"));
     assert_eq!(proposal.acknowledged, [name(1), name(2)]);
     let shown = serde_json::to_string(&dump).expect("JSON");
     assert!(!shown.contains(&gs_conf::hash_key("key")), "{shown}");
 }
 
-/// A VM is off the platform's list and cut off while a patch is accepted. Its link is mended as the
-/// platform goes away, and another VM starts at that moment. The one that missed the patch may
-/// answer it first, and the starting VM must not take lookups by what that one holds.
+/// A VM is not on the platform's list and partitioned while a patch is accepted. Its link is repaired
+/// when the platform becomes unreachable, and another VM starts at that time. The VM that missed the
+/// patch may reply first, and the starting VM must not serve lookups by that older record.
 #[test]
 fn a_vm_started_in_an_outage_is_not_ready_by_the_first_peers_word() {
     for seed in 0..20 {
         let mut w = World::start(4, seed);
-        w.vms[1].from_peers = true;
-        w.vms[1].from_platform = true;
+        w.vms[1].cut_from_peers = true;
+        w.vms[1].cut_from_platform = true;
         w.delist(1);
         w.run(2_000);
         assert_eq!(accepted(&propose(&mut w, 0, patch("a", 1))), Some(2));
         w.platform.down = true;
-        w.vms[1].from_peers = false;
+        w.vms[1].cut_from_peers = false;
         w.restart(3);
-        while !w.vms[3].book.as_ref().is_some_and(|b| b.is_ready()) {
+        while !w.vms[3].manager.as_ref().is_some_and(|b| b.is_ready()) {
             w.run(1);
         }
-        let held = w.vms[3].book.as_ref().and_then(|b| b.config());
-        assert_eq!(held.map(|c| c.version), Some(ConfVersion(2)), "seed {seed}");
+        let known = w.vms[3].manager.as_ref().and_then(|b| b.config());
+        assert_eq!(
+            known.map(|c| c.version),
+            Some(ConfVersion(2)),
+            "seed {seed}"
+        );
     }
 }
 
-/// The platform is away and a patch hangs in the middle. An operator's dry run asks nobody and
-/// writes nothing, so it is answered at once.
+/// The platform is unreachable and a patch is undecided. An operator's dry run sends no messages and
+/// writes nothing, so it is answered immediately.
 #[test]
 fn a_dry_run_waits_for_nothing_and_changes_nothing() {
     let mut w = World::start(4, 13);
@@ -332,16 +339,16 @@
     w.propose(0, patch("a", 1)).expect("runs");
     w.run(100);
     w.cost = crate::world::Cost::default();
-    let verdict = w.dry_run(0, patch("b", 1));
+    let outcome = w.dry_run(0, patch("b", 1));
     assert!(
         matches!(
-            verdict,
+            outcome,
             PatchOutcome::Checked {
                 version: ConfVersion(2),
                 ..
             }
         ),
-        "{verdict:?}"
+        "{outcome:?}"
     );
     let stale = w.dry_run(0, patch("b", 0));
     assert!(!matches!(stale, PatchOutcome::Checked { .. }), "{stale:?}");
--- a/crates/conf/tests/patches/world/mod.rs
+++ b/crates/conf/tests/patches/world/mod.rs
@@ -1,4 +1,4 @@
-//! Several books with a platform, a network and clocks that misbehave as told, in virtual time.
+//! A simulation in virtual time of several VMs with a platform and a network that fail on demand.
 
 mod oracle;
 mod platform;
@@ -24,20 +24,20 @@
 use oracle::Oracle;
 pub use platform::Platform;
 
-/// A VM: its running book, if any, and what waits while it is paused.
+/// A VM: its configuration manager, if it runs, and the events that wait while it is paused.
 pub struct Vm {
-    pub book: Option<ConfigManager>,
+    pub manager: Option<ConfigManager>,
     pub incarnation: u64,
     pub paused: bool,
-    pub from_platform: bool,
-    pub from_peers: bool,
-    waiting: Vec<Event>,
-    wake: u64,
+    pub cut_from_platform: bool,
+    pub cut_from_peers: bool,
+    queued_events: Vec<Event>,
+    timer_id: u64,
 }
 
-/// Something that happens later.
+/// A scheduled event.
 #[derive(Clone, Debug)]
-enum Later {
+enum Scheduled {
     Deliver(usize, usize, Message),
     Tick(u64),
     Call(platform::Call),
@@ -46,7 +46,7 @@
     Members,
 }
 
-/// What was sent.
+/// The number of messages, bytes and platform calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
     pub messages: usize,
@@ -54,23 +54,23 @@
     pub calls: usize,
 }
 
-/// All that there is.
+/// The simulation.
 pub struct World {
     pub now: Instant,
     pub vms: Vec<Vm>,
     pub platform: Platform,
     pub loss: f64,
     pub oracle: Oracle,
-    /// What the VMs create where there is no configuration.
+    /// The first configuration that the VMs create if there is none.
     pub bootstrap: Option<Bootstrap>,
-    /// Messages sent and their bytes as the mesh codes them; calls to the platform.
+    /// Messages sent and their bytes as encoded by the mesh; calls to the platform.
     pub cost: Cost,
     rng: ChaCha8Rng,
-    agenda: BTreeMap<(Instant, u64), (usize, u64, Later)>,
-    count: u64,
+    event_queue: BTreeMap<(Instant, u64), (usize, u64, Scheduled)>,
+    scheduled_count: u64,
 }
 
-/// The name of a VM by its number.
+/// Returns the name of a VM by its number.
 pub fn name(vm: usize) -> VmId {
     format!("vm-{vm}").parse().expect("a name")
 }
@@ -83,7 +83,7 @@
         w
     }
 
-    /// Makes `n` VMs that do not run yet.
+    /// Creates `n` VMs that do not run yet.
     pub fn new(n: usize, seed: u64, platform: Platform) -> Self {
         let mut w = Self {
             now: Instant::now(),
@@ -94,18 +94,18 @@
             bootstrap: None,
             cost: Cost::default(),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            agenda: BTreeMap::new(),
-            count: 0,
+            event_queue: BTreeMap::new(),
+            scheduled_count: 0,
         };
         for _ in 0..n {
             w.vms.push(Vm {
-                book: None,
+                manager: None,
                 incarnation: 0,
                 paused: false,
-                from_platform: false,
-                from_peers: false,
-                waiting: Vec::new(),
-                wake: 0,
+                cut_from_platform: false,
+                cut_from_peers: false,
+                queued_events: Vec::new(),
+                timer_id: 0,
             });
         }
         w
@@ -121,21 +121,21 @@
 
     /// Proposes a patch on a VM; returns the call.
     pub fn propose(&mut self, vm: usize, patch: Patch) -> Option<CallId> {
-        self.vms[vm].book.as_ref()?;
-        let ask = self.oracle.asked(vm, self.vms[vm].incarnation, &patch);
+        self.vms[vm].manager.as_ref()?;
+        let call = self.oracle.on_call(vm, self.vms[vm].incarnation, &patch);
         let event = Event::Propose {
-            ask,
+            ask: call,
             team: "ops".parse().expect("a name"),
             patch,
             dry_run: false,
         };
         self.feed(vm, event);
-        Some(ask)
+        Some(call)
     }
 
-    /// The verdict of a dry run on a VM; it must come at once.
+    /// Returns the outcome of a dry run on a VM, which must be immediate.
     pub fn dry_run(&mut self, vm: usize, patch: Patch) -> PatchOutcome {
-        let book = self.vms[vm].book.as_mut().expect("the VM runs");
+        let manager = self.vms[vm].manager.as_mut().expect("the VM runs");
         let event = Event::Propose {
             ask: CallId(u64::MAX),
             team: "ops".parse().expect("a name"),
@@ -143,21 +143,21 @@
             dry_run: true,
         };
         let mut out = Vec::new();
-        book.on(self.now, event, &mut out);
-        let verdicts = out.into_iter().filter_map(|a| match a {
-            Action::Verdict(_, verdict) => Some(verdict),
+        manager.on(self.now, event, &mut out);
+        let outcomes = out.into_iter().filter_map(|a| match a {
+            Action::Verdict(_, outcome) => Some(outcome),
             _ => None,
         });
-        let verdicts: Vec<_> = verdicts.collect();
-        assert_eq!(verdicts.len(), 1);
-        verdicts[0].clone()
+        let outcomes: Vec<_> = outcomes.collect();
+        assert_eq!(outcomes.len(), 1);
+        outcomes[0].clone()
     }
 
     /// Kills the process on a VM.
     pub fn kill(&mut self, vm: usize) {
-        self.vms[vm].book = None;
+        self.vms[vm].manager = None;
         self.vms[vm].paused = false;
-        self.vms[vm].waiting.clear();
+        self.vms[vm].queued_events.clear();
     }
 
     /// Starts a new process on a VM.
@@ -171,41 +171,41 @@
             .seed(v.incarnation * 100 + vm as u64)
             .maybe_bootstrap(self.bootstrap.clone())
             .build();
-        v.book = Some(ConfigManager::new(options).expect("the chart fits"));
+        v.manager = Some(ConfigManager::new(options).expect("a valid definition"));
         self.feed(vm, Event::Start);
-        self.later(vm, 5, Later::Members);
+        self.schedule(vm, 5, Scheduled::Members);
         self.platform.list(vm, true);
-        self.tell_members();
+        self.schedule_member_lists();
     }
 
-    /// Stops or continues a VM's process.
+    /// Pauses or resumes a VM's process.
     pub fn pause(&mut self, vm: usize, paused: bool) {
-        if self.vms[vm].book.is_none() {
+        if self.vms[vm].manager.is_none() {
             return;
         }
         self.vms[vm].paused = paused;
         if !paused {
             self.oracle.check(self.now, &self.vms);
-            for event in std::mem::take(&mut self.vms[vm].waiting) {
+            for event in std::mem::take(&mut self.vms[vm].queued_events) {
                 self.feed(vm, event);
             }
         }
     }
 
-    /// Takes a VM off the platform's list; the others learn of it late.
+    /// Removes a VM from the platform's list; the others learn of it with a delay.
     pub fn delist(&mut self, vm: usize) {
         self.platform.list(vm, false);
-        self.tell_members();
+        self.schedule_member_lists();
     }
 
-    /// Ends every fault but for killed processes, which are started again.
+    /// Ends every fault and restarts killed processes.
     pub fn heal(&mut self) {
         self.loss = 0.0;
         self.platform.heal();
         for vm in 0..self.vms.len() {
-            self.vms[vm].from_platform = false;
-            self.vms[vm].from_peers = false;
-            if self.vms[vm].book.is_none() {
+            self.vms[vm].cut_from_platform = false;
+            self.vms[vm].cut_from_peers = false;
+            if self.vms[vm].manager.is_none() {
                 self.restart(vm);
             }
             self.pause(vm, false);
@@ -213,86 +213,88 @@
         self.unstall();
     }
 
-    /// The writes that the platform held back take effect now.
+    /// Applies the writes that the platform stalled.
     pub fn unstall(&mut self) {
-        let landed = self.platform.land_stalled();
-        for write in &landed {
-            self.oracle.wrote(write);
+        let applied = self.platform.apply_stalled();
+        for write in &applied {
+            self.oracle.on_write(write);
         }
-        self.notify(landed);
+        self.notify(applied);
     }
 
-    /// Lets time pass, in milliseconds.
+    /// Advances the time by this many milliseconds.
     pub fn run(&mut self, ms: u64) {
         let until = self.now + Duration::from_millis(ms);
-        while let Some(entry) = self.agenda.first_entry() {
+        while let Some(entry) = self.event_queue.first_entry() {
             let at = entry.key().0;
             if at > until {
                 break;
             }
-            let (vm, incarnation, later) = entry.remove();
+            let (vm, incarnation, scheduled) = entry.remove();
             self.now = self.now.max(at);
-            self.happen(vm, incarnation, later);
+            self.run_scheduled(vm, incarnation, scheduled);
             self.oracle.check(self.now, &self.vms);
         }
         self.now = until;
         self.oracle.check(self.now, &self.vms);
     }
 
-    /// Runs until a call has its verdict.
-    pub fn verdict(&mut self, ask: CallId) -> PatchOutcome {
+    /// Runs until a call has its outcome.
+    pub fn outcome(&mut self, call: CallId) -> PatchOutcome {
         for _ in 0..3_000 {
-            if let Some(v) = self.oracle.verdict(ask) {
+            if let Some(v) = self.oracle.outcome(call) {
                 return v;
             }
             self.run(10);
         }
-        panic!("no verdict within 30 s");
+        panic!("no outcome within 30 s");
     }
 
-    /// Whether two VMs hear each other.
+    /// Whether two VMs can exchange messages.
     fn connected(&self, a: usize, b: usize) -> bool {
-        self.vms[a].from_peers == self.vms[b].from_peers
+        self.vms[a].cut_from_peers == self.vms[b].cut_from_peers
     }
 
-    fn tell_members(&mut self) {
+    fn schedule_member_lists(&mut self) {
         for vm in 0..self.vms.len() {
-            let late = self.rng.random_range(1..800);
-            self.later(vm, late, Later::Members);
+            let delay_ms = self.rng.random_range(1..800);
+            self.schedule(vm, delay_ms, Scheduled::Members);
         }
     }
 
-    fn later(&mut self, vm: usize, ms: u64, later: Later) {
-        self.count += 1;
+    fn schedule(&mut self, vm: usize, ms: u64, scheduled: Scheduled) {
+        self.scheduled_count += 1;
         let at = self.now + Duration::from_millis(ms);
         let incarnation = self.vms.get(vm).map_or(0, |v| v.incarnation);
-        self.agenda
-            .insert((at, self.count), (vm, incarnation, later));
+        self.event_queue
+            .insert((at, self.scheduled_count), (vm, incarnation, scheduled));
     }
 
-    fn happen(&mut self, vm: usize, incarnation: u64, later: Later) {
-        if let Later::Call(call) = later {
+    fn run_scheduled(&mut self, vm: usize, incarnation: u64, scheduled: Scheduled) {
+        if let Scheduled::Call(call) = scheduled {
             self.cost.calls += 1;
             return self.call(vm, incarnation, call);
         }
-        if self.vms[vm].book.is_none() {
+        if self.vms[vm].manager.is_none() {
             return;
         }
-        match later {
-            Later::Deliver(from, to, m) if self.connected(from, to) => {
+        match scheduled {
+            Scheduled::Deliver(from, to, m) if self.connected(from, to) => {
                 self.feed(vm, Event::Message(name(from), m));
             }
-            Later::Tick(wake) if self.vms[vm].wake == wake => self.feed(vm, Event::Tick),
-            Later::Answer(event) if self.vms[vm].incarnation == incarnation => {
+            Scheduled::Tick(timer_id) if self.vms[vm].timer_id == timer_id => {
+                self.feed(vm, Event::Tick)
+            }
+            Scheduled::Answer(event) if self.vms[vm].incarnation == incarnation => {
                 self.feed(vm, event);
             }
-            // A process gets no word of the watches of the one before it.
-            Later::Watch(event)
-                if !self.vms[vm].from_platform && self.vms[vm].incarnation == incarnation =>
+            // A process receives no updates from the watches of its predecessor.
+            Scheduled::Watch(event)
+                if !self.vms[vm].cut_from_platform && self.vms[vm].incarnation == incarnation =>
             {
                 self.feed(vm, event);
             }
-            Later::Members => {
+            Scheduled::Members => {
                 let members = self.platform.listed().map(name).collect();
                 self.feed(vm, Event::Members(members));
             }
@@ -301,25 +303,27 @@
     }
 
     fn call(&mut self, vm: usize, incarnation: u64, call: platform::Call) {
-        let cut = self.vms[vm].from_platform;
-        let (answer, after, changed) = self.platform.answer(call, cut, self.now);
+        let partitioned = self.vms[vm].cut_from_platform;
+        let (answer, after, changed) = self.platform.answer(call, partitioned, self.now);
         if let Some(write) = changed {
-            self.oracle.wrote(&write);
+            self.oracle.on_write(&write);
             self.notify(vec![write]);
         }
-        self.count += 1;
+        self.scheduled_count += 1;
         let at = self.now + Duration::from_millis(after);
-        self.agenda
-            .insert((at, self.count), (vm, incarnation, Later::Answer(answer)));
+        self.event_queue.insert(
+            (at, self.scheduled_count),
+            (vm, incarnation, Scheduled::Answer(answer)),
+        );
     }
 
-    /// The watch of every VM that reaches the platform brings what was written.
+    /// Schedules a watch update with the write for every VM that reaches the platform.
     fn notify(&mut self, writes: Vec<platform::Written>) {
         for write in writes {
             for vm in 0..self.vms.len() {
-                if !self.vms[vm].from_platform && write.is_current() {
-                    let late = self.rng.random_range(1..40);
-                    self.later(vm, late, Later::Watch(write.event()));
+                if !self.vms[vm].cut_from_platform && write.is_current() {
+                    let delay_ms = self.rng.random_range(1..40);
+                    self.schedule(vm, delay_ms, Scheduled::Watch(write.event()));
                 }
             }
         }
@@ -327,12 +331,12 @@
 
     fn feed(&mut self, vm: usize, event: Event) {
         if self.vms[vm].paused {
-            self.vms[vm].waiting.push(event);
+            self.vms[vm].queued_events.push(event);
             return;
         }
         let mut out = Vec::new();
-        if let Some(book) = &mut self.vms[vm].book {
-            book.on(self.now, event, &mut out);
+        if let Some(manager) = &mut self.vms[vm].manager {
+            manager.on(self.now, event, &mut out);
         }
         for action in out {
             self.act(vm, action);
@@ -342,7 +346,7 @@
     fn act(&mut self, vm: usize, action: Action) {
         let delay = self.rng.random_range(1..10);
         match action {
-            Action::Read => self.later(vm, delay, Later::Call(platform::Call::Read)),
+            Action::Read => self.schedule(vm, delay, Scheduled::Call(platform::Call::Read)),
             Action::Write {
                 id,
                 path,
@@ -355,7 +359,7 @@
                     if_version,
                     content,
                 };
-                self.later(vm, delay, Later::Call(call));
+                self.schedule(vm, delay, Scheduled::Call(call));
             }
             Action::Prune(path) => self.platform.prune(&path),
             Action::Send(to, m) => self.send(vm, &to, m),
@@ -366,19 +370,19 @@
                     }
                 }
             }
-            Action::Apply(cfg) => self.oracle.applied(vm, self.vms[vm].incarnation, &cfg),
+            Action::Apply(cfg) => self.oracle.on_apply(vm, self.vms[vm].incarnation, &cfg),
             Action::Doubt(_) => {}
-            Action::Verdict(ask, verdict) => self.oracle.decided(ask, verdict),
+            Action::Verdict(call, outcome) => self.oracle.on_outcome(call, outcome),
             Action::Wake(after) => {
-                self.vms[vm].wake += 1;
+                self.vms[vm].timer_id += 1;
                 let ms = u64::try_from(after.as_millis()).expect("a short wait");
-                let wake = self.vms[vm].wake;
-                self.later(vm, ms.max(1), Later::Tick(wake));
+                let timer_id = self.vms[vm].timer_id;
+                self.schedule(vm, ms.max(1), Scheduled::Tick(timer_id));
             }
         }
     }
 
-    /// Sends a message that may be lost, doubled, late or crossed.
+    /// Sends a message that may be lost, duplicated, delayed or reordered.
     fn send(&mut self, from: usize, to: &VmId, m: Message) {
         let Some(to) = (0..self.vms.len()).find(|vm| name(*vm) == *to) else {
             return;
@@ -392,9 +396,9 @@
         };
         for _ in 0..copies {
             let slow = self.rng.random::<f64>() < self.loss;
-            let late = self.rng.random_range(1..if slow { 400 } else { 12 });
+            let delay_ms = self.rng.random_range(1..if slow { 400 } else { 12 });
             if self.connected(from, to) {
-                self.later(to, late, Later::Deliver(from, to, m.clone()));
+                self.schedule(to, delay_ms, Scheduled::Deliver(from, to, m.clone()));
             }
         }
     }
--- a/crates/conf/tests/patches/world/oracle.rs
+++ b/crates/conf/tests/patches/world/oracle.rs
@@ -1,4 +1,4 @@
-//! What the brief promises of patches, and nothing else.
+//! Checks the guarantees for patches, and nothing else.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -14,47 +14,49 @@
 use super::name;
 use super::platform::Written;
 
-/// Notes what was asked, written, applied and told, and fails where a promise is broken.
+/// Records calls, writes, applied versions and outcomes, and panics if a guarantee is violated.
 #[derive(Default)]
 pub struct Oracle {
-    asks: u64,
-    asked: BTreeMap<CallId, (usize, u64, PatchId)>,
-    touched: BTreeMap<PatchId, Vec<AffectedTarget>>,
-    verdicts: BTreeMap<CallId, PatchOutcome>,
-    /// The patch of each version, as the platform took them.
+    calls_made: u64,
+    calls: BTreeMap<CallId, (usize, u64, PatchId)>,
+    affected: BTreeMap<PatchId, Vec<AffectedTarget>>,
+    outcomes: BTreeMap<CallId, PatchOutcome>,
+    /// The patch of each version, as written to the platform.
     versions: BTreeMap<ConfVersion, PatchId>,
     refused: BTreeMap<PatchId, CallId>,
     accepted: BTreeMap<PatchId, ConfVersion>,
-    /// Of each accepted patch: the VMs that the verdict speaks for.
-    claims: Vec<(ConfVersion, PatchId, Vec<VmId>)>,
+    /// For each accepted patch, the VMs that its outcome covers.
+    covered: Vec<(ConfVersion, PatchId, Vec<VmId>)>,
     in_force: BTreeMap<(usize, u64), ConfVersion>,
 }
 
 impl Oracle {
-    pub fn asked(&mut self, vm: usize, incarnation: u64, patch: &Patch) -> CallId {
-        self.asks += 1;
-        let ask = CallId(self.asks);
-        self.asked.insert(ask, (vm, incarnation, patch.id.clone()));
-        self.touched.insert(patch.id.clone(), patch.affected());
-        ask
+    pub fn on_call(&mut self, vm: usize, incarnation: u64, patch: &Patch) -> CallId {
+        self.calls_made += 1;
+        let call = CallId(self.calls_made);
+        self.calls.insert(call, (vm, incarnation, patch.id.clone()));
+        self.affected.insert(patch.id.clone(), patch.affected());
+        call
     }
 
-    pub fn verdict(&self, ask: CallId) -> Option<PatchOutcome> {
-        self.verdicts.get(&ask).cloned()
+    pub fn outcome(&self, call: CallId) -> Option<PatchOutcome> {
+        self.outcomes.get(&call).cloned()
     }
 
-    /// Calls without a verdict whose process still runs.
+    /// Returns the calls without an outcome whose process still runs.
     pub fn unanswered(&self, vms: &[Vm]) -> Vec<CallId> {
-        let lives = |vm: usize, run: u64| vms[vm].book.is_some() && vms[vm].incarnation == run;
-        let open = self
-            .asked
-            .iter()
-            .filter(|(ask, (vm, run, _))| lives(*vm, *run) && !self.verdicts.contains_key(ask));
-        open.map(|(ask, _)| *ask).collect()
+        let is_running = |vm: usize, incarnation: u64| {
+            vms[vm].manager.is_some() && vms[vm].incarnation == incarnation
+        };
+        let open = self.calls.iter().filter(|(call, (vm, incarnation, _))| {
+            is_running(*vm, *incarnation) && !self.outcomes.contains_key(call)
+        });
+        open.map(|(call, _)| *call).collect()
     }
 
-    /// Each version is made by one patch, each patch makes one version, and none is left out.
-    pub fn wrote(&mut self, write: &Written) {
+    /// Checks that each version is created by one patch, each patch creates one version, and none is
+    /// skipped.
+    pub fn on_write(&mut self, write: &Written) {
         if !write.is_current() {
             return;
         }
@@ -74,8 +76,8 @@
         self.versions.insert(record.version, patch);
     }
 
-    /// No process goes back, and none has a refused patch in force.
-    pub fn applied(&mut self, vm: usize, incarnation: u64, cfg: &Config) {
+    /// Checks that no process returns to an older version or has a refused patch in force.
+    pub fn on_apply(&mut self, vm: usize, incarnation: u64, cfg: &Config) {
         let before = self.in_force.insert((vm, incarnation), cfg.version);
         let forward = before.is_none_or(|v| cfg.version > v);
         assert!(
@@ -91,58 +93,58 @@
         }
     }
 
-    /// A verdict is given once, and no two verdicts on a patch differ.
-    pub fn decided(&mut self, ask: CallId, verdict: PatchOutcome) {
-        let id = self.asked.get(&ask).expect("asked").2.clone();
-        match &verdict {
+    /// Checks that a call gets one outcome and that the outcomes of a patch do not contradict.
+    pub fn on_outcome(&mut self, call: CallId, outcome: PatchOutcome) {
+        let id = self.calls.get(&call).expect("a known call").2.clone();
+        match &outcome {
             PatchOutcome::Accepted {
                 version,
                 in_force,
                 awaiting,
                 ..
             } => {
-                let made = self.versions.get(version);
-                assert_eq!(made, Some(&id), "accepted, but not in the history");
+                let created = self.versions.get(version);
+                assert_eq!(created, Some(&id), "accepted, but not in the history");
                 let before = self.accepted.insert(id.clone(), *version);
                 assert!(before.is_none_or(|v| v == *version), "two versions of {id}");
                 assert!(!self.refused.contains_key(&id), "{id} was refused before");
                 let vms = in_force.iter().chain(awaiting).cloned().collect();
-                self.claims.push((*version, id, vms));
+                self.covered.push((*version, id, vms));
             }
             PatchOutcome::Refused { .. } => {
-                let made = self.versions.values().any(|p| *p == id);
-                assert!(!made, "{id} is refused, and in the history");
-                self.refused.insert(id, ask);
+                let created = self.versions.values().any(|p| *p == id);
+                assert!(!created, "{id} is refused, and in the history");
+                self.refused.insert(id, call);
             }
             PatchOutcome::Undecided { .. } => {}
-            PatchOutcome::Checked { .. } => panic!("nobody asked for a dry run"),
+            PatchOutcome::Checked { .. } => panic!("the call is not a dry run"),
         }
-        let before = self.verdicts.insert(ask, verdict);
-        assert_eq!(before, None, "two verdicts for one call");
+        let before = self.outcomes.insert(call, outcome);
+        assert_eq!(before, None, "two outcomes for one call");
     }
 
-    /// Once a patch is accepted, no VM that the verdict speaks for serves what it changes by an
-    /// older version.
+    /// Checks that once a patch is accepted, no VM that its outcome covers serves the changed lookups by
+    /// an older version.
     pub fn check(&self, now: Instant, vms: &[Vm]) {
-        for (version, patch, names) in &self.claims {
+        for (version, patch, names) in &self.covered {
             for (at, vm) in vms.iter().enumerate() {
-                let Some(book) = vm.book.as_ref().filter(|b| b.is_ready()) else {
+                let Some(manager) = vm.manager.as_ref().filter(|b| b.is_ready()) else {
                     continue;
                 };
                 if !names.contains(&name(at)) {
                     continue;
                 }
-                let held = book.config().expect("a ready VM holds one").version;
-                let silent = self.touched[patch].iter().all(|t| {
+                let known = manager.config().expect("a ready VM holds one").version;
+                let refuses = self.affected[patch].iter().all(|t| {
                     let lookup = t
                         .lookup
                         .clone()
                         .unwrap_or_else(|| "any".parse().expect("a name"));
-                    book.in_doubt(now, &t.front, &lookup)
+                    manager.in_doubt(now, &t.front, &lookup)
                 });
                 assert!(
-                    held >= *version || silent,
-                    "{patch} is accepted as {version}, and {} serves by {held}",
+                    known >= *version || refuses,
+                    "{patch} is accepted as {version}, and {} serves by {known}",
                     name(at)
                 );
             }
--- a/crates/conf/tests/patches/world/platform.rs
+++ b/crates/conf/tests/patches/world/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's objects in virtual time.
+//! A simulated platform in virtual time.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -14,7 +14,7 @@
 use gs_conf::hash_key;
 use gs_types::prelude::*;
 
-/// A call on its way to the platform.
+/// A call to the platform in transit.
 #[derive(Clone, Debug)]
 pub enum Call {
     Read,
@@ -47,15 +47,15 @@
     }
 }
 
-/// The platform's objects, and how it misbehaves.
+/// The platform's objects and its faults.
 pub struct Platform {
     pub down: bool,
-    /// How many answers of writes that take effect to lose.
-    pub lose: u32,
-    /// Writes are taken without an answer, and take effect only when this ends.
+    /// The number of replies to lose of writes that take effect.
+    pub lost_replies: u32,
+    /// Whether writes are accepted without a reply and take effect only when the stall ends.
     pub stall: bool,
-    /// Calls whose answer takes so many milliseconds more.
-    pub slow: u64,
+    /// The additional time of a call in milliseconds.
+    pub extra_delay_ms: u64,
     revision: u64,
     objects: BTreeMap<String, (u64, Arc<str>)>,
     stalled: Vec<(String, u64, Arc<str>)>,
@@ -63,7 +63,7 @@
 }
 
 impl Platform {
-    /// Holds version 1 with an admin team.
+    /// Creates a platform with version 1, which has an admin team.
     pub fn new(vms: usize) -> Self {
         let team = Team {
             name: "ops".parse().expect("a name"),
@@ -79,9 +79,9 @@
         let content = serde_json::to_string(&first).expect("JSON").into();
         Self {
             down: false,
-            lose: 0,
+            lost_replies: 0,
             stall: false,
-            slow: 0,
+            extra_delay_ms: 0,
             revision: 1,
             objects: BTreeMap::from([(CURRENT_PATH.to_owned(), (1, content))]),
             stalled: Vec::new(),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Holds nothing.
+    /// Creates a platform without objects.
     pub fn empty(vms: usize) -> Self {
         let mut platform = Self::new(vms);
         platform.objects.clear();
@@ -98,8 +98,8 @@
 
     pub fn heal(&mut self) {
         self.down = false;
-        self.lose = 0;
-        self.slow = 0;
+        self.lost_replies = 0;
+        self.extra_delay_ms = 0;
     }
 
     pub fn list(&mut self, vm: usize, on: bool) {
@@ -117,7 +117,7 @@
         self.objects.get(path)
     }
 
-    /// What the object of the configuration holds.
+    /// Returns the record in the configuration object.
     pub fn record(&self) -> Record {
         let (_, content) = self.objects.get(CURRENT_PATH).expect("there");
         Record::parse(content).expect("a record")
@@ -127,17 +127,17 @@
         self.objects.remove(path);
     }
 
-    /// The answer to a call, how many milliseconds later it is there, and what was written.
+    /// Returns the reply to a call, its delay in milliseconds, and the write that took effect.
     pub fn answer(
         &mut self,
         call: Call,
-        cut: bool,
+        partitioned: bool,
         _now: Instant,
     ) -> (Event, u64, Option<Written>) {
-        let after = 3 + self.slow;
+        let after = 3 + self.extra_delay_ms;
         match call {
-            Call::Read => (Event::Read(self.read(cut)), after, None),
-            Call::Write { id, .. } if cut => (lost(id), 300, None),
+            Call::Read => (Event::Read(self.read(partitioned)), after, None),
+            Call::Write { id, .. } if partitioned => (unknown_result(id), 300, None),
             Call::Write { id, .. } if self.down => {
                 (Event::Wrote(id, WriteResult::Failed), after, None)
             }
@@ -148,7 +148,7 @@
                 content,
             } if self.stall => {
                 self.stalled.push((path, if_version, content));
-                (lost(id), 300, None)
+                (unknown_result(id), 300, None)
             }
             Call::Write {
                 id,
@@ -157,9 +157,9 @@
                 content,
             } => match self.put(path, if_version, content) {
                 None => (Event::Wrote(id, WriteResult::Conflict), after, None),
-                Some(w) if self.lose > 0 => {
-                    self.lose -= 1;
-                    (lost(id), 300, Some(w))
+                Some(w) if self.lost_replies > 0 => {
+                    self.lost_replies -= 1;
+                    (unknown_result(id), 300, Some(w))
                 }
                 Some(w) => {
                     let done = WriteResult::Done(w.object);
@@ -169,17 +169,17 @@
         }
     }
 
-    /// The writes held back take effect now, where their condition still holds.
-    pub fn land_stalled(&mut self) -> Vec<Written> {
+    /// Ends the stall: applies the stalled writes whose condition still holds.
+    pub fn apply_stalled(&mut self) -> Vec<Written> {
         self.stall = false;
         let stalled = std::mem::take(&mut self.stalled);
-        let landed = stalled.into_iter().map(|(p, v, c)| self.put(p, v, c));
-        landed.collect::<Vec<_>>().into_iter().flatten().collect()
+        let applied = stalled.into_iter().map(|(p, v, c)| self.put(p, v, c));
+        applied.collect::<Vec<_>>().into_iter().flatten().collect()
     }
 
-    fn read(&self, cut: bool) -> ReadResult {
+    fn read(&self, partitioned: bool) -> ReadResult {
         match self.objects.get(CURRENT_PATH) {
-            _ if cut || self.down => ReadResult::Failed,
+            _ if partitioned || self.down => ReadResult::Failed,
             None => ReadResult::Missing,
             Some((object, content)) => ReadResult::Found {
                 object: *object,
@@ -204,6 +204,6 @@
     }
 }
 
-fn lost(id: WriteId) -> Event {
+fn unknown_result(id: WriteId) -> Event {
     Event::Wrote(id, WriteResult::Unknown)
 }
--- a/crates/conf/tests/rules/bytes.rs
+++ b/crates/conf/tests/rules/bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes from outside: patches and records that are garbled.
+//! Malformed input: patches and records with arbitrary bytes.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -19,7 +19,7 @@
 
 use crate::samples::config;
 
-fn fixed() -> ProptestConfig {
+fn fuzz_config() -> ProptestConfig {
     let cases = std::env::var("GS_FUZZ_CASES").ok();
     ProptestConfig {
         rng_seed: RngSeed::Fixed(20_261_203),
@@ -29,14 +29,14 @@
     }
 }
 
-/// Text like a patch's, with bytes struck out, doubled or changed.
-fn garbled() -> impl Strategy<Value = Vec<u8>> {
-    let whole = r#"{"id":"p-1","against":7,"changes":[{"put-front":{"name":"a","lookups":[
+/// Generates the JSON of a patch with bytes changed, inserted or truncated.
+fn malformed() -> impl Strategy<Value = Vec<u8>> {
+    let valid = r#"{"id":"p-1","against":7,"changes":[{"put-front":{"name":"a","lookups":[
         {"name":"q","group":"g","scope":"scatter","promise":"urgent","deadline":"250ms",
         "page":20,"enough_at":null}]}},{"remove-lookup":{"front":"a","lookup":"q"}}]}"#;
-    let edits = prop::collection::vec((0..whole.len(), any::<u8>(), 0..3_u8), 0..6);
+    let edits = prop::collection::vec((0..valid.len(), any::<u8>(), 0..3_u8), 0..6);
     edits.prop_map(move |edits| {
-        let mut bytes = whole.as_bytes().to_vec();
+        let mut bytes = valid.as_bytes().to_vec();
         for (at, byte, kind) in edits {
             let at = at % bytes.len().max(1);
             match kind {
@@ -53,11 +53,11 @@
 }
 
 proptest! {
-    #![proptest_config(fixed())]
+    #![proptest_config(fuzz_config())]
 
-    /// Whatever parses is checked without a panic, and whatever is checked keeps the rules.
+    /// A patch that parses is checked without a panic, and one that passes results in a valid configuration.
     #[test]
-    fn no_bytes_of_a_patch_cause_a_panic(bytes in garbled()) {
+    fn no_bytes_of_a_patch_cause_a_panic(bytes in malformed()) {
         let patch = serde_json::from_slice::<Patch>(&bytes).ok();
         let checked = patch.and_then(|p| check_patch(&config(), &p, None).ok());
         if let Some((next, _)) = checked {
@@ -70,19 +70,19 @@
         let _ = Record::parse(&String::from_utf8_lossy(&bytes));
     }
 
-    /// A peer or the platform shows garbage with a high version: what is held stays.
+    /// A malformed record with a higher object version, from a peer or the platform, is ignored.
     #[test]
-    fn a_garbled_record_replaces_nothing(bytes in garbled(), from_peer in any::<bool>()) {
+    fn a_garbled_record_replaces_nothing(bytes in malformed(), from_peer in any::<bool>()) {
         let now = Instant::now();
         let options = ConfigManagerOptions::builder()
             .vm("vm-1".parse().expect("a name"))
             .incarnation(Incarnation(1))
             .seed(1)
             .build();
-        let mut book = ConfigManager::new(options).expect("the chart fits");
+        let mut manager = ConfigManager::new(options).expect("a valid definition");
         let mut out = Vec::new();
         let content: Arc<str> = serde_json::to_string(&config()).expect("JSON").into();
-        book.on(now, Event::Read(ReadResult::Found { object: 1, content }), &mut out);
+        manager.on(now, Event::Read(ReadResult::Found { object: 1, content }), &mut out);
         let content: Arc<str> = String::from_utf8_lossy(&bytes).into();
         let event = match from_peer {
             true => Event::Message(
@@ -91,8 +91,8 @@
             ),
             false => Event::Read(ReadResult::Found { object: 9, content }),
         };
-        book.on(now, event, &mut out);
-        prop_assert_eq!(book.config().map(|c| c.version), Some(ConfVersion(7)));
-        prop_assert_eq!(book.summary().object, 1);
+        manager.on(now, event, &mut out);
+        prop_assert_eq!(manager.config().map(|c| c.version), Some(ConfVersion(7)));
+        prop_assert_eq!(manager.summary().object, 1);
     }
 }
--- a/crates/conf/tests/rules/changes.rs
+++ b/crates/conf/tests/rules/changes.rs
@@ -1,4 +1,4 @@
-//! Applying patches, and the patch between two versions.
+//! Tests of the application of patches and of the difference between two versions.
 
 use gs_conf::Change;
 use gs_conf::Record;
@@ -28,9 +28,9 @@
 
 #[test]
 fn a_patch_against_another_version_is_a_conflict() {
-    let mut stale = patch(vec![Change::RemoveFront(archive())]);
-    stale.against = ConfVersion(6);
-    let e = apply(&config(), &stale).expect_err("stale");
+    let mut outdated = patch(vec![Change::RemoveFront(archive())]);
+    outdated.against = ConfVersion(6);
+    let e = apply(&config(), &outdated).expect_err("outdated");
     assert_eq!(e.kind(), ErrorKind::Conflict);
     assert!(
         e.to_string()
@@ -99,9 +99,9 @@
     let quote = "quote".parse().expect("a name");
     let report = "report".parse().expect("a name");
     let statements = "statements".parse().expect("a name");
-    let touched = p.affected();
-    assert_eq!(touched.len(), 2);
-    assert!(touched[0].covers(&archive(), &quote));
-    assert!(!touched[0].covers(&archive(), &report));
-    assert!(touched[1].covers(&statements, &report), "the whole front");
+    let affected = p.affected();
+    assert_eq!(affected.len(), 2);
+    assert!(affected[0].covers(&archive(), &quote));
+    assert!(!affected[0].covers(&archive(), &report));
+    assert!(affected[1].covers(&statements, &report), "the whole front");
 }
--- a/crates/conf/tests/rules/chart.rs
+++ b/crates/conf/tests/rules/chart.rs
@@ -1,4 +1,4 @@
-//! The chart of a proposal.
+//! Tests of the state machine definition of a proposal.
 
 use gs_conf::PatchEvent;
 use gs_conf::PatchState;
@@ -6,15 +6,15 @@
 
 #[test]
 fn the_chart_fits_its_states_and_events() {
-    let chart = patch_chart().expect("the chart fits");
+    let chart = patch_chart().expect("a valid definition");
     assert_eq!(chart.initial(), PatchState::Reading);
     assert!(chart.is_last(PatchState::Done));
 }
 
-/// Once the commit is out, it may take effect at any time: nothing may lead back from there.
+/// Once the commit is sent, it may take effect at any time, so no event may lead back to an earlier state.
 #[test]
 fn nothing_leads_back_from_the_commit() {
-    let chart = patch_chart().expect("the chart fits");
+    let chart = patch_chart().expect("a valid definition");
     let late = chart.next(PatchState::Committing, PatchEvent::Late);
     let opposed = chart.next(PatchState::Committing, PatchEvent::Opposed);
     assert_eq!((late, opposed), (None, None));
--- a/crates/conf/tests/rules/check.rs
+++ b/crates/conf/tests/rules/check.rs
@@ -1,4 +1,4 @@
-//! Every rule, with the place that its error names.
+//! Tests of every validation rule and the place that its error names.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -36,9 +36,9 @@
 })]
 #[case::enough_at_none("enough_at", |l: &mut Lookup| l.enough_at = Some(0))]
 #[case::enough_above_page("enough_at", |l: &mut Lookup| l.enough_at = Some(21))]
-fn a_lookup_that_breaks_a_rule_is_named(#[case] key: &str, #[case] spoil: fn(&mut Lookup)) {
+fn a_lookup_that_breaks_a_rule_is_named(#[case] key: &str, #[case] mutate: fn(&mut Lookup)) {
     let mut cfg = config();
-    spoil(&mut cfg.fronts[0].lookups[0]);
+    mutate(&mut cfg.fronts[0].lookups[0]);
     assert_eq!(
         errors(&cfg),
         [format!("fronts.archive.lookups.quote.{key}")]
@@ -62,10 +62,10 @@
 #[case::no_admin("teams", |c: &mut Config| c.teams[0].admin = false)]
 fn a_configuration_that_breaks_a_rule_is_named(
     #[case] place: &str,
-    #[case] spoil: fn(&mut Config),
+    #[case] mutate: fn(&mut Config),
 ) {
     let mut cfg = config();
-    spoil(&mut cfg);
+    mutate(&mut cfg);
     assert_eq!(errors(&cfg), [place]);
 }
 
--- a/crates/conf/tests/rules/main.rs
+++ b/crates/conf/tests/rules/main.rs
@@ -1,4 +1,4 @@
-//! The rules of configurations and patches, without a book.
+//! Tests of the rules of configurations and patches, without a configuration manager.
 
 mod bytes;
 mod changes;
--- a/crates/conf/tests/rules/samples.rs
+++ b/crates/conf/tests/rules/samples.rs
@@ -1,4 +1,4 @@
-//! A configuration to start from.
+//! Sample configurations and patches.
 
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// Version 7: two fronts, an admin team and a team of the first front.
+/// Returns version 7, with two fronts, an admin team and a team that owns the first front.
 pub fn config() -> Config {
     Config {
         version: ConfVersion(7),
--- a/crates/conf/tests/rules/teams.rs
+++ b/crates/conf/tests/rules/teams.rs
@@ -1,4 +1,4 @@
-//! Keys, and what a team may change.
+//! Tests of authentication and of what a team may change.
 
 use gs_conf::Change;
 use gs_conf::authenticate;
@@ -64,9 +64,9 @@
 
 #[test]
 fn a_team_that_was_removed_may_change_nothing() {
-    let gone = "gone".parse().expect("a name");
+    let removed = "removed".parse().expect("a name");
     let p = patch(vec![Change::PutFront(front("archive", &[]))]);
-    let e = check_scope(&config(), &gone, &p).expect_err("gone");
+    let e = check_scope(&config(), &removed, &p).expect_err("removed");
     assert_eq!(e.kind(), ErrorKind::Forbidden);
 }
 
