--- a/crates/member/src/heartbeat.rs
+++ b/crates/member/src/heartbeat.rs
@@ -21,7 +21,8 @@
     /// The epochs of the seat table that the sender has read and lowered to.
     #[serde(rename = "claimed")]
     pub table_epochs: TableEpochs,
-    /// The states of some VMs, those that changed recently first; at most `MemberSettings::rumours_max`.
+    /// The states of some VMs, those that changed recently first; at most
+    /// `MemberSettings::rumours_max`.
     pub rumours: Vec<Rumour>,
     /// A seat table newer than the receiver's: its object's version and content.
     pub table: Option<(u64, Vec<u8>)>,
