--- a/crates/limit/src/adaptive.rs
+++ b/crates/limit/src/adaptive.rs
@@ -66,7 +66,7 @@
 /// the VM would reject callers for another minute. While nothing is rejected the fill limits no
 /// lookup, so one second without a rejection restores all of it.
 #[derive(Debug)]
-pub struct Adaptive {
+pub struct AdaptiveAdmission {
     in_flight_max: usize,
     fill: f64,
     /// When overload was last observed.
@@ -75,7 +75,7 @@
     recovers_from: Option<Instant>,
 }
 
-impl Adaptive {
+impl AdaptiveAdmission {
     /// Creates the policy with the largest fill and a limit of `in_flight_max` lookups in flight.
     #[must_use]
     pub fn new(in_flight_max: usize) -> Self {
@@ -111,7 +111,7 @@
     }
 }
 
-impl AdmissionPolicy for Adaptive {
+impl AdmissionPolicy for AdaptiveAdmission {
     fn admit(&mut self, now: Instant, req: &AdmissionRequest) -> AdmissionDecision {
         self.recover_fill(now);
         // With nothing in flight, only a new lookup can show that the servers are fast again.
--- a/crates/limit/src/budget.rs
+++ b/crates/limit/src/budget.rs
@@ -56,7 +56,7 @@
 
     /// Returns the number of extra attempts that may be made now.
     #[must_use]
-    pub fn left(&self) -> f64 {
+    pub fn available(&self) -> f64 {
         self.tokens
     }
 
--- a/crates/limit/src/fixed.rs
+++ b/crates/limit/src/fixed.rs
@@ -14,11 +14,11 @@
 
 /// Admits every lookup below a fixed limit, regardless of deadlines, urgency and queues.
 #[derive(Debug)]
-pub struct Fixed {
+pub struct FixedAdmission {
     in_flight_max: usize,
 }
 
-impl Fixed {
+impl FixedAdmission {
     /// Creates the policy with a limit of `in_flight_max` lookups in flight.
     #[must_use]
     pub fn new(in_flight_max: usize) -> Self {
@@ -26,7 +26,7 @@
     }
 }
 
-impl AdmissionPolicy for Fixed {
+impl AdmissionPolicy for FixedAdmission {
     fn admit(&mut self, _: Instant, req: &AdmissionRequest) -> AdmissionDecision {
         if req.in_flight < self.in_flight_max {
             AdmissionDecision::Admit
--- a/crates/limit/src/lib.rs
+++ b/crates/limit/src/lib.rs
@@ -12,7 +12,7 @@
 mod fixed;
 mod hedge;
 
-pub use adaptive::Adaptive;
+pub use adaptive::AdaptiveAdmission;
 pub use admission::AdmissionDecision;
 pub use admission::AdmissionPolicy;
 pub use admission::AdmissionRequest;
@@ -20,7 +20,7 @@
 pub use budget::ExtraBudget;
 pub use digest::LatencyDigest;
 pub use dump::AdmissionDump;
-pub use fixed::Fixed;
+pub use fixed::FixedAdmission;
 pub use hedge::Distance;
 pub use hedge::HedgePolicy;
 pub use hedge::LearnedDelay;
--- a/crates/limit/tests/limits.rs
+++ b/crates/limit/tests/limits.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use gs_limit::Adaptive;
+use gs_limit::AdaptiveAdmission;
 use gs_limit::AdmissionDecision;
 use gs_limit::AdmissionPolicy;
 use gs_limit::AdmissionRequest;
 use gs_limit::Distance;
 use gs_limit::ExtraBudget;
-use gs_limit::Fixed;
+use gs_limit::FixedAdmission;
 use gs_limit::HedgePolicy;
 use gs_limit::LatencyDigest;
 use gs_limit::LearnedDelay;
@@ -42,7 +42,7 @@
     #[case] worst_ms: u64,
     #[case] admitted: bool,
 ) {
-    let mut policy = Adaptive::new(100);
+    let mut policy = AdaptiveAdmission::new(100);
     let decision = policy.admit(Instant::now(), &request(promise, typical_ms, worst_ms, 1));
     assert_eq!(decision == AdmissionDecision::Admit, admitted);
 }
@@ -58,7 +58,7 @@
 /// servers too. The policy must admit less until lookups end in time, and more again afterwards.
 #[test]
 fn late_lookups_lower_what_is_taken_on_until_they_are_in_time() {
-    let mut policy = Adaptive::new(100);
+    let mut policy = AdaptiveAdmission::new(100);
     let mut now = Instant::now();
     let half_full = request(Promise::Complete, 30, 60, 5);
     assert_eq!(policy.admit(now, &half_full), AdmissionDecision::Admit);
@@ -80,7 +80,7 @@
 /// rejection and takes one second.
 #[test]
 fn calm_after_a_storm_gives_back_what_it_took() {
-    let mut policy = Adaptive::new(100);
+    let mut policy = AdaptiveAdmission::new(100);
     let start = Instant::now();
     let half_full = request(Promise::Complete, 30, 60, 5);
     for _ in 0..20 {
@@ -96,7 +96,7 @@
 
 #[test]
 fn while_lookups_are_refused_nothing_is_given_back() {
-    let mut policy = Adaptive::new(100);
+    let mut policy = AdaptiveAdmission::new(100);
     let start = Instant::now();
     let half_full = request(Promise::Complete, 30, 60, 5);
     for _ in 0..20 {
@@ -116,7 +116,7 @@
 /// new sample would show that the servers are fast again.
 #[test]
 fn a_lookup_is_always_taken_on_when_none_is_in_flight() {
-    let mut policy = Adaptive::new(100);
+    let mut policy = AdaptiveAdmission::new(100);
     let now = Instant::now();
     for _ in 0..1000 {
         policy.on_lookup_end(now, &lookup_end(false));
@@ -129,7 +129,7 @@
 
 #[test]
 fn the_baseline_looks_at_nothing_but_its_bound() {
-    let mut policy = Fixed::new(2);
+    let mut policy = FixedAdmission::new(2);
     let now = Instant::now();
     let hopeless = request(Promise::Complete, 900, 900, 1);
     assert_eq!(policy.admit(now, &hopeless), AdmissionDecision::Admit);
--- a/crates/query/src/dump.rs
+++ b/crates/query/src/dump.rs
@@ -118,7 +118,7 @@
                 .collect(),
             waiting: core.waiting.parts(),
             orphans: core.orphans.len(),
-            extra_left: core.budget.left(),
+            extra_left: core.budget.available(),
             admission: core.admission.dump(now),
             replica_policy: core.replica.name(),
             counters: core.counters.clone(),
--- a/crates/query/src/engine.rs
+++ b/crates/query/src/engine.rs
@@ -8,7 +8,7 @@
 use bon::bon;
 use gs_route::DispatchStatus;
 use gs_route::GroupView;
-use gs_route::Report;
+use gs_route::HealthReport;
 use gs_route::ReportEffect;
 use gs_route::ServerIdx;
 use gs_types::prelude::*;
@@ -161,7 +161,7 @@
             }
             return;
         };
-        let report = Report {
+        let report = HealthReport {
             incarnation: r.incarnation,
             snapshots: &r.snapshots,
             load: r.load,
--- a/crates/query/src/policies.rs
+++ b/crates/query/src/policies.rs
@@ -1,12 +1,12 @@
 //! Builds the policies that the options name.
 
-use gs_limit::Adaptive;
+use gs_limit::AdaptiveAdmission;
 use gs_limit::AdmissionPolicy;
-use gs_limit::Fixed;
+use gs_limit::FixedAdmission;
 use gs_limit::HedgePolicy;
 use gs_limit::LearnedDelay;
 use gs_limit::NoHedge;
-use gs_route::Observed;
+use gs_route::ObservedLatency;
 use gs_route::ReplicaPolicy;
 use gs_route::RoundRobin;
 
@@ -17,7 +17,7 @@
 pub(crate) fn replica(options: &EngineOptions) -> Box<dyn ReplicaPolicy> {
     match options.policy {
         PolicyName::Baseline => Box::new(RoundRobin::default()),
-        PolicyName::Chosen => Box::new(Observed),
+        PolicyName::Chosen => Box::new(ObservedLatency),
     }
 }
 
@@ -25,8 +25,8 @@
 pub(crate) fn admission(options: &EngineOptions) -> Box<dyn AdmissionPolicy> {
     let max = options.lookups_max as usize;
     match options.policy {
-        PolicyName::Baseline => Box::new(Fixed::new(max)),
-        PolicyName::Chosen => Box::new(Adaptive::new(max)),
+        PolicyName::Baseline => Box::new(FixedAdmission::new(max)),
+        PolicyName::Chosen => Box::new(AdaptiveAdmission::new(max)),
     }
 }
 
--- a/crates/query/src/shortfall.rs
+++ b/crates/query/src/shortfall.rs
@@ -39,7 +39,7 @@
             now.saturating_duration_since(lk.arrived).as_millis(),
             after(Distance::Near),
             after(Distance::Far),
-            self.budget.left(),
+            self.budget.available(),
             missing.join("; "),
         );
     }
--- a/crates/route/src/incarnations.rs
+++ b/crates/route/src/incarnations.rs
@@ -11,7 +11,7 @@
 
 /// A report of a server's health and load endpoint.
 #[derive(Clone, Copy, Debug)]
-pub struct Report<'a> {
+pub struct HealthReport<'a> {
     /// The incarnation of the server; `None` if it did not answer.
     pub incarnation: Option<Incarnation>,
     /// The snapshots that it reports as ready.
@@ -35,7 +35,12 @@
 
 impl Servers {
     /// Applies a health report as a hint; a report of an earlier incarnation is ignored.
-    pub fn report(&mut self, now: Instant, idx: ServerIdx, report: Report<'_>) -> ReportEffect {
+    pub fn report(
+        &mut self,
+        now: Instant,
+        idx: ServerIdx,
+        report: HealthReport<'_>,
+    ) -> ReportEffect {
         let view = &mut self.list[idx.index()];
         view.is_silent = report.incarnation.is_none();
         let Some(reported) = report.incarnation else {
@@ -61,7 +66,7 @@
         }
     }
 
-    fn apply_hints(&mut self, now: Instant, idx: ServerIdx, report: Report<'_>) {
+    fn apply_hints(&mut self, now: Instant, idx: ServerIdx, report: HealthReport<'_>) {
         let view = &mut self.list[idx.index()];
         if view.load_reported_at.is_none() {
             view.load = report.load;
--- a/crates/route/src/observed.rs
+++ b/crates/route/src/observed.rs
@@ -32,9 +32,9 @@
 /// Of more than two replicas, two are drawn at random and the better one is chosen, so that VMs with
 /// the same measurements do not all send to one server.
 #[derive(Debug, Default)]
-pub struct Observed;
+pub struct ObservedLatency;
 
-impl Observed {
+impl ObservedLatency {
     /// Returns the expected time of an attempt at this replica, in microseconds.
     fn cost(c: &Candidate) -> f64 {
         let default = if c.local {
@@ -72,7 +72,7 @@
     }
 }
 
-impl ReplicaPolicy for Observed {
+impl ReplicaPolicy for ObservedLatency {
     fn name(&self) -> &'static str {
         "observed"
     }
--- a/crates/route/tests/policy.rs
+++ b/crates/route/tests/policy.rs
@@ -1,7 +1,7 @@
 //! Tests of the choice among replicas.
 
 use gs_route::Candidate;
-use gs_route::Observed;
+use gs_route::ObservedLatency;
 use gs_route::ReplicaPolicy;
 use gs_route::RoundRobin;
 use gs_route::Servers;
@@ -39,7 +39,7 @@
 
 fn chosen(views: &[(bool, f64, u32, u32, f64)]) -> usize {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    Observed.choose(0, &candidates(views), &mut rng)
+    ObservedLatency.choose(0, &candidates(views), &mut rng)
 }
 
 #[rstest]
@@ -63,7 +63,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut taken = [0; 5];
     for _ in 0..500 {
-        taken[Observed.choose(0, &c, &mut rng)] += 1;
+        taken[ObservedLatency.choose(0, &c, &mut rng)] += 1;
     }
     assert!(taken.iter().all(|n| *n > 20), "{taken:?}");
 }
