--- a/crates/conf/src/patch_outcome.rs
+++ b/crates/conf/src/patch_outcome.rs
@@ -31,7 +31,7 @@
     Refused {
         /// The reason.
         error: Error,
-        /// The VMs that rejected it.
+        /// The VMs that rejected it or did not acknowledge it.
         against: Vec<Objection>,
     },
     /// It is not decided yet, or the decision is not known here. A resend with the same id is safe and
--- a/crates/limit/src/adaptive.rs
+++ b/crates/limit/src/adaptive.rs
@@ -62,9 +62,9 @@
 /// whatever load other VMs send.
 ///
 /// The fill also recovers with time, so that an overload does not outlast its cause. After a burst of
-/// resends a VM admits few lookups, and each one that ends in time raises the fill only a little;
-/// the VM would reject callers for another minute. While nothing is rejected the fill limits no
-/// lookup, so one second without a rejection restores all of it.
+/// resends a VM admits few lookups, and each one that ends in time raises the fill only a little; with
+/// these alone the VM would reject callers for another minute. While nothing is rejected the fill
+/// limits no lookup, so one second without a rejection restores all of it.
 #[derive(Debug)]
 pub struct AdaptiveAdmission {
     in_flight_max: usize,
--- a/crates/route/src/dump.rs
+++ b/crates/route/src/dump.rs
@@ -7,7 +7,7 @@
 
 use crate::server::ServerView;
 
-/// A backend server as this VM sees it.
+/// The state of a backend server as seen by this VM.
 #[derive(Clone, Debug, Serialize)]
 pub struct ServerDump {
     /// Its name.
--- a/crates/route/src/group.rs
+++ b/crates/route/src/group.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// A group as this VM sees it.
+/// The state of a group as seen by this VM.
 #[derive(Debug)]
 pub struct GroupView {
     revision: u64,
