--- a/crates/query/src/incomplete_log.rs
+++ b/crates/query/src/incomplete_log.rs
@@ -41,7 +41,7 @@
             now.saturating_duration_since(lk.arrived).as_millis(),
             hedge_delay(Distance::Near),
             hedge_delay(Distance::Far),
-            self.budget.left(),
+            self.budget.available(),
             missing.join("; "),
         );
     }
