--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -123,10 +123,10 @@
     stopped: watch::Receiver<bool>,
 ) -> JoinHandle<()> {
     let limits = Limits {
-        headers: options.head_max,
+        head_bytes_max: options.head_max,
         header_timeout: options.read_timeout,
         idle_timeout: options.read_timeout,
-        connections: options.connections,
+        connections_max: options.connections,
     };
     let bounds = Bounds {
         body: options.body_max,
--- a/crates/edge/src/connection_pools.rs
+++ b/crates/edge/src/connection_pools.rs
@@ -9,11 +9,11 @@
 
 use gs_actor::Feed;
 use gs_actor::lock;
+use gs_http::ConnectOptions;
+use gs_http::ConnectionPool;
 use gs_http::ConnectionSink;
 use gs_http::ExchangeError;
-use gs_http::Lane;
-use gs_http::LaneOptions;
-use gs_http::Lent;
+use gs_http::PooledConnection;
 use gs_http::exchange;
 use gs_relay::AttemptEnd;
 use gs_relay::AttemptKey;
@@ -47,12 +47,12 @@
 }
 
 impl ConnectionSink for ConnectionCounts {
-    fn opened(&self, server: &ServerName, took: Duration) {
+    fn on_opened(&self, server: &ServerName, took: Duration) {
         self.opened.fetch_add(1, Ordering::Relaxed);
         self.feed.push(Event::Opened(server.clone(), took));
     }
 
-    fn closed(&self, server: &ServerName, lost: bool) {
+    fn on_closed(&self, server: &ServerName, lost: bool) {
         self.feed.push(Event::Closed(server.clone()));
         if lost {
             self.lost.fetch_add(1, Ordering::Relaxed);
@@ -65,14 +65,18 @@
 pub(crate) struct ConnectionPools {
     codec: Arc<dyn ServerCodec>,
     feed: Feed<Event>,
-    opts: LaneOptions,
-    pools: Mutex<HashMap<ServerName, Arc<Lane>>>,
+    opts: ConnectOptions,
+    pools: Mutex<HashMap<ServerName, Arc<ConnectionPool>>>,
     in_flight: Arc<Mutex<HashMap<AttemptKey, oneshot::Sender<()>>>>,
     pub(crate) counts: Arc<ConnectionCounts>,
 }
 
 impl ConnectionPools {
-    pub(crate) fn new(codec: Arc<dyn ServerCodec>, feed: Feed<Event>, opts: LaneOptions) -> Self {
+    pub(crate) fn new(
+        codec: Arc<dyn ServerCodec>,
+        feed: Feed<Event>,
+        opts: ConnectOptions,
+    ) -> Self {
         let counts = ConnectionCounts {
             opened: AtomicU64::new(0),
             lost: AtomicU64::new(0),
@@ -125,7 +129,7 @@
     ) {
         let pool = self.pool(server);
         pool.set_share(connections_max);
-        pool.warm(connections_min);
+        pool.open_at_least(connections_min);
     }
 
     /// Closes the connections to a server as they become idle.
@@ -140,7 +144,7 @@
         lock(&self.in_flight).len()
     }
 
-    fn pool(&self, server: &ServerEntry) -> Arc<Lane> {
+    fn pool(&self, server: &ServerEntry) -> Arc<ConnectionPool> {
         let mut pools = lock(&self.pools);
         if let Some(pool) = pools.get(&server.name)
             && pool.addr() == server.addr
@@ -148,7 +152,7 @@
             return Arc::clone(pool);
         }
         let sink: Arc<dyn ConnectionSink> = Arc::<ConnectionCounts>::clone(&self.counts);
-        let pool = Lane::new(server.name.clone(), server.addr, self.opts, sink);
+        let pool = ConnectionPool::new(server.name.clone(), server.addr, self.opts, sink);
         pool.set_share(Connections(1));
         if let Some(old) = pools.insert(server.name.clone(), Arc::clone(&pool)) {
             old.set_share(Connections(0));
@@ -160,7 +164,7 @@
 /// One attempt in flight.
 struct AttemptTask {
     codec: Arc<dyn ServerCodec>,
-    pool: Arc<Lane>,
+    pool: Arc<ConnectionPool>,
     d: Dispatch,
 }
 
@@ -172,7 +176,7 @@
         let lent = tokio::select! {
             biased;
             _ = &mut cancelled => return AttemptEnd::NotSent,
-            lent = self.pool.take_recent(self.d.attempt_timeout, idle_max) => lent,
+            lent = self.pool.take_recently_used(self.d.attempt_timeout, idle_max) => lent,
         };
         let mut lent = match lent {
             Ok(lent) => lent,
@@ -221,7 +225,7 @@
         }
     }
 
-    fn return_connection(&self, mut lent: Lent, reply: &ParsedReply) {
+    fn return_connection(&self, mut lent: PooledConnection, reply: &ParsedReply) {
         if !reply.is_connection_reusable || !self.d.keep_connection {
             return;
         }
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -12,8 +12,8 @@
 use bytes::Bytes;
 use gs_actor::Shared;
 use gs_actor::lock;
+use gs_http::CompleteReply;
 use gs_http::Handler;
-use gs_http::Whole;
 use gs_relay::AttemptEnd;
 use gs_relay::CallerRequest;
 use gs_relay::DelegatedParts;
@@ -115,7 +115,7 @@
         Ok(req)
     }
 
-    fn reply(&self, _: &Dispatch, whole: Whole) -> ParsedReply {
+    fn reply(&self, _: &Dispatch, whole: CompleteReply) -> ParsedReply {
         let end = match whole.status {
             StatusCode::OK => {
                 let held = parse_number(&whole.headers, &HELD_US).map(Duration::from_micros);
@@ -141,7 +141,7 @@
 }
 
 /// Parses the page in a peer's reply; returns `None` if it is malformed.
-fn parse_page(whole: Whole) -> Option<Page> {
+fn parse_page(whole: CompleteReply) -> Option<Page> {
     let stamps = whole.headers.get(STAMPS)?.as_bytes();
     let stamps = stamps.split(|b| *b == b',').filter(|s| !s.is_empty());
     Some(Page {
--- a/crates/edge/src/process.rs
+++ b/crates/edge/src/process.rs
@@ -7,7 +7,7 @@
 use gs_actor::Shared;
 use gs_actor::Slot;
 use gs_clock::Clock;
-use gs_http::LaneOptions;
+use gs_http::ConnectOptions;
 use gs_http::Server;
 use gs_http::listen;
 use gs_relay::CoalesceDelay;
@@ -70,7 +70,7 @@
         let metrics = Arc::new(Metrics::new(&vm.name, &vm.data_centre)?);
         let slot: Slot<Relay, RelayShell> = Slot::new();
         let feed = slot.feed();
-        let opts = LaneOptions {
+        let opts = ConnectOptions {
             source: Some(settings.listen.callers.ip()),
             connect_timeout: settings.servers.connect_timeout,
         };
--- a/crates/edge/src/register/client.rs
+++ b/crates/edge/src/register/client.rs
@@ -8,10 +8,10 @@
 
 use bytes::Bytes;
 use gs_actor::lock;
+use gs_http::CompleteReply;
+use gs_http::ConnectOptions;
+use gs_http::ConnectionPool;
 use gs_http::ConnectionSink;
-use gs_http::Lane;
-use gs_http::LaneOptions;
-use gs_http::Whole;
 use gs_http::exchange;
 use gs_types::prelude::*;
 use http_body_util::Full;
@@ -30,12 +30,12 @@
 
 /// A client for queries to peers.
 pub(crate) struct PeerClient {
-    opts: LaneOptions,
-    pools: Mutex<HashMap<SocketAddr, Arc<Lane>>>,
+    opts: ConnectOptions,
+    pools: Mutex<HashMap<SocketAddr, Arc<ConnectionPool>>>,
 }
 
 impl PeerClient {
-    pub(crate) fn new(opts: LaneOptions) -> Self {
+    pub(crate) fn new(opts: ConnectOptions) -> Self {
         Self {
             opts,
             pools: Mutex::default(),
@@ -80,7 +80,7 @@
         addr: SocketAddr,
         path: &str,
         timeout: Duration,
-    ) -> std::result::Result<Whole, String> {
+    ) -> std::result::Result<CompleteReply, String> {
         let pool = self.pool(addr).map_err(|e| e.to_string())?;
         let mut lent = pool.take(timeout).await.map_err(|e| e.to_string())?;
         let req = Request::get(path)
@@ -93,12 +93,12 @@
         Ok(whole)
     }
 
-    fn pool(&self, addr: SocketAddr) -> Result<Arc<Lane>> {
+    fn pool(&self, addr: SocketAddr) -> Result<Arc<ConnectionPool>> {
         let mut pools = lock(&self.pools);
         if let Some(pool) = pools.get(&addr) {
             return Ok(Arc::clone(pool));
         }
-        let pool = Lane::new(
+        let pool = ConnectionPool::new(
             PEER_NAME.parse()?,
             addr,
             self.opts,
@@ -114,7 +114,7 @@
 struct IgnoreConnections;
 
 impl ConnectionSink for IgnoreConnections {
-    fn opened(&self, _: &ServerName, _: Duration) {}
+    fn on_opened(&self, _: &ServerName, _: Duration) {}
 
-    fn closed(&self, _: &ServerName, _: bool) {}
+    fn on_closed(&self, _: &ServerName, _: bool) {}
 }
--- a/crates/edge/src/servers.rs
+++ b/crates/edge/src/servers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use gs_http::Whole;
+use gs_http::CompleteReply;
 use gs_relay::AttemptEnd;
 use gs_relay::Dispatch;
 use gs_relay::OpaqueRequest;
@@ -21,7 +21,7 @@
     fn request(&self, d: &Dispatch, left: Duration) -> Result<Request<Full<Bytes>>>;
 
     /// Parses the complete reply to an attempt.
-    fn reply(&self, d: &Dispatch, whole: Whole) -> ParsedReply;
+    fn reply(&self, d: &Dispatch, whole: CompleteReply) -> ParsedReply;
 }
 
 /// Returns the caller's request to forward: its method, target, headers and body, unchanged.
--- a/crates/edge/src/shared_state.rs
+++ b/crates/edge/src/shared_state.rs
@@ -14,10 +14,10 @@
 
 /// The limits on connections before any routes are known; the routes set those of callers from then on.
 pub(crate) const DEFAULT_LIMITS: Limits = Limits {
-    headers: 32 * 1024,
+    head_bytes_max: 32 * 1024,
     header_timeout: Duration::from_secs(10),
     idle_timeout: Duration::from_secs(60),
-    connections: 2048,
+    connections_max: 2048,
 };
 
 /// State that the components of a process share besides events.
@@ -60,7 +60,7 @@
         };
         if let Some(callers) = lock(&self.callers).as_ref() {
             callers.set(Limits {
-                headers: bounds.headers,
+                head_bytes_max: bounds.headers,
                 header_timeout: bounds.header_timeout,
                 idle_timeout: bounds.idle_timeout,
                 ..DEFAULT_LIMITS
--- a/crates/http/src/backend/attempt.rs
+++ b/crates/http/src/backend/attempt.rs
@@ -16,8 +16,8 @@
 
 use crate::backend::check;
 use crate::backend::exchange::exchange;
-use crate::backend::lane::Lane;
-use crate::backend::lane::Lent;
+use crate::backend::lane::ConnectionPool;
+use crate::backend::lane::PooledConnection;
 use crate::backend::pool::Common;
 
 /// How long a cancelled attempt may take to confirm before its connection is closed: a little more than
@@ -27,7 +27,7 @@
 /// Runs an attempt to its only reply.
 pub(crate) async fn run(
     common: &Arc<Common>,
-    lane: &Arc<Lane>,
+    lane: &Arc<ConnectionPool>,
     d: Dispatch,
     mut cancelled: oneshot::Receiver<()>,
 ) -> PartReply {
@@ -43,9 +43,9 @@
     let Ok(req) = search(&d, until.saturating_duration_since(Instant::now())) else {
         return PartReply::NotSent;
     };
-    common.sink.event(Event::Sent(d.attempt.clone()));
+    common.sink.on_event(Event::Sent(d.attempt.clone()));
     let (reply, clean) = {
-        let answered = check::reply(&mut lent, req, &d, common.opts.part_max);
+        let answered = check::reply(&mut lent, req, &d, common.opts.part_bytes_max);
         tokio::pin!(answered);
         tokio::select! {
             biased;
@@ -67,7 +67,7 @@
 /// Closing it would do too, but then a new one costs the server's handshake. If no other connection
 /// is idle to carry the cancel, or the server does not confirm soon, the connection is closed.
 async fn confirm_cancel(
-    lane: &Arc<Lane>,
+    lane: &Arc<ConnectionPool>,
     d: &Dispatch,
     answered: &mut (impl Future<Output = (PartReply, bool)> + Unpin),
 ) -> (PartReply, bool) {
@@ -89,7 +89,7 @@
     }
 }
 
-async fn send_cancel(lent: &mut Lent, d: &Dispatch) -> bool {
+async fn send_cancel(lent: &mut PooledConnection, d: &Dispatch) -> bool {
     let req = Request::post("/cancel")
         .header("x-attempt", d.attempt.to_string())
         .body(Full::default());
--- a/crates/http/src/backend/check.rs
+++ b/crates/http/src/backend/check.rs
@@ -14,10 +14,10 @@
 use hyper::StatusCode;
 use smallvec::SmallVec;
 
+use crate::backend::exchange::CompleteReply;
 use crate::backend::exchange::ExchangeError;
-use crate::backend::exchange::Whole;
 use crate::backend::exchange::exchange;
-use crate::backend::lane::Lent;
+use crate::backend::lane::PooledConnection;
 
 /// The time to come back that is assumed if a shedding server names none.
 const SHED_DEFAULT: Duration = Duration::from_millis(50);
@@ -27,7 +27,7 @@
 
 /// Exchanges and judges; the flag says whether the connection may be used again.
 pub(crate) async fn reply(
-    lent: &mut Lent,
+    lent: &mut PooledConnection,
     req: Request<Full<Bytes>>,
     d: &Dispatch,
     max: usize,
@@ -42,7 +42,7 @@
 
 /// Guards against a crossed reply: an intermediary or a server that mixes up connections would hand
 /// one caller another's lines. The id is echoed only by the server that ran this very attempt.
-fn judge(r: &Whole, d: &Dispatch) -> (PartReply, bool) {
+fn judge(r: &CompleteReply, d: &Dispatch) -> (PartReply, bool) {
     if text(&r.headers, "x-attempt") != Some(d.attempt.to_string().as_str()) {
         return (PartReply::Garbled, false);
     }
@@ -55,7 +55,7 @@
     (refusal(&r.headers), true)
 }
 
-fn part(r: &Whole) -> Option<PartReply> {
+fn part(r: &CompleteReply) -> Option<PartReply> {
     let digest = u64::from_str_radix(text(&r.headers, "x-digest")?, 16).ok()?;
     if digest != xxhash_rust::xxh3::xxh3_64(&r.body) {
         return None;
--- a/crates/http/src/backend/exchange.rs
+++ b/crates/http/src/backend/exchange.rs
@@ -8,10 +8,10 @@
 use hyper::Request;
 use hyper::StatusCode;
 
-use crate::backend::lane::Lent;
+use crate::backend::lane::PooledConnection;
 
 /// A reply read to its end.
-pub struct Whole {
+pub struct CompleteReply {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
@@ -37,10 +37,10 @@
 ///
 /// [`ExchangeError`] says whether the request may have run.
 pub async fn exchange(
-    lent: &mut Lent,
+    lent: &mut PooledConnection,
     req: Request<Full<Bytes>>,
     max: usize,
-) -> Result<Whole, ExchangeError> {
+) -> Result<CompleteReply, ExchangeError> {
     // Bytes that nobody asked for, or an end of the connection, are seen here and not by the request.
     lent.tx.ready().await.map_err(|_| ExchangeError::NotSent)?;
     let res = lent.tx.send_request(req).await.map_err(failed)?;
@@ -51,7 +51,7 @@
             Err(_) => ExchangeError::TooLarge,
         }
     })?;
-    Ok(Whole {
+    Ok(CompleteReply {
         status: head.status,
         headers: head.headers,
         body: body.to_bytes(),
--- a/crates/http/src/backend/lane.rs
+++ b/crates/http/src/backend/lane.rs
@@ -21,15 +21,15 @@
 /// Sees the connections to backend servers open and close.
 pub trait ConnectionSink: Send + Sync + 'static {
     /// A connection opened, after this time.
-    fn opened(&self, server: &ServerName, took: Duration);
+    fn on_opened(&self, server: &ServerName, took: Duration);
 
     /// A connection closed; `lost` if this process would have kept it.
-    fn closed(&self, server: &ServerName, lost: bool);
+    fn on_closed(&self, server: &ServerName, lost: bool);
 }
 
 /// How connections to a backend server are opened.
 #[derive(Clone, Copy, Debug)]
-pub struct LaneOptions {
+pub struct ConnectOptions {
     /// The address that connections start from; the system's choice if `None`.
     pub source: Option<IpAddr>,
     /// The longest that opening a connection may take.
@@ -37,25 +37,25 @@
 }
 
 /// The connections to one backend server.
-pub struct Lane {
+pub struct ConnectionPool {
     name: ServerName,
     addr: SocketAddr,
-    opts: LaneOptions,
+    opts: ConnectOptions,
     sink: Arc<dyn ConnectionSink>,
     state: Mutex<State>,
     freed: Notify,
 }
 
 struct State {
-    idle: Vec<Lent>,
+    idle: Vec<PooledConnection>,
     /// Connections whose socket may still be open, idle or not.
     open: u32,
     /// The most that may be open.
     share: u32,
 }
 
-/// A connection lent out; given back by [`Lane::put_back`], closed when dropped.
-pub struct Lent {
+/// A connection lent out; given back by [`ConnectionPool::put_back`], closed when dropped.
+pub struct PooledConnection {
     pub(crate) tx: Sender,
     /// Whether this process would keep it; tells a server's close from our own.
     kept: Arc<AtomicBool>,
@@ -65,7 +65,7 @@
     idle_max: Option<Duration>,
 }
 
-impl Lent {
+impl PooledConnection {
     /// Bounds the time for which it may be idle and used again.
     pub fn set_idle_max(&mut self, idle_max: Duration) {
         self.idle_max = Some(idle_max);
@@ -78,19 +78,19 @@
     }
 }
 
-impl Drop for Lent {
+impl Drop for PooledConnection {
     fn drop(&mut self) {
         self.kept.store(false, Ordering::Relaxed);
     }
 }
 
-impl Lane {
+impl ConnectionPool {
     /// Starts without connections and without a share.
     #[must_use]
     pub fn new(
         name: ServerName,
         addr: SocketAddr,
-        opts: LaneOptions,
+        opts: ConnectOptions,
         sink: Arc<dyn ConnectionSink>,
     ) -> Arc<Self> {
         let state = State {
@@ -152,7 +152,7 @@
     }
 
     /// Opens connections until `target` are open or the share is used up.
-    pub fn warm(self: &Arc<Self>, target: Connections) {
+    pub fn open_at_least(self: &Arc<Self>, target: Connections) {
         let missing = {
             let mut s = self.state();
             let n = target.0.min(s.share).saturating_sub(s.open);
@@ -180,23 +180,23 @@
     /// # Errors
     ///
     /// [`ErrorKind::Unavailable`] if none could be had within `limit`; nothing was sent.
-    pub async fn take(self: &Arc<Self>, limit: Duration) -> Result<Lent> {
-        self.take_recent(limit, None).await
+    pub async fn take(self: &Arc<Self>, limit: Duration) -> Result<PooledConnection> {
+        self.take_recently_used(limit, None).await
     }
 
-    /// As [`Lane::take`], but no connection that was idle for longer than `idle_max`.
+    /// As [`ConnectionPool::take`], but no connection that was idle for longer than `idle_max`.
     ///
     /// Guards against a request that is written on a connection which its server closes at the same
     /// moment as idle: what became of it is not known then, and it may not be sent again.
     ///
     /// # Errors
     ///
-    /// As for [`Lane::take`].
-    pub async fn take_recent(
+    /// As for [`ConnectionPool::take`].
+    pub async fn take_recently_used(
         self: &Arc<Self>,
         limit: Duration,
         idle_max: Option<Duration>,
-    ) -> Result<Lent> {
+    ) -> Result<PooledConnection> {
         tokio::time::timeout(limit, self.take_or_wait(idle_max))
             .await
             .unwrap_or_else(|_| {
@@ -209,7 +209,7 @@
     }
 
     /// Takes an idle connection if there is one.
-    pub(crate) fn take_idle(&self, idle_max: Option<Duration>) -> Option<Lent> {
+    pub(crate) fn take_idle(&self, idle_max: Option<Duration>) -> Option<PooledConnection> {
         let mut s = self.state();
         while let Some(lent) = s.idle.pop() {
             if lent.is_usable(idle_max) {
@@ -220,7 +220,7 @@
     }
 
     /// Gives a connection back whose last exchange ended cleanly.
-    pub fn put_back(&self, mut lent: Lent) {
+    pub fn put_back(&self, mut lent: PooledConnection) {
         lent.idle_since = Instant::now();
         let mut s = self.state();
         if s.open <= s.share && !lent.tx.is_closed() {
@@ -235,7 +235,10 @@
     /// Guards against a wake-up that is lost: `notify_one` keeps at most one permit for those not in
     /// line yet. Were two connections put back between two waiters' look and their wait, one waiter
     /// would let its time pass beside an idle connection, and its attempt end as not sent.
-    async fn take_or_wait(self: &Arc<Self>, idle_max: Option<Duration>) -> Result<Lent> {
+    async fn take_or_wait(
+        self: &Arc<Self>,
+        idle_max: Option<Duration>,
+    ) -> Result<PooledConnection> {
         loop {
             let mut freed = pin!(self.freed.notified());
             freed.as_mut().enable();
@@ -261,7 +264,7 @@
     }
 
     /// Opens a connection in a reserved slot; the slot is freed when the socket is closed.
-    async fn open_in(self: &Arc<Self>, slot: Slot) -> Result<Lent> {
+    async fn open_in(self: &Arc<Self>, slot: Slot) -> Result<PooledConnection> {
         let opts = &self.opts;
         let begun = Instant::now();
         let (tx, driver) = connect(self.addr, opts.source, opts.connect_timeout).await?;
@@ -269,15 +272,15 @@
         let name = self.name.clone();
         let kept = Arc::new(AtomicBool::new(true));
         let seen = Arc::clone(&kept);
-        sink.opened(&name, begun.elapsed());
+        sink.on_opened(&name, begun.elapsed());
         tokio::spawn(async move {
             if let Err(e) = driver.await {
                 log::debug!("event=backend-connection-ended server={name} error=\"{e}\"");
             }
             drop(slot);
-            sink.closed(&name, seen.load(Ordering::Relaxed));
+            sink.on_closed(&name, seen.load(Ordering::Relaxed));
         });
-        Ok(Lent {
+        Ok(PooledConnection {
             tx,
             kept,
             idle_since: Instant::now(),
@@ -295,7 +298,7 @@
 /// Guards the server's connection limit: if the count fell when a connection was given up and not
 /// when its socket closed, a new one could be open beside it.
 struct Slot {
-    lane: Arc<Lane>,
+    lane: Arc<ConnectionPool>,
 }
 
 impl Drop for Slot {
--- a/crates/http/src/backend/pool.rs
+++ b/crates/http/src/backend/pool.rs
@@ -19,20 +19,20 @@
 use tokio::sync::oneshot;
 
 use crate::backend::attempt;
+use crate::backend::lane::ConnectOptions;
+use crate::backend::lane::ConnectionPool;
 use crate::backend::lane::ConnectionSink;
-use crate::backend::lane::Lane;
-use crate::backend::lane::LaneOptions;
 use crate::backend::status;
 
 /// Takes what happens to attempts and connections; the engine stands behind it.
-pub trait Sink: Send + Sync + 'static {
+pub trait EventSink: Send + Sync + 'static {
     /// Takes one event, in the order of the calls.
-    fn event(&self, ev: Event);
+    fn on_event(&self, ev: Event);
 }
 
-/// Settings of a [`Pool`].
+/// Settings of a [`ConnectionPools`].
 #[derive(Clone, Debug, Builder)]
-pub struct PoolOptions {
+pub struct ConnectionPoolsOptions {
     /// The address that connections start from; the system's choice if `None`.
     pub source: Option<IpAddr>,
     /// The longest that opening a connection may take.
@@ -40,27 +40,27 @@
     pub connect_timeout: Duration,
     /// The most bytes of a reply's body.
     #[builder(default = 1 << 20)]
-    pub part_max: usize,
+    pub part_bytes_max: usize,
 }
 
 /// What lanes and attempts share.
 pub(crate) struct Common {
-    pub(crate) opts: PoolOptions,
-    pub(crate) sink: Arc<dyn Sink>,
+    pub(crate) opts: ConnectionPoolsOptions,
+    pub(crate) sink: Arc<dyn EventSink>,
     opened: AtomicU64,
 }
 
 impl ConnectionSink for Common {
-    fn opened(&self, server: &ServerName, _: Duration) {
+    fn on_opened(&self, server: &ServerName, _: Duration) {
         self.opened.fetch_add(1, Ordering::Relaxed);
-        self.sink.event(Event::Connection(server.clone(), true));
+        self.sink.on_event(Event::Connection(server.clone(), true));
     }
 
-    fn closed(&self, server: &ServerName, lost: bool) {
+    fn on_closed(&self, server: &ServerName, lost: bool) {
         if lost {
-            self.sink.event(Event::Lost(server.clone()));
+            self.sink.on_event(Event::Lost(server.clone()));
         }
-        self.sink.event(Event::Connection(server.clone(), false));
+        self.sink.on_event(Event::Connection(server.clone(), false));
     }
 }
 
@@ -68,11 +68,11 @@
 ///
 /// For each [`Dispatch`] exactly one [`Event::Reply`] is sent to the sink, also after a cancel, and
 /// [`Event::Sent`] before it if the attempt passed the point of no return.
-pub struct Pool {
+pub struct ConnectionPools {
     common: Arc<Common>,
-    lanes: Mutex<HashMap<ServerName, Arc<Lane>>>,
+    lanes: Mutex<HashMap<ServerName, Arc<ConnectionPool>>>,
     /// Lanes given up whose connections may not all be closed yet.
-    closing: Mutex<Vec<Arc<Lane>>>,
+    closing: Mutex<Vec<Arc<ConnectionPool>>>,
     /// `None` once the pool is closed.
     shares: Mutex<Option<HashMap<ServerName, Connections>>>,
     running: Arc<Running>,
@@ -94,7 +94,7 @@
 
 /// What a pool holds, for dumps.
 #[derive(Clone, Debug, Serialize)]
-pub struct PoolState {
+pub struct ConnectionPoolsState {
     /// Connections open to each server that has any.
     pub open: Vec<(ServerName, u32)>,
     /// Connections opened since the start.
@@ -103,10 +103,10 @@
     pub running: usize,
 }
 
-impl Pool {
+impl ConnectionPools {
     /// Starts without connections.
     #[must_use]
-    pub fn new(opts: PoolOptions, sink: Arc<dyn Sink>) -> Self {
+    pub fn new(opts: ConnectionPoolsOptions, sink: Arc<dyn EventSink>) -> Self {
         Self {
             common: Arc::new(Common {
                 opts,
@@ -131,7 +131,7 @@
             let id = d.attempt.clone();
             let reply = attempt::run(&common, &lane, d, rx).await;
             running.remove(&id);
-            common.sink.event(Event::Reply(id, reply));
+            common.sink.on_event(Event::Reply(id, reply));
         });
     }
 
@@ -157,7 +157,7 @@
 
     /// Whether no server has more open connections than its share.
     #[must_use]
-    pub fn within_shares(&self) -> bool {
+    pub fn is_within_shares(&self) -> bool {
         lock(&self.closing).retain(|lane| lane.open() > 0);
         let closed = lock(&self.closing).is_empty();
         closed
@@ -178,14 +178,18 @@
     }
 
     /// Opens connections to a server until so many are open, within the share.
-    pub fn warm(&self, server: &Arc<ServerDecl>, target: Connections) {
-        self.lane(server).warm(target);
+    pub fn open_at_least(&self, server: &Arc<ServerDecl>, target: Connections) {
+        self.lane(server).open_at_least(target);
     }
 
     /// Asks a server for its status, on a connection of its share that is idle or free to open.
     ///
     /// `None` if no connection was free: then attempts in flight tell more than a report would.
-    pub async fn report(&self, server: &Arc<ServerDecl>, limit: Duration) -> Option<ServerReport> {
+    pub async fn request_status(
+        &self,
+        server: &Arc<ServerDecl>,
+        limit: Duration,
+    ) -> Option<ServerReport> {
         let lane = self.lane(server);
         status::ask(&lane, limit).await
     }
@@ -203,33 +207,33 @@
 
     /// What the pool holds.
     #[must_use]
-    pub fn state(&self) -> PoolState {
+    pub fn state(&self) -> ConnectionPoolsState {
         let mut open: Vec<_> = lock(&self.lanes)
             .iter()
             .map(|(name, lane)| (name.clone(), lane.open()))
             .filter(|(_, n)| *n > 0)
             .collect();
         open.sort();
-        PoolState {
+        ConnectionPoolsState {
             open,
             opened: self.common.opened.load(Ordering::Relaxed),
             running: self.running.map().len(),
         }
     }
 
-    fn lane(&self, decl: &Arc<ServerDecl>) -> Arc<Lane> {
+    fn lane(&self, decl: &Arc<ServerDecl>) -> Arc<ConnectionPool> {
         let mut lanes = lock(&self.lanes);
         if let Some(lane) = lanes.get(&decl.name)
             && lane.addr() == decl.addr
         {
             return Arc::clone(lane);
         }
-        let opts = LaneOptions {
+        let opts = ConnectOptions {
             source: self.common.opts.source,
             connect_timeout: self.common.opts.connect_timeout,
         };
         let sink: Arc<dyn ConnectionSink> = Arc::<Common>::clone(&self.common);
-        let lane = Lane::new(decl.name.clone(), decl.addr, opts, sink);
+        let lane = ConnectionPool::new(decl.name.clone(), decl.addr, opts, sink);
         let shares = lock(&self.shares);
         if let Some(n) = shares.as_ref().and_then(|s| s.get(&decl.name)) {
             lane.set_share(*n);
@@ -241,7 +245,7 @@
         lane
     }
 
-    fn give_up(&self, lane: Arc<Lane>) {
+    fn give_up(&self, lane: Arc<ConnectionPool>) {
         lane.set_share(Connections(0));
         lock(&self.closing).push(lane);
     }
--- a/crates/http/src/backend/status.rs
+++ b/crates/http/src/backend/status.rs
@@ -12,7 +12,7 @@
 use smallvec::SmallVec;
 
 use crate::backend::exchange::exchange;
-use crate::backend::lane::Lane;
+use crate::backend::lane::ConnectionPool;
 
 /// The most bytes of a status.
 const STATUS_MAX: usize = 16 * 1024;
@@ -28,7 +28,7 @@
 }
 
 /// Asks, within `limit`; `None` if no connection was free.
-pub(crate) async fn ask(lane: &Arc<Lane>, limit: Duration) -> Option<ServerReport> {
+pub(crate) async fn ask(lane: &Arc<ConnectionPool>, limit: Duration) -> Option<ServerReport> {
     let body = match tokio::time::timeout(limit, exchange_status(lane, limit)).await {
         Ok(Asked::Busy) => return None,
         Ok(Asked::Answered(body)) => Some(body),
@@ -44,7 +44,7 @@
     Answered(Body),
 }
 
-async fn exchange_status(lane: &Arc<Lane>, limit: Duration) -> Asked {
+async fn exchange_status(lane: &Arc<ConnectionPool>, limit: Duration) -> Asked {
     let lent = match lane.take_idle(None) {
         Some(lent) => Ok(lent),
         None if lane.is_full() => return Asked::Busy,
--- a/crates/http/src/callers/handler.rs
+++ b/crates/http/src/callers/handler.rs
@@ -21,7 +21,7 @@
 
 /// Answers lookups; the node's engine stands behind it.
 #[async_trait]
-pub trait Desk: Send + Sync + 'static {
+pub trait LookupService: Send + Sync + 'static {
     /// Runs one lookup to its only outcome.
     ///
     /// Dropping the future tells the engine that the caller hung up.
@@ -29,16 +29,16 @@
 }
 
 /// The handler of the callers' interface.
-pub struct Callers {
-    desk: Arc<dyn Desk>,
+pub struct CallerHandler {
+    desk: Arc<dyn LookupService>,
     body: usize,
     body_timeout: Duration,
 }
 
-impl Callers {
+impl CallerHandler {
     /// Takes lookups with bodies of at most `body` bytes that arrive within `body_timeout`.
     #[must_use]
-    pub fn new(desk: Arc<dyn Desk>, body: usize, body_timeout: Duration) -> Self {
+    pub fn new(desk: Arc<dyn LookupService>, body: usize, body_timeout: Duration) -> Self {
         Self {
             desk,
             body,
@@ -57,7 +57,7 @@
     }
 }
 
-impl Handler for Callers {
+impl Handler for CallerHandler {
     fn handle(
         self: Arc<Self>,
         _: SocketAddr,
--- a/crates/http/src/callers/mod.rs
+++ b/crates/http/src/callers/mod.rs
@@ -4,7 +4,7 @@
 mod reply;
 mod request;
 
-pub use handler::Callers;
-pub use handler::Desk;
+pub use handler::CallerHandler;
+pub use handler::LookupService;
 pub use reply::LookupReply;
 pub use reply::status_of;
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,7 +1,7 @@
 //! HTTP by hyper on both sides: the callers' interface and the connections to backend servers.
 //!
 //! I/O only. What to ask, when to hedge and what to answer is decided in `gs_query`; this crate
-//! hands lookups in through [`Desk`] and attempts' ends in through [`Sink`].
+//! hands lookups in through [`LookupService`] and attempts' ends in through [`EventSink`].
 
 mod backend;
 mod body;
@@ -10,21 +10,21 @@
 mod phase;
 mod server;
 
+pub use backend::CompleteReply;
+pub use backend::ConnectOptions;
+pub use backend::ConnectionPool;
+pub use backend::ConnectionPools;
+pub use backend::ConnectionPoolsOptions;
+pub use backend::ConnectionPoolsState;
 pub use backend::ConnectionSink;
+pub use backend::EventSink;
 pub use backend::ExchangeError;
-pub use backend::Lane;
-pub use backend::LaneOptions;
-pub use backend::Lent;
-pub use backend::Pool;
-pub use backend::PoolOptions;
-pub use backend::PoolState;
-pub use backend::Sink;
-pub use backend::Whole;
+pub use backend::PooledConnection;
 pub use backend::exchange;
 pub use body::read_body;
-pub use callers::Callers;
-pub use callers::Desk;
+pub use callers::CallerHandler;
 pub use callers::LookupReply;
+pub use callers::LookupService;
 pub use callers::status_of;
 pub use listen::listen;
 pub use server::Handler;
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -50,13 +50,13 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// The most bytes of a request's line and headers together.
-    pub headers: usize,
+    pub head_bytes_max: usize,
     /// The longest that a request's headers may take to arrive.
     pub header_timeout: Duration,
     /// The longest that a connection may be idle before and between requests.
     pub idle_timeout: Duration,
     /// The most connections open at the same time; more wait in the listen queue.
-    pub connections: usize,
+    pub connections_max: usize,
 }
 
 /// What a server is doing, for dumps and metrics.
@@ -157,7 +157,7 @@
 
     /// Serves until `stop` turns true, then finishes every request that has begun and returns.
     pub async fn run(self, handler: Arc<dyn Handler>, mut stop: watch::Receiver<bool>) {
-        let permits = Arc::new(Semaphore::new(self.limits.get().connections));
+        let permits = Arc::new(Semaphore::new(self.limits.get().connections_max));
         let graceful = GracefulShutdown::new();
         loop {
             let permit = tokio::select! {
@@ -219,7 +219,7 @@
             }
         });
         let conn = hyper::server::conn::http1::Builder::new()
-            .max_buf_size(limits.headers.max(HEADER_BUFFER_MIN))
+            .max_buf_size(limits.head_bytes_max.max(HEADER_BUFFER_MIN))
             .serve_connection(TokioIo::new(Watched::new(tcp, clock.clone())), service);
         let conn = graceful.watch(conn);
         async move {
--- a/crates/http/tests/callers.rs
+++ b/crates/http/tests/callers.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use gs_http::Callers;
-use gs_http::Desk;
+use gs_http::CallerHandler;
 use gs_http::Limits;
 use gs_http::LookupReply;
+use gs_http::LookupService;
 use gs_http::Server;
 use gs_types::prelude::*;
 use rstest::rstest;
@@ -24,7 +24,7 @@
 struct Echo;
 
 #[async_trait]
-impl Desk for Echo {
+impl LookupService for Echo {
     async fn lookup(&self, req: LookupRequest) -> LookupReply {
         let request = RequestId {
             vm: "vm-1".parse().expect("a name"),
@@ -62,12 +62,12 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = listener.local_addr().expect("bound");
     let limits = Limits {
-        headers: 8192,
+        head_bytes_max: 8192,
         header_timeout: Duration::from_millis(300),
         idle_timeout: Duration::from_secs(60),
-        connections: 16,
+        connections_max: 16,
     };
-    let callers = Arc::new(Callers::new(
+    let callers = Arc::new(CallerHandler::new(
         Arc::new(Echo),
         BODY_MAX,
         Duration::from_millis(300),
--- a/crates/http/tests/fuzz/backend.rs
+++ b/crates/http/tests/fuzz/backend.rs
@@ -6,9 +6,9 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use gs_http::Pool;
-use gs_http::PoolOptions;
-use gs_http::Sink;
+use gs_http::ConnectionPools;
+use gs_http::ConnectionPoolsOptions;
+use gs_http::EventSink;
 use gs_query::Dispatch;
 use gs_query::Event;
 use gs_query::PartReply;
@@ -86,8 +86,8 @@
 
 struct Tell(mpsc::UnboundedSender<Event>);
 
-impl Sink for Tell {
-    fn event(&self, ev: Event) {
+impl EventSink for Tell {
+    fn on_event(&self, ev: Event) {
         let _ = self.0.send(ev);
     }
 }
@@ -95,7 +95,7 @@
 struct Bench {
     server: Arc<ServerDecl>,
     scripts: Scripts,
-    pool: Pool,
+    pool: ConnectionPools,
     rx: mpsc::UnboundedReceiver<Event>,
     next: u64,
 }
@@ -112,11 +112,11 @@
             connections: Connections(25),
         });
         let (tx, rx) = mpsc::unbounded_channel();
-        let options = PoolOptions::builder()
+        let options = ConnectionPoolsOptions::builder()
             .connect_timeout(HANGS)
-            .part_max(PART_MAX)
+            .part_bytes_max(PART_MAX)
             .build();
-        let pool = Pool::new(options, Arc::new(Tell(tx)));
+        let pool = ConnectionPools::new(options, Arc::new(Tell(tx)));
         pool.set_shares(&[(server.name.clone(), Connections(SHARE))]);
         Self {
             server,
--- a/crates/http/tests/fuzz/callers.rs
+++ b/crates/http/tests/fuzz/callers.rs
@@ -7,10 +7,10 @@
 
 use async_trait::async_trait;
 use futures_util::future::join_all;
-use gs_http::Callers;
-use gs_http::Desk;
+use gs_http::CallerHandler;
 use gs_http::Limits;
 use gs_http::LookupReply;
+use gs_http::LookupService;
 use gs_http::Server;
 use gs_http::ServerState;
 use gs_types::prelude::*;
@@ -80,7 +80,7 @@
 }
 
 #[async_trait]
-impl Desk for Strict {
+impl LookupService for Strict {
     async fn lookup(&self, req: LookupRequest) -> LookupReply {
         if !is_allowed(&req) {
             self.bad.lock().expect("not poisoned").push(req);
@@ -119,15 +119,15 @@
     let addr = listener.local_addr().expect("bound");
     let limits = Limits {
         idle_timeout: std::time::Duration::from_secs(60),
-        headers: 8192,
+        head_bytes_max: 8192,
         header_timeout: PHASE_MAX,
-        connections: 32,
+        connections_max: 32,
     };
     let desk = Arc::new(Strict::default());
     let server = Server::new(listener, limits);
     let state = server.state();
     let (stop, stopped) = watch::channel(false);
-    let callers = Callers::new(Arc::clone(&desk) as Arc<dyn Desk>, 8192, PHASE_MAX);
+    let callers = CallerHandler::new(Arc::clone(&desk) as Arc<dyn LookupService>, 8192, PHASE_MAX);
     tokio::spawn(server.run(Arc::new(callers), stopped));
     Running {
         addr,
--- a/crates/http/tests/pool.rs
+++ b/crates/http/tests/pool.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use gs_http::Pool;
-use gs_http::PoolOptions;
-use gs_http::Sink;
+use gs_http::ConnectionPools;
+use gs_http::ConnectionPoolsOptions;
+use gs_http::EventSink;
 use gs_query::Dispatch;
 use gs_query::Event;
 use gs_query::PartReply;
@@ -160,15 +160,15 @@
 
 struct Tell(mpsc::UnboundedSender<Event>);
 
-impl Sink for Tell {
-    fn event(&self, ev: Event) {
+impl EventSink for Tell {
+    fn on_event(&self, ev: Event) {
         let _ = self.0.send(ev);
     }
 }
 
 struct Bench {
     fake: Arc<Fake>,
-    pool: Pool,
+    pool: ConnectionPools,
     rx: mpsc::UnboundedReceiver<Event>,
 }
 
@@ -176,7 +176,10 @@
     async fn start(script: Script, share: u32) -> Self {
         let fake = Fake::start(script).await;
         let (tx, rx) = mpsc::unbounded_channel();
-        let pool = Pool::new(PoolOptions::builder().build(), Arc::new(Tell(tx)));
+        let pool = ConnectionPools::new(
+            ConnectionPoolsOptions::builder().build(),
+            Arc::new(Tell(tx)),
+        );
         pool.set_shares(&[(fake.decl().name.clone(), Connections(share))]);
         Self { fake, pool, rx }
     }
@@ -258,7 +261,7 @@
 #[tokio::test]
 async fn a_cancel_keeps_the_connection_when_another_is_idle() {
     let mut b = Bench::start(Script::Hang, 2).await;
-    b.pool.warm(&b.fake.decl(), Connections(2));
+    b.pool.open_at_least(&b.fake.decl(), Connections(2));
     while b.pool.state().opened < 2 {
         tokio::task::yield_now().await;
     }
@@ -307,10 +310,10 @@
     b.fake.seen.notified().await;
     b.pool
         .set_shares(&[(b.fake.decl().name.clone(), Connections(1))]);
-    assert!(!b.pool.within_shares());
+    assert!(!b.pool.is_within_shares());
     b.pool.cancel(&first);
     b.reply().await;
-    while !b.pool.within_shares() {
+    while !b.pool.is_within_shares() {
         tokio::task::yield_now().await;
     }
     b.pool.cancel(&second);
@@ -325,7 +328,7 @@
     b.pool.close();
     b.pool
         .set_shares(&[(b.fake.decl().name.clone(), Connections(2))]);
-    b.pool.warm(&b.fake.decl(), Connections(2));
+    b.pool.open_at_least(&b.fake.decl(), Connections(2));
     let id = b.dispatch(0);
     tokio::task::yield_now().await;
     b.pool.cancel(&id);
--- a/crates/mesh/examples/cost.rs
+++ b/crates/mesh/examples/cost.rs
@@ -119,7 +119,7 @@
     fn act(&mut self, now: Instant, action: Action, table: &mut Option<Stored>) {
         match action {
             Action::Send(to, beat) => drop(self.mesh.send(&to, &beat)),
-            Action::Peers(peers) => self.mesh.peers(&peers),
+            Action::Peers(peers) => self.mesh.set_peers(&peers),
             Action::Shares { epoch, .. } => self.inbox.push_back(Event::Lowered(epoch)),
             Action::ReadTable => self.inbox.push_back(Event::TableRead(Ok(table.clone()))),
             Action::WriteTable {
--- a/crates/mesh/examples/throughput.rs
+++ b/crates/mesh/examples/throughput.rs
@@ -46,7 +46,7 @@
     let (a, _a_rx) = start("a");
     let (b, mut rx) = start("b");
     let to: VmId = "b".parse().expect("a name");
-    a.peers(&[(to.clone(), b.local_addr())]);
+    a.set_peers(&[(to.clone(), b.local_addr())]);
     while rx.try_recv().is_err() {
         let _ = a.send(&to, &Vec::new());
         thread::sleep(Duration::from_millis(10));
--- a/crates/mesh/src/counters.rs
+++ b/crates/mesh/src/counters.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::frame::Refused;
+use crate::frame::RejectReason;
 
 /// Declares the live counters and their snapshot in one place.
 macro_rules! counters {
@@ -68,25 +68,25 @@
 
 impl Counters {
     /// Counts one refused frame.
-    pub fn refuse(&self, why: Refused) {
+    pub fn refuse(&self, why: RejectReason) {
         add(self.of(why), 1);
     }
 
     /// How many frames were refused for one reason.
     #[must_use]
-    pub fn refused(&self, why: Refused) -> u64 {
+    pub fn refused(&self, why: RejectReason) -> u64 {
         self.of(why).load(Ordering::Relaxed)
     }
 
-    fn of(&self, why: Refused) -> &AtomicU64 {
+    fn of(&self, why: RejectReason) -> &AtomicU64 {
         match why {
-            Refused::Garbled => &self.garbled,
-            Refused::OtherVersion => &self.other_version,
-            Refused::BadSecret => &self.bad_secret,
-            Refused::Misdirected => &self.misdirected,
-            Refused::Replayed => &self.replayed,
-            Refused::Stale => &self.stale,
-            Refused::Undecodable => &self.undecodable,
+            RejectReason::Garbled => &self.garbled,
+            RejectReason::OtherVersion => &self.other_version,
+            RejectReason::BadSecret => &self.bad_secret,
+            RejectReason::Misdirected => &self.misdirected,
+            RejectReason::Replayed => &self.replayed,
+            RejectReason::Stale => &self.stale,
+            RejectReason::Undecodable => &self.undecodable,
         }
     }
 }
--- a/crates/mesh/src/frame.rs
+++ b/crates/mesh/src/frame.rs
@@ -33,7 +33,7 @@
 
 /// What a frame carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum FrameKind {
     /// A message in the body.
     Message,
     /// Nothing but the sender's address and run; sent to a peer that spoke to an earlier run.
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Frame {
     /// What it carries.
-    pub kind: Kind,
+    pub kind: FrameKind,
     /// The VM that sent it.
     pub from: VmId,
     /// The run of the process that sent it.
@@ -62,7 +62,7 @@
 /// Why a frame was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Refused {
+pub enum RejectReason {
     /// It is no frame of ours, or cut short.
     Garbled,
     /// It is of a protocol version that this process does not speak.
@@ -117,21 +117,23 @@
     ///
     /// # Errors
     ///
-    /// [`Refused::Garbled`], [`Refused::OtherVersion`] or [`Refused::BadSecret`].
-    pub fn read<'a>(&self, buf: &'a [u8]) -> Result<(Frame, &'a [u8]), Refused> {
-        let rest = buf.strip_prefix(&MAGIC).ok_or(Refused::Garbled)?;
-        let (version, rest) = rest.split_first_chunk::<2>().ok_or(Refused::Garbled)?;
+    /// [`RejectReason::Garbled`], [`RejectReason::OtherVersion`] or [`RejectReason::BadSecret`].
+    pub fn read<'a>(&self, buf: &'a [u8]) -> Result<(Frame, &'a [u8]), RejectReason> {
+        let rest = buf.strip_prefix(&MAGIC).ok_or(RejectReason::Garbled)?;
+        let (version, rest) = rest.split_first_chunk::<2>().ok_or(RejectReason::Garbled)?;
         if u16::from_le_bytes(*version) != PROTOCOL {
-            return Err(Refused::OtherVersion);
+            return Err(RejectReason::OtherVersion);
         }
-        let (inner, tag) = rest.split_last_chunk::<TAG>().ok_or(Refused::Garbled)?;
+        let (inner, tag) = rest
+            .split_last_chunk::<TAG>()
+            .ok_or(RejectReason::Garbled)?;
         // `verify_truncated_left` compares in constant time, so that a forger learns nothing from
         // how long the refusal takes.
         self.mac
             .clone()
             .chain_update(&buf[..buf.len() - TAG])
             .verify_truncated_left(tag)
-            .map_err(|_| Refused::BadSecret)?;
-        postcard::take_from_bytes(inner).map_err(|_| Refused::Garbled)
+            .map_err(|_| RejectReason::BadSecret)?;
+        postcard::take_from_bytes(inner).map_err(|_| RejectReason::Garbled)
     }
 }
--- a/crates/mesh/src/hub.rs
+++ b/crates/mesh/src/hub.rs
@@ -18,8 +18,8 @@
 use crate::counters::add;
 use crate::frame::Codec;
 use crate::frame::Frame;
-use crate::frame::Kind;
-use crate::frame::Refused;
+use crate::frame::FrameKind;
+use crate::frame::RejectReason;
 use crate::link::Link;
 use crate::link::Links;
 use crate::mesh::Received;
@@ -56,7 +56,7 @@
     pub(crate) fn send(&self, to: &VmId, body: &[u8]) -> Result<(), SendError> {
         let mut links = self.links();
         let link = links.find(to).ok_or(SendError::NoSuchPeer)?;
-        self.put(link, to, Kind::Message, body)
+        self.put(link, to, FrameKind::Message, body)
     }
 
     /// Connects to the listed peers, greets the new ones and gives the sockets now unused.
@@ -88,15 +88,15 @@
         &self,
         buf: &[u8],
         tx: &mpsc::Sender<Received<M>>,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), RejectReason> {
         let (frame, body) = self.codec.read(buf)?;
         if frame.to != self.cfg.vm {
-            return Err(Refused::Misdirected);
+            return Err(RejectReason::Misdirected);
         }
         let knows_us = frame.to_incarnation == self.cfg.incarnation;
-        if frame.kind == Kind::Message && !knows_us {
+        if frame.kind == FrameKind::Message && !knows_us {
             self.answer_greeting(&frame);
-            return Err(Refused::Stale);
+            return Err(RejectReason::Stale);
         }
         self.guard
             .lock()
@@ -107,8 +107,8 @@
         }
         self.learn(&frame);
         match frame.kind {
-            Kind::Hello => Ok(()),
-            Kind::Message => self.hand_over(frame, body, tx),
+            FrameKind::Hello => Ok(()),
+            FrameKind::Message => self.hand_over(frame, body, tx),
         }
     }
 
@@ -117,8 +117,8 @@
         frame: Frame,
         body: &[u8],
         tx: &mpsc::Sender<Received<M>>,
-    ) -> Result<(), Refused> {
-        let msg = postcard::from_bytes(body).map_err(|_| Refused::Undecodable)?;
+    ) -> Result<(), RejectReason> {
+        let msg = postcard::from_bytes(body).map_err(|_| RejectReason::Undecodable)?;
         let received = Received {
             from: frame.from,
             incarnation: frame.incarnation,
@@ -155,10 +155,10 @@
 
     fn greet(&self, link: &mut Link, to: &VmId) {
         link.greeted = Some(Instant::now());
-        let _ = self.put(link, to, Kind::Hello, &[]);
+        let _ = self.put(link, to, FrameKind::Hello, &[]);
     }
 
-    fn put(&self, link: &Link, to: &VmId, kind: Kind, body: &[u8]) -> Result<(), SendError> {
+    fn put(&self, link: &Link, to: &VmId, kind: FrameKind, body: &[u8]) -> Result<(), SendError> {
         let frame = Frame {
             kind,
             from: self.cfg.vm.clone(),
@@ -195,9 +195,9 @@
     }
 
     /// Logs the 1st, 2nd, 4th and so on refusal of a kind, so that a hostile peer cannot fill the log.
-    fn log_refusal(&self, why: Refused) {
+    fn log_refusal(&self, why: RejectReason) {
         let n = self.counters.refused(why);
-        if n.is_power_of_two() && why != Refused::Stale {
+        if n.is_power_of_two() && why != RejectReason::Stale {
             log::warn!("event=mesh-refused reason={why} count={n}");
         }
     }
--- a/crates/mesh/src/local.rs
+++ b/crates/mesh/src/local.rs
@@ -85,7 +85,7 @@
         Ok(())
     }
 
-    fn peers(&self, _: &[(VmId, SocketAddr)]) {}
+    fn set_peers(&self, _: &[(VmId, SocketAddr)]) {}
 
     fn counts(&self) -> Counts {
         self.counters.counts()
--- a/crates/mesh/src/mesh.rs
+++ b/crates/mesh/src/mesh.rs
@@ -17,7 +17,7 @@
     fn send(&self, to: &VmId, msg: &M) -> Result<(), SendError>;
 
     /// Replaces the list of peers to hold connections to.
-    fn peers(&self, peers: &[(VmId, SocketAddr)]);
+    fn set_peers(&self, peers: &[(VmId, SocketAddr)]);
 
     /// What was sent, received and refused so far.
     fn counts(&self) -> Counts;
--- a/crates/mesh/src/nng_mesh.rs
+++ b/crates/mesh/src/nng_mesh.rs
@@ -55,7 +55,7 @@
 ///     .secret(Secret::new(b"sixteen bytes or more")?)
 ///     .build();
 /// let (mesh, mut rx) = NngMesh::<String>::start(cfg)?;
-/// mesh.peers(&[("entry-2".parse()?, "127.0.0.1:7101".parse().expect("an address"))]);
+/// mesh.set_peers(&[("entry-2".parse()?, "127.0.0.1:7101".parse().expect("an address"))]);
 /// let _ = mesh.send(&"entry-2".parse()?, &"hello".to_owned());
 /// while let Some(received) = rx.blocking_recv() {
 ///     println!("{}: {}", received.from, received.msg);
@@ -112,7 +112,7 @@
         self.hub.send(to, &body)
     }
 
-    fn peers(&self, peers: &[(VmId, SocketAddr)]) {
+    fn set_peers(&self, peers: &[(VmId, SocketAddr)]) {
         let unused = self.hub.list(peers);
         let _ = self.reaper.send(Dead::Sockets(unused));
     }
--- a/crates/mesh/src/replay.rs
+++ b/crates/mesh/src/replay.rs
@@ -5,7 +5,7 @@
 use gs_types::prelude::*;
 
 use crate::frame::Frame;
-use crate::frame::Refused;
+use crate::frame::RejectReason;
 
 /// Sequence numbers behind the newest that are still told apart.
 const SPAN: u64 = 64;
@@ -32,9 +32,9 @@
     ///
     /// # Errors
     ///
-    /// [`Refused::Replayed`] if it came before, is too old to tell, is of an earlier run of its
+    /// [`RejectReason::Replayed`] if it came before, is too old to tell, is of an earlier run of its
     /// sender, or is of one sender too many.
-    pub fn admit(&mut self, f: &Frame) -> Result<(), Refused> {
+    pub fn admit(&mut self, f: &Frame) -> Result<(), RejectReason> {
         let fresh = Last {
             incarnation: f.incarnation,
             newest: f.seq,
@@ -42,7 +42,7 @@
         };
         let Some(last) = self.senders.get_mut(&f.from) else {
             if self.senders.len() >= SENDERS_MAX {
-                return Err(Refused::Replayed);
+                return Err(RejectReason::Replayed);
             }
             self.senders.insert(f.from.clone(), fresh);
             return Ok(());
@@ -52,14 +52,14 @@
             return Ok(());
         }
         if f.incarnation < last.incarnation {
-            return Err(Refused::Replayed);
+            return Err(RejectReason::Replayed);
         }
         last.admit(f.seq)
     }
 }
 
 impl Last {
-    fn admit(&mut self, seq: u64) -> Result<(), Refused> {
+    fn admit(&mut self, seq: u64) -> Result<(), RejectReason> {
         if seq > self.newest {
             let by = seq - self.newest;
             self.seen = if by < SPAN { self.seen << by | 1 } else { 1 };
@@ -68,7 +68,7 @@
         }
         let back = self.newest - seq;
         if back >= SPAN || self.seen & (1 << back) != 0 {
-            return Err(Refused::Replayed);
+            return Err(RejectReason::Replayed);
         }
         self.seen |= 1 << back;
         Ok(())
--- a/crates/mesh/tests/mesh/frame.rs
+++ b/crates/mesh/tests/mesh/frame.rs
@@ -2,8 +2,8 @@
 
 use gs_mesh::Codec;
 use gs_mesh::Frame;
-use gs_mesh::Kind;
-use gs_mesh::Refused;
+use gs_mesh::FrameKind;
+use gs_mesh::RejectReason;
 use gs_mesh::Secret;
 use gs_types::prelude::*;
 use proptest::prelude::*;
@@ -16,7 +16,7 @@
 
 pub fn frame(seq: u64) -> Frame {
     Frame {
-        kind: Kind::Message,
+        kind: FrameKind::Message,
         from: "entry-1".parse().expect("a name"),
         incarnation: Incarnation(7),
         addr: "127.0.0.1:7100".parse().expect("an address"),
@@ -41,7 +41,7 @@
 #[test]
 fn a_wrong_secret_is_refused() {
     let read = codec("another sixteen bytes").read(&written()).map(|_| ());
-    assert_eq!(read, Err(Refused::BadSecret));
+    assert_eq!(read, Err(RejectReason::BadSecret));
 }
 
 #[test]
@@ -49,7 +49,7 @@
     let mut buf = written();
     buf[4] = 2;
     let read = codec("sixteen bytes or more").read(&buf).map(|_| ());
-    assert_eq!(read, Err(Refused::OtherVersion));
+    assert_eq!(read, Err(RejectReason::OtherVersion));
 }
 
 #[test]
--- a/crates/mesh/tests/mesh/link.rs
+++ b/crates/mesh/tests/mesh/link.rs
@@ -76,8 +76,8 @@
 fn two() -> (Node, Node) {
     let a = node("a", 1, any_port(), SECRET);
     let b = node("b", 1, any_port(), SECRET);
-    a.mesh.peers(&[b.peer()]);
-    b.mesh.peers(&[a.peer()]);
+    a.mesh.set_peers(&[b.peer()]);
+    b.mesh.set_peers(&[a.peer()]);
     (a, b)
 }
 
@@ -94,7 +94,7 @@
 fn a_vm_that_is_not_listed_yet_is_answered() {
     let mut a = node("a", 1, any_port(), SECRET);
     let mut b = node("b", 1, any_port(), SECRET);
-    a.mesh.peers(&[b.peer()]);
+    a.mesh.set_peers(&[b.peer()]);
     a.reach(&mut b, "hello");
     b.reach(&mut a, "welcome");
 }
@@ -103,7 +103,7 @@
 fn another_secret_is_refused_and_counted() {
     let a = node("a", 1, any_port(), "another sixteen bytes");
     let b = node("b", 1, any_port(), SECRET);
-    a.mesh.peers(&[b.peer()]);
+    a.mesh.set_peers(&[b.peer()]);
     b.wait(|c| c.bad_secret > 0);
     assert_eq!(b.mesh.counts().received, 0);
 }
@@ -135,7 +135,7 @@
             Err(_) => thread::sleep(Duration::from_millis(10)),
         }
     };
-    b.mesh.peers(&[a.peer()]);
+    b.mesh.set_peers(&[a.peer()]);
     let got = a.reach(&mut b, "two");
     assert_eq!(got.msg, "two");
     let got = b.reach(&mut a, "three");
@@ -154,7 +154,7 @@
     let name = |s: &str| s.parse::<VmId>().expect("a name");
     let stopped_addr = stopped.local_addr().expect("an address");
     let others = [(name("stopped"), stopped_addr), (name("dead"), dead_addr)];
-    a.mesh.peers(&[&[b.peer()], &others[..]].concat());
+    a.mesh.set_peers(&[&[b.peer()], &others[..]].concat());
     a.reach(&mut b, "before");
     let rt = tokio::runtime::Builder::new_current_thread()
         .build()
@@ -169,7 +169,7 @@
         }
     });
     assert_eq!(a.reach(&mut b, "after").msg, "after");
-    a.mesh.peers(&[b.peer()]);
+    a.mesh.set_peers(&[b.peer()]);
     assert_eq!(a.reach(&mut b, "unlisted").msg, "unlisted");
     let (mut conn, _) = stopped.accept().expect("the mesh connected");
     let _ = conn.read(&mut [0; 16]);
--- a/crates/node/src/desk.rs
+++ b/crates/node/src/desk.rs
@@ -10,8 +10,8 @@
 use async_trait::async_trait;
 use gs_clock::Clock;
 use gs_conf::ConfigManager;
-use gs_http::Desk;
 use gs_http::LookupReply;
+use gs_http::LookupService;
 use gs_query::Arrival;
 use gs_query::Event;
 use gs_types::prelude::*;
@@ -59,7 +59,7 @@
 }
 
 #[async_trait]
-impl Desk for NodeDesk {
+impl LookupService for NodeDesk {
     async fn lookup(&self, req: LookupRequest) -> LookupReply {
         let start = self.clock.now();
         let (front, lookup) = (req.front.clone(), req.lookup.clone());
--- a/crates/node/src/dumps.rs
+++ b/crates/node/src/dumps.rs
@@ -10,7 +10,7 @@
 
 use gs_clock::Clock;
 use gs_conf::ConfigManager;
-use gs_http::Pool;
+use gs_http::ConnectionPools;
 use gs_http::ServerState;
 use gs_member::Membership;
 use gs_mesh::Mesh;
@@ -40,7 +40,7 @@
     pub(crate) book: Shared<ConfigManager>,
     pub(crate) member: Shared<Membership>,
     pub(crate) once: Shared<Once>,
-    pub(crate) pool: Arc<Pool>,
+    pub(crate) pool: Arc<ConnectionPools>,
     pub(crate) callers: Arc<ServerState>,
     pub(crate) board: Arc<Board>,
     pub(crate) mesh: Arc<dyn Mesh<Message>>,
--- a/crates/node/src/engine_shell.rs
+++ b/crates/node/src/engine_shell.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use gs_http::Pool;
-use gs_http::Sink;
+use gs_http::ConnectionPools;
+use gs_http::EventSink;
 use gs_query::Action;
 use gs_query::Engine;
 use gs_query::Event;
@@ -36,15 +36,15 @@
 /// Hands what happens on connections to the engine.
 pub(crate) struct EngineSink(pub(crate) Feed<Event>);
 
-impl Sink for EngineSink {
-    fn event(&self, ev: Event) {
+impl EventSink for EngineSink {
+    fn on_event(&self, ev: Event) {
         self.0.push(ev);
     }
 }
 
 /// Carries out what the engine asks for.
 pub(crate) struct EngineShell {
-    pub(crate) pool: Arc<Pool>,
+    pub(crate) pool: Arc<ConnectionPools>,
     pub(crate) pending: Arc<Pending>,
     pub(crate) board: Arc<Board>,
     pub(crate) feeds: Feeds,
@@ -67,7 +67,7 @@
             Action::Wake(after) => return Some(after),
             Action::Warm(name, n) => {
                 if let Some(server) = self.board.server(&name) {
-                    self.pool.warm(&server, n);
+                    self.pool.open_at_least(&server, n);
                 }
             }
             Action::Spread(sign) => {
--- a/crates/node/src/member_shell.rs
+++ b/crates/node/src/member_shell.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gs_http::Pool;
+use gs_http::ConnectionPools;
 use gs_member::Action;
 use gs_member::Event;
 use gs_member::Membership;
@@ -46,7 +46,7 @@
     pub(crate) feeds: Feeds,
     pub(crate) spread: Spread,
     pub(crate) mesh: Arc<dyn Mesh<Message>>,
-    pub(crate) pool: Arc<Pool>,
+    pub(crate) pool: Arc<ConnectionPools>,
     pub(crate) board: Arc<Board>,
 }
 
@@ -54,7 +54,7 @@
     fn perform(&mut self, action: Action, feed: &Feed<Event>) -> Option<Duration> {
         match action {
             Action::Send(vm, beat) => self.spread.send(&vm, &Message::Beat(beat)),
-            Action::Peers(peers) => self.mesh.peers(&peers),
+            Action::Peers(peers) => self.mesh.set_peers(&peers),
             Action::Shares { epoch, shares } => self.share(epoch, shares, feed.clone()),
             Action::View(view) => self.view(view),
             Action::ReadTable => {
@@ -107,7 +107,7 @@
         self.feeds.engine.push(gs_query::Event::Shares(shares));
         let pool = Arc::clone(&self.pool);
         tokio::spawn(async move {
-            while !pool.within_shares() {
+            while !pool.is_within_shares() {
                 tokio::time::sleep(LOWER_PAUSE).await;
             }
             feed.push(Event::Lowered(epoch));
--- a/crates/node/src/options.rs
+++ b/crates/node/src/options.rs
@@ -7,8 +7,8 @@
 use gs_clock::Clock;
 use gs_conf::ConfigManager;
 use gs_conf::ConfigManagerOptions;
+use gs_http::ConnectionPoolsOptions;
 use gs_http::Limits;
-use gs_http::PoolOptions;
 use gs_member::MemberSettings;
 use gs_mesh::Mesh;
 use gs_mesh::MeshSettings;
@@ -172,15 +172,15 @@
 
     pub(crate) fn caller_limits(&self) -> Limits {
         Limits {
-            headers: usize::try_from(self.settings.callers.headers.0).unwrap_or(usize::MAX),
+            head_bytes_max: usize::try_from(self.settings.callers.headers.0).unwrap_or(usize::MAX),
             header_timeout: self.settings.callers.header_timeout,
             idle_timeout: CALLER_IDLE,
-            connections: self.settings.callers.connections.0 as usize,
+            connections_max: self.settings.callers.connections.0 as usize,
         }
     }
 
-    pub(crate) fn pool(&self) -> PoolOptions {
-        PoolOptions::builder()
+    pub(crate) fn pool(&self) -> ConnectionPoolsOptions {
+        ConnectionPoolsOptions::builder()
             .maybe_source(self.settings.source.ip)
             .connect_timeout(self.settings.servers.connect_timeout)
             .build()
--- a/crates/node/src/poll.rs
+++ b/crates/node/src/poll.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use futures_util::StreamExt;
-use gs_http::Pool;
+use gs_http::ConnectionPools;
 use gs_query::Event;
 
 use crate::board::Board;
@@ -17,7 +17,12 @@
 const LIMIT: Duration = Duration::from_millis(300);
 
 /// Polls every declared server once in each `every`, forgetting those that are gone.
-pub(crate) async fn run(pool: Arc<Pool>, board: Arc<Board>, engine: Feed<Event>, every: Duration) {
+pub(crate) async fn run(
+    pool: Arc<ConnectionPools>,
+    board: Arc<Board>,
+    engine: Feed<Event>,
+    every: Duration,
+) {
     loop {
         let servers = board.servers();
         pool.retain(&|name| board.server(name).is_some());
@@ -25,7 +30,7 @@
             .for_each_concurrent(AT_ONCE, |s| {
                 let (pool, engine) = (&pool, &engine);
                 async move {
-                    if let Some(report) = pool.report(&s, LIMIT).await {
+                    if let Some(report) = pool.request_status(&s, LIMIT).await {
                         engine.push(Event::Report(report));
                     }
                 }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -7,8 +7,8 @@
 use gs_admin::Admin;
 use gs_admin::AdminOptions;
 use gs_conf::ConfigManager;
-use gs_http::Callers;
-use gs_http::Pool;
+use gs_http::CallerHandler;
+use gs_http::ConnectionPools;
 use gs_http::Server;
 use gs_http::ServerState;
 use gs_http::listen;
@@ -78,7 +78,7 @@
     platform: Arc<dyn Platform>,
     mesh: Arc<dyn Mesh<Message>>,
     spread: Spread,
-    pool: Arc<Pool>,
+    pool: Arc<ConnectionPools>,
     pending: Arc<Pending>,
     asks: Arc<Asks>,
     metrics: Arc<Metrics>,
@@ -126,7 +126,7 @@
         let this = Self {
             machines: Machines::new(&start)?,
             spread: Spread::new(Arc::clone(&mesh), Arc::clone(&board)),
-            pool: Arc::new(Pool::new(start.pool(), Arc::new(sink))),
+            pool: Arc::new(ConnectionPools::new(start.pool(), Arc::new(sink))),
             platform: start.platform(),
             recording: Arc::new(start.recording()?),
             metrics: Arc::new(metrics),
@@ -157,7 +157,8 @@
         let admin = self.admin(listeners.operators, dumps)?;
         let (stop, stopped) = watch::channel(false);
         let body = usize::try_from(settings.callers.body.0).unwrap_or(usize::MAX);
-        let handler = Callers::new(Arc::new(self.desk()), body, settings.callers.body_timeout);
+        let handler =
+            CallerHandler::new(Arc::new(self.desk()), body, settings.callers.body_timeout);
         let serving = tokio::spawn(server.run(Arc::new(handler), stopped));
         let leaver = Leaver {
             cfg: settings.shutdown.clone(),
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use gs_clock::Clock;
-use gs_http::Pool;
+use gs_http::ConnectionPools;
 use gs_http::ServerState;
 use gs_query::Engine;
 use gs_settings::Shutdown;
@@ -33,7 +33,7 @@
     pub(crate) board: Arc<Board>,
     pub(crate) feeds: Feeds,
     pub(crate) engine: Shared<Engine>,
-    pub(crate) pool: Arc<Pool>,
+    pub(crate) pool: Arc<ConnectionPools>,
     pub(crate) callers: Arc<ServerState>,
     pub(crate) stop: watch::Sender<bool>,
     pub(crate) serving: JoinHandle<()>,
@@ -101,9 +101,9 @@
 }
 
 /// Closes every connection to backend servers, then says so, for others to take the shares.
-async fn release(pool: &Pool, feeds: &Feeds) {
+async fn release(pool: &ConnectionPools, feeds: &Feeds) {
     pool.close();
-    while !pool.within_shares() {
+    while !pool.is_within_shares() {
         tokio::time::sleep(LOOK).await;
     }
     feeds.member.push(gs_member::Event::Released);
