--- a/crates/http/src/backend/attempt.rs
+++ b/crates/http/src/backend/attempt.rs
@@ -1,4 +1,6 @@
-//! One attempt: take a connection, pass the point of no return, read the reply.
+//! Runs one attempt: takes a connection, sends the request and reads the reply.
+//!
+//! [`Event::Sent`] is reported just before the request is sent; from then on the server may have executed it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,96 +16,100 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use crate::backend::check;
+use crate::backend::connection_pool::ConnectionPool;
+use crate::backend::connection_pool::PooledConnection;
+use crate::backend::connection_pools::Shared;
 use crate::backend::exchange::exchange;
-use crate::backend::lane::ConnectionPool;
-use crate::backend::lane::PooledConnection;
-use crate::backend::pool::Common;
+use crate::backend::part_reply;
 
-/// How long a cancelled attempt may take to confirm before its connection is closed: a little more than
-/// the way to another region and back, twice 12 ms, which the cancel and its answer take together.
-const CANCEL_WAIT: Duration = Duration::from_millis(35);
+/// How long to wait for the server to confirm a cancel before the attempt's connection is closed.
+///
+/// A little more than the 24 ms that the cancel and its confirmation take together to another region and back (12 ms
+/// each way).
+const CANCEL_CONFIRM_TIMEOUT: Duration = Duration::from_millis(35);
 
-/// Runs an attempt to its only reply.
+/// Runs an attempt and returns its only reply.
 pub(crate) async fn run(
-    common: &Arc<Common>,
-    lane: &Arc<ConnectionPool>,
+    shared: &Arc<Shared>,
+    pool: &Arc<ConnectionPool>,
     d: Dispatch,
     mut cancelled: oneshot::Receiver<()>,
 ) -> PartReply {
-    let until = Instant::now() + d.budget;
-    let lent = tokio::select! {
+    let deadline = Instant::now() + d.budget;
+    let conn = tokio::select! {
         biased;
         _ = &mut cancelled => return PartReply::NotSent,
-        lent = lane.take(d.budget) => lent,
+        conn = pool.take(d.budget) => conn,
     };
-    let Ok(mut lent) = lent else {
+    let Ok(mut conn) = conn else {
         return PartReply::NotSent;
     };
-    let Ok(req) = search(&d, until.saturating_duration_since(Instant::now())) else {
+    let Ok(req) = search_request(&d, deadline.saturating_duration_since(Instant::now())) else {
         return PartReply::NotSent;
     };
-    common.sink.on_event(Event::Sent(d.attempt.clone()));
-    let (reply, clean) = {
-        let answered = check::reply(&mut lent, req, &d, common.opts.part_bytes_max);
-        tokio::pin!(answered);
+    shared.sink.on_event(Event::Sent(d.attempt.clone()));
+    let (reply, is_reusable) = {
+        let exchanged = part_reply::exchange_part(&mut conn, req, &d, shared.opts.part_bytes_max);
+        tokio::pin!(exchanged);
         tokio::select! {
             biased;
-            r = &mut answered => r,
-            () = tokio::time::sleep_until(until) => (PartReply::Late, false),
+            r = &mut exchanged => r,
+            () = tokio::time::sleep_until(deadline) => (PartReply::Late, false),
             _ = &mut cancelled => {
-                confirm_cancel(lane, &d, &mut answered).await
+                confirm_cancel(pool, &d, &mut exchanged).await
             }
         }
     };
-    if clean {
-        lane.put_back(lent);
+    if is_reusable {
+        pool.put_back(conn);
     }
     reply
 }
 
-/// Asks the server to drop the work, so that the connection can be used again.
+/// Requests the server to cancel the attempt, so that the attempt's connection can be reused.
 ///
-/// Closing it would do too, but then a new one costs the server's handshake. If no other connection
-/// is idle to carry the cancel, or the server does not confirm soon, the connection is closed.
+/// Closing the connection would cancel the attempt too, but opening a new one costs the server a handshake. The cancel
+/// is sent on another connection. If none is idle, or the server does not confirm within [`CANCEL_CONFIRM_TIMEOUT`],
+/// the attempt's connection is closed.
 async fn confirm_cancel(
-    lane: &Arc<ConnectionPool>,
+    pool: &Arc<ConnectionPool>,
     d: &Dispatch,
-    answered: &mut (impl Future<Output = (PartReply, bool)> + Unpin),
+    exchanged: &mut (impl Future<Output = (PartReply, bool)> + Unpin),
 ) -> (PartReply, bool) {
-    let Some(mut other) = lane.take_idle(None) else {
+    let Some(mut cancel_conn) = pool.take_idle(None) else {
         return (PartReply::Cancelled, false);
     };
-    let both = async {
-        let (sent, reply) = tokio::join!(send_cancel(&mut other, d), answered);
+    let cancel_and_reply = async {
+        let (sent, reply) = tokio::join!(send_cancel(&mut cancel_conn, d), exchanged);
         if sent {
-            lane.put_back(other);
+            pool.put_back(cancel_conn);
         }
         reply
     };
-    let confirmed = tokio::time::timeout(CANCEL_WAIT, both).await;
+    let confirmed = tokio::time::timeout(CANCEL_CONFIRM_TIMEOUT, cancel_and_reply).await;
     match confirmed {
-        Ok((PartReply::Whole { .. }, clean)) => (PartReply::Cancelled, clean),
+        Ok((PartReply::Whole { .. }, is_reusable)) => (PartReply::Cancelled, is_reusable),
         Ok(ended) => ended,
         Err(_) => (PartReply::Cancelled, false),
     }
 }
 
-async fn send_cancel(lent: &mut PooledConnection, d: &Dispatch) -> bool {
+/// Sends the cancel and returns whether the server confirmed it.
+async fn send_cancel(conn: &mut PooledConnection, d: &Dispatch) -> bool {
     let req = Request::post("/cancel")
         .header("x-attempt", d.attempt.to_string())
         .body(Full::default());
     let Ok(req) = req else {
         return false;
     };
-    match exchange(lent, req, 0).await {
+    match exchange(conn, req, 0).await {
         Ok(r) => r.status == StatusCode::NO_CONTENT,
         Err(_) => false,
     }
 }
 
-/// The request of docs/PROTOCOLS.md.
-fn search(d: &Dispatch, left: Duration) -> Result<Request<Full<Bytes>>> {
+/// Builds the search request, as specified in docs/PROTOCOLS.md.
+fn search_request(d: &Dispatch, time_left: Duration) -> Result<Request<Full<Bytes>>> {
     let mut req = Request::post("/search")
         .header("x-attempt", d.attempt.to_string())
         .header("x-snapshot", d.snapshot.0)
@@ -111,7 +117,7 @@
         .header("x-page", d.page)
         .header(
             "x-budget-ms",
-            u64::try_from(left.as_millis()).unwrap_or(u64::MAX),
+            u64::try_from(time_left.as_millis()).unwrap_or(u64::MAX),
         );
     if let Some(key) = &d.key {
         req = req.header("x-key", key.as_bytes());
--- a/crates/http/src/backend/connect.rs
+++ b/crates/http/src/backend/connect.rs
@@ -21,38 +21,40 @@
 /// Drives one connection until it closes.
 pub(crate) type Driver = Connection<TokioIo<TcpStream>, Full<Bytes>>;
 
-/// Silence on an idle connection before it is probed; a connection that went silent for good is then
-/// noticed in about three of these, well within the time in which a VM must be in step again.
-const KEEPALIVE: Duration = Duration::from_secs(1);
+/// How long a connection is silent before it is probed, and the time between two probes.
+///
+/// A dead connection is detected after about three of these, well within the time in which a VM must have recovered.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Probes without an answer after which a connection is closed.
+/// The number of unanswered probes after which a connection is closed.
 const KEEPALIVE_PROBES: u32 = 2;
 
-/// Opens a connection within `limit`, from `source` if given.
+/// Opens a connection within `timeout`, from `source` if given.
 pub(crate) async fn connect(
     addr: SocketAddr,
     source: Option<IpAddr>,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<(Sender, Driver)> {
     let failed = |e: String| {
         Error::new(ErrorKind::Unavailable, e)
             .at("connect")
             .from_peer(addr.to_string())
     };
-    let opening = async {
-        let tcp = open(addr, source)
+    let connecting = async {
+        let tcp = open_socket(addr, source)
             .await
             .map_err(|e| failed(e.to_string()))?;
         hyper::client::conn::http1::handshake(TokioIo::new(tcp))
             .await
             .map_err(|e| failed(e.to_string()))
     };
-    tokio::time::timeout(limit, opening)
+    tokio::time::timeout(timeout, connecting)
         .await
-        .map_err(|_| failed("no connection in time".to_owned()))?
+        .map_err(|_| failed("connecting timed out".to_owned()))?
 }
 
-async fn open(addr: SocketAddr, source: Option<IpAddr>) -> std::io::Result<TcpStream> {
+/// Connects a socket and sets its options.
+async fn open_socket(addr: SocketAddr, source: Option<IpAddr>) -> std::io::Result<TcpStream> {
     let socket = match addr {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
         SocketAddr::V6(_) => TcpSocket::new_v6()?,
@@ -62,18 +64,18 @@
     }
     let tcp = socket.connect(addr).await?;
     tcp.set_nodelay(true)?;
-    keep_alive(&tcp)?;
+    enable_keepalive(&tcp)?;
     Ok(tcp)
 }
 
-/// Has the system probe the connection while it is silent.
+/// Enables TCP keepalive probes on a silent connection.
 ///
-/// Guards against a connection that goes silent without a reset: everything sent on it would wait for
-/// its whole time, and each new request might be given the same connection again.
-fn keep_alive(tcp: &TcpStream) -> std::io::Result<()> {
+/// A connection can die without a reset. Without probes, each request on it would wait until its timeout, and the next
+/// request could be given the same connection.
+fn enable_keepalive(tcp: &TcpStream) -> std::io::Result<()> {
     let probes = TcpKeepalive::new()
-        .with_time(KEEPALIVE)
-        .with_interval(KEEPALIVE)
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(KEEPALIVE_PROBES);
     SockRef::from(tcp).set_tcp_keepalive(&probes)
 }
--- /dev/null
+++ b/crates/http/src/backend/connection_pool.rs
@@ -0,0 +1,317 @@
+//! Connection pool of one backend server, bounded by this VM's share of the server's connection limit.
+
+use std::net::IpAddr;
+use std::net::SocketAddr;
+use std::pin::pin;
+use std::sync::Arc;
+use std::sync::Mutex;
+use std::sync::MutexGuard;
+use std::sync::PoisonError;
+use std::sync::atomic::AtomicBool;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+
+use gs_types::prelude::*;
+use tokio::sync::Notify;
+use tokio::time::Instant;
+
+use crate::backend::connect::Sender;
+use crate::backend::connect::connect;
+
+/// Receives the opening and closing of connections to backend servers.
+pub trait ConnectionSink: Send + Sync + 'static {
+    /// Handles an opened connection; opening it took `took`.
+    fn on_opened(&self, server: &ServerName, took: Duration);
+
+    /// Handles a closed connection; `lost` if it closed while this process still held it.
+    fn on_closed(&self, server: &ServerName, lost: bool);
+}
+
+/// Options for opening connections to a backend server.
+#[derive(Clone, Copy, Debug)]
+pub struct ConnectOptions {
+    /// The local address of connections; chosen by the system if `None`.
+    pub source: Option<IpAddr>,
+    /// The timeout for opening a connection.
+    pub connect_timeout: Duration,
+}
+
+/// A pool of connections to one backend server.
+pub struct ConnectionPool {
+    name: ServerName,
+    addr: SocketAddr,
+    opts: ConnectOptions,
+    sink: Arc<dyn ConnectionSink>,
+    state: Mutex<State>,
+    released: Notify,
+}
+
+/// The connections of a pool.
+struct State {
+    idle: Vec<PooledConnection>,
+    /// The number of connections whose socket may still be open, idle or not.
+    open: u32,
+    /// The largest number of connections that may be open.
+    share: u32,
+}
+
+/// A connection taken from a pool; returned by [`ConnectionPool::put_back`], closed when dropped.
+pub struct PooledConnection {
+    pub(crate) tx: Sender,
+    /// Whether this process still holds the connection; distinguishes a close by the server from one by this process.
+    held: Arc<AtomicBool>,
+    /// When the connection was last returned to the pool.
+    idle_since: Instant,
+    /// How long the connection may be idle and still be reused; `None` for no bound.
+    idle_max: Option<Duration>,
+}
+
+impl PooledConnection {
+    /// Sets how long the connection may be idle and still be reused.
+    pub fn set_idle_max(&mut self, idle_max: Duration) {
+        self.idle_max = Some(idle_max);
+    }
+
+    /// Returns whether the connection is open and has been idle for less than both bounds.
+    fn is_usable(&self, idle_max: Option<Duration>) -> bool {
+        let idle = self.idle_since.elapsed();
+        let fits = |max: Option<Duration>| max.is_none_or(|max| idle < max);
+        !self.tx.is_closed() && fits(self.idle_max) && fits(idle_max)
+    }
+}
+
+impl Drop for PooledConnection {
+    fn drop(&mut self) {
+        self.held.store(false, Ordering::Relaxed);
+    }
+}
+
+impl ConnectionPool {
+    /// Creates a pool without connections and with a share of zero.
+    #[must_use]
+    pub fn new(
+        name: ServerName,
+        addr: SocketAddr,
+        opts: ConnectOptions,
+        sink: Arc<dyn ConnectionSink>,
+    ) -> Arc<Self> {
+        let state = State {
+            idle: Vec::new(),
+            open: 0,
+            share: 0,
+        };
+        Arc::new(Self {
+            name,
+            addr,
+            opts,
+            sink,
+            state: Mutex::new(state),
+            released: Notify::new(),
+        })
+    }
+
+    /// Returns the server's name.
+    #[must_use]
+    pub fn name(&self) -> &ServerName {
+        &self.name
+    }
+
+    /// Returns the address on which the server listens.
+    #[must_use]
+    pub fn addr(&self) -> SocketAddr {
+        self.addr
+    }
+
+    /// Returns the number of connections that may still be open.
+    #[must_use]
+    pub fn open(&self) -> u32 {
+        self.state().open
+    }
+
+    /// Returns whether no more connections than the share may be open.
+    #[must_use]
+    pub fn is_within_share(&self) -> bool {
+        let s = self.state();
+        s.open <= s.share
+    }
+
+    /// Returns whether the share is used up.
+    #[must_use]
+    pub fn is_full(&self) -> bool {
+        let s = self.state();
+        s.open >= s.share
+    }
+
+    /// Sets the share, the largest number of open connections.
+    ///
+    /// Idle connections above the share are closed at once, busy ones when they are returned.
+    pub fn set_share(&self, share: Connections) {
+        let mut s = self.state();
+        s.share = share.0;
+        let over = s.open.saturating_sub(s.share) as usize;
+        let keep = s.idle.len().saturating_sub(over);
+        s.idle.truncate(keep);
+        drop(s);
+        self.released.notify_waiters();
+    }
+
+    /// Opens connections in the background until `connections_min` are open or the share is used up.
+    pub fn open_at_least(self: &Arc<Self>, connections_min: Connections) {
+        let missing = {
+            let mut s = self.state();
+            let n = connections_min.0.min(s.share).saturating_sub(s.open);
+            s.open += n;
+            n
+        };
+        for _ in 0..missing {
+            let pool = Arc::clone(self);
+            tokio::spawn(async move {
+                let slot = Slot {
+                    pool: Arc::clone(&pool),
+                };
+                match pool.open_in_slot(slot).await {
+                    Ok(conn) => pool.put_back(conn),
+                    Err(e) => {
+                        log::debug!("event=warming-failed server={} error=\"{e}\"", pool.name)
+                    }
+                }
+            });
+        }
+    }
+
+    /// Takes an idle connection, opens one if the share allows it, or waits until one is returned.
+    ///
+    /// # Errors
+    ///
+    /// [`ErrorKind::Unavailable`] if none was available within `timeout`; nothing was sent.
+    pub async fn take(self: &Arc<Self>, timeout: Duration) -> Result<PooledConnection> {
+        self.take_recently_used(timeout, None).await
+    }
+
+    /// Like [`ConnectionPool::take`], but takes no connection that has been idle for `idle_max` or longer.
+    ///
+    /// A server may close an idle connection at the moment when a request is written on it. Whether the request was
+    /// executed is unknown then, and a request that may run only once cannot be retried.
+    ///
+    /// # Errors
+    ///
+    /// As for [`ConnectionPool::take`].
+    pub async fn take_recently_used(
+        self: &Arc<Self>,
+        timeout: Duration,
+        idle_max: Option<Duration>,
+    ) -> Result<PooledConnection> {
+        tokio::time::timeout(timeout, self.take_or_wait_for_release(idle_max))
+            .await
+            .unwrap_or_else(|_| {
+                Err(
+                    Error::new(ErrorKind::Unavailable, "no free connection in time")
+                        .at("take connection")
+                        .from_peer(self.name.to_string()),
+                )
+            })
+    }
+
+    /// Takes an idle connection if there is a usable one; closes those that are not.
+    pub(crate) fn take_idle(&self, idle_max: Option<Duration>) -> Option<PooledConnection> {
+        let mut s = self.state();
+        while let Some(conn) = s.idle.pop() {
+            if conn.is_usable(idle_max) {
+                return Some(conn);
+            }
+        }
+        None
+    }
+
+    /// Returns a connection whose last reply was read completely.
+    pub fn put_back(&self, mut conn: PooledConnection) {
+        conn.idle_since = Instant::now();
+        let mut s = self.state();
+        if s.open <= s.share && !conn.tx.is_closed() {
+            s.idle.push(conn);
+        }
+        drop(s);
+        self.released.notify_one();
+    }
+
+    /// Takes a connection, waiting without a timeout until one is available.
+    ///
+    /// Registers for the notification before it checks the pool, so that no wake-up is lost. `notify_one` stores at
+    /// most one permit for tasks that are not registered yet: if two connections were returned between the check and
+    /// the registration of two waiters, one waiter would time out although a connection is idle, and its attempt would
+    /// end as not sent.
+    async fn take_or_wait_for_release(
+        self: &Arc<Self>,
+        idle_max: Option<Duration>,
+    ) -> Result<PooledConnection> {
+        loop {
+            let mut released = pin!(self.released.notified());
+            released.as_mut().enable();
+            if let Some(conn) = self.take_idle(idle_max) {
+                return Ok(conn);
+            }
+            if let Some(slot) = self.reserve_slot() {
+                return self.open_in_slot(slot).await;
+            }
+            released.await;
+        }
+    }
+
+    /// Reserves a slot if the share is not used up.
+    fn reserve_slot(self: &Arc<Self>) -> Option<Slot> {
+        let mut s = self.state();
+        if s.open >= s.share {
+            return None;
+        }
+        s.open += 1;
+        Some(Slot {
+            pool: Arc::clone(self),
+        })
+    }
+
+    /// Opens a connection in a reserved slot; the slot is released when the socket is closed.
+    async fn open_in_slot(self: &Arc<Self>, slot: Slot) -> Result<PooledConnection> {
+        let opts = &self.opts;
+        let start = Instant::now();
+        let (tx, driver) = connect(self.addr, opts.source, opts.connect_timeout).await?;
+        let sink = Arc::clone(&self.sink);
+        let name = self.name.clone();
+        let held = Arc::new(AtomicBool::new(true));
+        let still_held = Arc::clone(&held);
+        sink.on_opened(&name, start.elapsed());
+        tokio::spawn(async move {
+            if let Err(e) = driver.await {
+                log::debug!("event=backend-connection-ended server={name} error=\"{e}\"");
+            }
+            drop(slot);
+            sink.on_closed(&name, still_held.load(Ordering::Relaxed));
+        });
+        Ok(PooledConnection {
+            tx,
+            held,
+            idle_since: Instant::now(),
+            idle_max: None,
+        })
+    }
+
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+}
+
+/// One connection of the share, reserved before its socket opens until after the socket closes.
+///
+/// If the count of open connections decreased when a connection is dropped instead of when its socket closes, a new
+/// connection could be open at the same time and exceed the server's connection limit.
+struct Slot {
+    pool: Arc<ConnectionPool>,
+}
+
+impl Drop for Slot {
+    fn drop(&mut self) {
+        let mut s = self.pool.state();
+        s.open = s.open.saturating_sub(1);
+        drop(s);
+        self.pool.released.notify_one();
+    }
+}
--- a/crates/http/src/backend/exchange.rs
+++ b/crates/http/src/backend/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its whole reply on a lent connection.
+//! Sends one request on a pooled connection and reads its complete reply.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -8,49 +8,54 @@
 use hyper::Request;
 use hyper::StatusCode;
 
-use crate::backend::lane::PooledConnection;
+use crate::backend::connection_pool::PooledConnection;
 
-/// A reply read to its end.
+/// A reply whose body has been read to its end.
 pub struct CompleteReply {
-    /// Its status.
+    /// The status code.
     pub status: StatusCode,
-    /// Its headers.
+    /// The headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
-/// Why no whole reply came; the connection is of no more use.
+/// Why no complete reply was received; the connection cannot be reused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExchangeError {
-    /// The connection had closed before the request was written: nothing of it left.
+    /// The connection was closed before the request was written: no byte of it was sent.
     NotSent,
-    /// The connection broke, or what came was no reply; the request may have run.
+    /// The connection broke, or the bytes received are no valid reply; the request may have been executed.
     Broken(String),
-    /// The reply's body is over the bound; the request has run.
+    /// The body of the reply is larger than allowed; the request has been executed.
     TooLarge,
 }
 
-/// Sends `req` and reads the reply, with a body of at most `max` bytes.
+/// Sends `req` and reads the reply, with a body of at most `body_bytes_max` bytes.
 ///
 /// # Errors
 ///
-/// [`ExchangeError`] says whether the request may have run.
+/// [`ExchangeError`] tells apart whether the request may have been executed.
 pub async fn exchange(
-    lent: &mut PooledConnection,
+    conn: &mut PooledConnection,
     req: Request<Full<Bytes>>,
-    max: usize,
+    body_bytes_max: usize,
 ) -> Result<CompleteReply, ExchangeError> {
-    // Bytes that nobody asked for, or an end of the connection, are seen here and not by the request.
-    lent.tx.ready().await.map_err(|_| ExchangeError::NotSent)?;
-    let res = lent.tx.send_request(req).await.map_err(failed)?;
+    // Unsolicited bytes on the connection, or its end, are detected here instead of failing the request.
+    conn.tx.ready().await.map_err(|_| ExchangeError::NotSent)?;
+    let res = conn
+        .tx
+        .send_request(req)
+        .await
+        .map_err(classify_send_error)?;
     let (head, body) = res.into_parts();
-    let body = Limited::new(body, max).collect().await.map_err(|e| {
-        match e.downcast::<hyper::Error>() {
+    let body = Limited::new(body, body_bytes_max)
+        .collect()
+        .await
+        .map_err(|e| match e.downcast::<hyper::Error>() {
             Ok(e) => ExchangeError::Broken(e.to_string()),
             Err(_) => ExchangeError::TooLarge,
-        }
-    })?;
+        })?;
     Ok(CompleteReply {
         status: head.status,
         headers: head.headers,
@@ -58,7 +63,8 @@
     })
 }
 
-fn failed(e: hyper::Error) -> ExchangeError {
+/// Returns whether a failed request was not sent at all, or may have been.
+fn classify_send_error(e: hyper::Error) -> ExchangeError {
     if e.is_canceled() {
         return ExchangeError::NotSent;
     }
--- a/crates/http/src/backend/mod.rs
+++ b/crates/http/src/backend/mod.rs
@@ -1,21 +1,21 @@
-//! Connections to backend servers: one pool a process, one lane a server, one task an attempt.
+//! Client for backend servers: a connection pool per server, and a task per attempt.
 
 mod attempt;
-mod check;
 mod connect;
+mod connection_pool;
+mod connection_pools;
 mod exchange;
-mod lane;
-mod pool;
+mod part_reply;
 mod status;
 
+pub use connection_pool::ConnectOptions;
+pub use connection_pool::ConnectionPool;
+pub use connection_pool::ConnectionSink;
+pub use connection_pool::PooledConnection;
+pub use connection_pools::ConnectionPools;
+pub use connection_pools::ConnectionPoolsOptions;
+pub use connection_pools::ConnectionPoolsState;
+pub use connection_pools::EventSink;
 pub use exchange::CompleteReply;
 pub use exchange::ExchangeError;
 pub use exchange::exchange;
-pub use lane::ConnectOptions;
-pub use lane::ConnectionPool;
-pub use lane::ConnectionSink;
-pub use lane::PooledConnection;
-pub use pool::ConnectionPools;
-pub use pool::ConnectionPoolsOptions;
-pub use pool::ConnectionPoolsState;
-pub use pool::EventSink;
--- a/crates/http/src/backend/status.rs
+++ b/crates/http/src/backend/status.rs
@@ -1,4 +1,4 @@
-//! Asks a backend server for its status.
+//! Requests the status of a backend server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,15 +11,15 @@
 use serde::Deserialize;
 use smallvec::SmallVec;
 
+use crate::backend::connection_pool::ConnectionPool;
 use crate::backend::exchange::exchange;
-use crate::backend::lane::ConnectionPool;
 
-/// The most bytes of a status.
-const STATUS_MAX: usize = 16 * 1024;
+/// The largest status, in bytes.
+const STATUS_BYTES_MAX: usize = 16 * 1024;
 
-/// A status as servers write it.
+/// A status in the JSON format of servers.
 #[derive(Deserialize)]
-struct Body {
+struct StatusBody {
     incarnation: Incarnation,
     snapshots: SmallVec<[SnapshotId; 4]>,
     load: u32,
@@ -27,43 +27,51 @@
     draining: bool,
 }
 
-/// Asks, within `limit`; `None` if no connection was free.
-pub(crate) async fn ask(lane: &Arc<ConnectionPool>, limit: Duration) -> Option<ServerReport> {
-    let body = match tokio::time::timeout(limit, exchange_status(lane, limit)).await {
-        Ok(Asked::Busy) => return None,
-        Ok(Asked::Answered(body)) => Some(body),
-        Ok(Asked::Failed) | Err(_) => None,
+/// Requests the status of a server within `timeout`; returns `None` if no connection was free.
+///
+/// If the request fails, the report carries no incarnation.
+pub(crate) async fn request_status(
+    pool: &Arc<ConnectionPool>,
+    timeout: Duration,
+) -> Option<ServerReport> {
+    let body = match tokio::time::timeout(timeout, exchange_status(pool, timeout)).await {
+        Ok(StatusResult::Busy) => return None,
+        Ok(StatusResult::Received(body)) => Some(body),
+        Ok(StatusResult::Failed) | Err(_) => None,
     };
-    Some(report(lane.name().clone(), body))
+    Some(server_report(pool.name().clone(), body))
 }
 
-enum Asked {
+/// The result of a status request.
+enum StatusResult {
     /// Every connection of the share is busy.
     Busy,
+    /// No valid status was received.
     Failed,
-    Answered(Body),
+    /// The server's status.
+    Received(StatusBody),
 }
 
-async fn exchange_status(lane: &Arc<ConnectionPool>, limit: Duration) -> Asked {
-    let lent = match lane.take_idle(None) {
-        Some(lent) => Ok(lent),
-        None if lane.is_full() => return Asked::Busy,
-        None => lane.take(limit).await,
+async fn exchange_status(pool: &Arc<ConnectionPool>, timeout: Duration) -> StatusResult {
+    let conn = match pool.take_idle(None) {
+        Some(conn) => Ok(conn),
+        None if pool.is_full() => return StatusResult::Busy,
+        None => pool.take(timeout).await,
     };
-    let (Ok(mut lent), Ok(req)) = (lent, Request::get("/status").body(Full::default())) else {
-        return Asked::Failed;
+    let (Ok(mut conn), Ok(req)) = (conn, Request::get("/status").body(Full::default())) else {
+        return StatusResult::Failed;
     };
-    let Ok(r) = exchange(&mut lent, req, STATUS_MAX).await else {
-        return Asked::Failed;
+    let Ok(r) = exchange(&mut conn, req, STATUS_BYTES_MAX).await else {
+        return StatusResult::Failed;
     };
-    lane.put_back(lent);
+    pool.put_back(conn);
     if r.status != StatusCode::OK {
-        return Asked::Failed;
+        return StatusResult::Failed;
     }
-    serde_json::from_slice(&r.body).map_or(Asked::Failed, Asked::Answered)
+    serde_json::from_slice(&r.body).map_or(StatusResult::Failed, StatusResult::Received)
 }
 
-fn report(server: ServerName, body: Option<Body>) -> ServerReport {
+fn server_report(server: ServerName, body: Option<StatusBody>) -> ServerReport {
     match body {
         Some(b) => ServerReport {
             server,
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,4 +1,4 @@
-//! Reads requests' bodies within their bounds.
+//! Reads the body of a request within bounds on size and time.
 
 use std::time::Duration;
 
@@ -9,24 +9,26 @@
 use http_body_util::Limited;
 use hyper::body::Incoming;
 
-/// Reads a body of at most `max` bytes that arrives within `limit`.
+/// Reads a body of at most `bytes_max` bytes that arrives within `timeout`.
 ///
-/// Guards against a sender that trickles or never ends a body: it would hold memory and a connection
-/// for as long as it likes.
+/// Without these bounds, a client that sends a body slowly or never ends it would hold memory and a connection
+/// indefinitely.
 ///
 /// # Errors
 ///
-/// [`ErrorKind::TooMuch`] over either bound, [`ErrorKind::BadInput`] if it breaks off.
-pub async fn read_body(body: Incoming, max: usize, limit: Duration) -> Result<Bytes> {
-    let read = Limited::new(body, max).collect();
-    let late =
+/// [`ErrorKind::TooMuch`] if either bound is exceeded, [`ErrorKind::BadInput`] if the body is incomplete or malformed.
+pub async fn read_body(body: Incoming, bytes_max: usize, timeout: Duration) -> Result<Bytes> {
+    let read = Limited::new(body, bytes_max).collect();
+    let timed_out =
         |_| Error::new(ErrorKind::TooMuch, "the body did not arrive in time").at("read body");
-    let read = tokio::time::timeout(limit, read).await.map_err(late)?;
+    let read = tokio::time::timeout(timeout, read)
+        .await
+        .map_err(timed_out)?;
     match read {
         Ok(b) => Ok(b.to_bytes()),
         Err(e) if e.is::<LengthLimitError>() => Err(Error::new(
             ErrorKind::TooMuch,
-            format!("the body is over {max} bytes"),
+            format!("the body is over {bytes_max} bytes"),
         )
         .at("read body")),
         Err(e) => Err(Error::new(ErrorKind::BadInput, e.to_string()).at("read body")),
--- a/crates/http/src/callers/handler.rs
+++ b/crates/http/src/callers/handler.rs
@@ -1,4 +1,4 @@
-//! Takes a caller's request apart, has it answered and puts the answer together.
+//! Parses a caller's request, passes it to the [`LookupService`] and builds the response.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -14,46 +14,50 @@
 use hyper::body::Incoming;
 
 use crate::body::read_body;
-use crate::callers::reply;
-use crate::callers::reply::LookupReply;
 use crate::callers::request;
+use crate::callers::response;
+use crate::callers::response::LookupReply;
 use crate::server::Handler;
 
-/// Answers lookups; the node's engine stands behind it.
+/// Executes lookups; implemented by the node on top of its engine.
 #[async_trait]
 pub trait LookupService: Send + Sync + 'static {
-    /// Runs one lookup to its only outcome.
+    /// Executes a lookup and returns its only outcome.
     ///
-    /// Dropping the future tells the engine that the caller hung up.
+    /// The future is dropped when the caller disconnects.
     async fn lookup(&self, req: LookupRequest) -> LookupReply;
 }
 
-/// The handler of the callers' interface.
+/// The HTTP handler for callers.
 pub struct CallerHandler {
-    desk: Arc<dyn LookupService>,
-    body: usize,
+    service: Arc<dyn LookupService>,
+    body_bytes_max: usize,
     body_timeout: Duration,
 }
 
 impl CallerHandler {
-    /// Takes lookups with bodies of at most `body` bytes that arrive within `body_timeout`.
+    /// Creates a handler for requests with bodies of at most `body_bytes_max` bytes that arrive within `body_timeout`.
     #[must_use]
-    pub fn new(desk: Arc<dyn LookupService>, body: usize, body_timeout: Duration) -> Self {
+    pub fn new(
+        service: Arc<dyn LookupService>,
+        body_bytes_max: usize,
+        body_timeout: Duration,
+    ) -> Self {
         Self {
-            desk,
-            body,
+            service,
+            body_bytes_max,
             body_timeout,
         }
     }
 
     async fn answer(&self, req: Request<Incoming>) -> Result<Response<Full<Bytes>>> {
         let (head, body) = req.into_parts();
-        let target = request::target(&head)?;
-        let body = read_body(body, self.body, self.body_timeout).await?;
-        let req = request::lookup(&head, target, &body)?;
+        let target = request::parse_target(&head)?;
+        let body = read_body(body, self.body_bytes_max, self.body_timeout).await?;
+        let req = request::parse_lookup(&head, target, &body)?;
         let (front, lookup) = (req.front.clone(), req.lookup.clone());
-        let r = self.desk.lookup(req).await;
-        Ok(reply::lookup(&r, &front, &lookup))
+        let r = self.service.lookup(req).await;
+        Ok(response::lookup_response(&r, &front, &lookup))
     }
 }
 
@@ -67,7 +71,7 @@
             let has_key = req.headers().contains_key(request::IDEMPOTENCY_KEY);
             match self.answer(req).await {
                 Ok(res) => res,
-                Err(e) => reply::error(&e, has_key),
+                Err(e) => response::error_response(&e, has_key),
             }
         })
     }
--- a/crates/http/src/callers/mod.rs
+++ b/crates/http/src/callers/mod.rs
@@ -1,10 +1,10 @@
-//! The callers' interface: one lookup a request, JSON both ways.
+//! The HTTP interface for callers: one lookup per request, with JSON bodies.
 
 mod handler;
-mod reply;
 mod request;
+mod response;
 
 pub use handler::CallerHandler;
 pub use handler::LookupService;
-pub use reply::LookupReply;
-pub use reply::status_of;
+pub use response::LookupReply;
+pub use response::status_of;
--- a/crates/http/src/callers/request.rs
+++ b/crates/http/src/callers/request.rs
@@ -1,4 +1,4 @@
-//! Parses `POST /v1/fronts/{front}/lookups/{lookup}` and its body.
+//! Parses a caller's request: `POST /v1/fronts/{front}/lookups/{lookup}` with a JSON body.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,16 +8,16 @@
 use hyper::http::request::Parts;
 use serde::Deserialize;
 
-/// The header that carries an at-most-once lookup's key.
+/// The header with the idempotency key of an at-most-once lookup.
 pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// The longest query text or shard key, in bytes.
-const TEXT_MAX: usize = 4096;
+const TEXT_BYTES_MAX: usize = 4096;
 
-/// The longest deadline that a caller may ask for.
+/// The longest deadline that a caller may set.
 const DEADLINE_MAX: Duration = Duration::from_secs(600);
 
-/// The body of a lookup as callers write it.
+/// The JSON body of a lookup.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Body {
@@ -30,8 +30,8 @@
     floor: Option<SnapshotId>,
 }
 
-/// Reads front and lookup from the path.
-pub(crate) fn target(head: &Parts) -> Result<(FrontName, LookupName)> {
+/// Parses the front and the lookup from the path.
+pub(crate) fn parse_target(head: &Parts) -> Result<(FrontName, LookupName)> {
     let path = head.uri.path();
     let mut it = path.trim_start_matches('/').split('/');
     let parts = (
@@ -52,15 +52,15 @@
     if head.method != Method::POST {
         return Err(Error::new(
             ErrorKind::BadInput,
-            format!("{} is not taken here", head.method),
+            format!("method {} is not allowed", head.method),
         )
         .with_hint("use POST"));
     }
     Ok((front.parse()?, lookup.parse()?))
 }
 
-/// Reads the body and the headers into a lookup.
-pub(crate) fn lookup(
+/// Parses the headers and the body into a lookup.
+pub(crate) fn parse_lookup(
     head: &Parts,
     target: (FrontName, LookupName),
     body: &[u8],
@@ -79,13 +79,13 @@
         lookup: target.1,
         query: b.query,
         key: b.key,
-        idempotency_key: idempotency_key(head)?,
-        deadline: b.deadline.as_deref().map(deadline).transpose()?,
+        idempotency_key: parse_idempotency_key(head)?,
+        deadline: b.deadline.as_deref().map(parse_deadline).transpose()?,
         floor: b.floor,
     })
 }
 
-fn idempotency_key(head: &Parts) -> Result<Option<IdempotencyKey>> {
+fn parse_idempotency_key(head: &Parts) -> Result<Option<IdempotencyKey>> {
     let Some(v) = head.headers.get(IDEMPOTENCY_KEY) else {
         return Ok(None);
     };
@@ -95,7 +95,7 @@
     v.parse().map(Some)
 }
 
-fn deadline(text: &str) -> Result<Duration> {
+fn parse_deadline(text: &str) -> Result<Duration> {
     let d = humantime_serde::re::humantime::parse_duration(text).map_err(|e| {
         Error::new(ErrorKind::BadInput, format!("deadline `{text:.40}`: {e}"))
             .with_hint("write it as `80ms`")
@@ -110,8 +110,9 @@
     Ok(d)
 }
 
+/// Checks that a text is not empty, not too long and has no control characters.
 fn check_text(what: &str, s: &str) -> Result<()> {
-    let ok = !s.is_empty() && s.len() <= TEXT_MAX && !s.chars().any(char::is_control);
+    let ok = !s.is_empty() && s.len() <= TEXT_BYTES_MAX && !s.chars().any(char::is_control);
     if ok {
         return Ok(());
     }
@@ -120,6 +121,6 @@
         format!("`{what}` is empty, too long or not plain text"),
     )
     .with_hint(format!(
-        "use 1 to {TEXT_MAX} bytes without control characters"
+        "use 1 to {TEXT_BYTES_MAX} bytes without control characters"
     )))
 }
--- a/crates/http/src/callers/reply.rs
+++ b/crates/http/src/callers/response.rs
@@ -1,4 +1,4 @@
-//! Puts outcomes and errors into responses.
+//! Builds the responses for outcomes and errors.
 
 use std::time::Duration;
 
@@ -12,16 +12,16 @@
 use hyper::header::RETRY_AFTER;
 use serde::Serialize;
 
-/// A lookup's only outcome, with the id it ran under.
+/// The outcome of a lookup, with the request's id.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LookupReply {
-    /// The id that this VM gave the request.
+    /// The id that this VM assigned to the request.
     pub request: RequestId,
-    /// How it ended.
+    /// The outcome of the lookup.
     pub outcome: Outcome,
 }
 
-/// A reply as callers read it.
+/// The JSON body of a reply.
 #[derive(Serialize)]
 struct Body<'a> {
     request_id: String,
@@ -31,7 +31,7 @@
     outcome: &'a Outcome,
 }
 
-/// An error as callers read it; nothing was run.
+/// The JSON body of an error; no lookup was executed for this request.
 #[derive(Serialize)]
 struct ErrorBody<'a> {
     outcome: &'static str,
@@ -40,8 +40,8 @@
     hint: Option<&'a str>,
 }
 
-/// The response to a lookup.
-pub(crate) fn lookup(
+/// Builds the response to a lookup.
+pub(crate) fn lookup_response(
     r: &LookupReply,
     front: &FrontName,
     lookup: &LookupName,
@@ -52,28 +52,28 @@
         lookup,
         outcome: &r.outcome,
     };
-    let mut res = json(status_of(&r.outcome), &body);
+    let mut res = json_response(status_of(&r.outcome), &body);
     let retry_after = match &r.outcome {
         Outcome::Answered(_) => None,
         Outcome::NotRun(r) | Outcome::Unknown(r) => r.retry_after,
     };
     if let Some(d) = retry_after {
         res.headers_mut()
-            .insert(RETRY_AFTER, HeaderValue::from(whole_seconds(d)));
+            .insert(RETRY_AFTER, HeaderValue::from(round_up_to_seconds(d)));
     }
     res
 }
 
-/// The response to a request that never became a lookup.
+/// Builds the response to a request that could not be parsed into a lookup.
 ///
-/// With an idempotency key it cannot say `not-run`: an earlier submission may have run.
-pub(crate) fn error(e: &Error, has_key: bool) -> Response<Full<Bytes>> {
+/// With an idempotency key the outcome is `unknown` and not `not-run`: an earlier submission with the key may have run.
+pub(crate) fn error_response(e: &Error, has_key: bool) -> Response<Full<Bytes>> {
     let status = match e.kind() {
         ErrorKind::NotFound => StatusCode::NOT_FOUND,
         ErrorKind::TooMuch => StatusCode::PAYLOAD_TOO_LARGE,
         _ => StatusCode::BAD_REQUEST,
     };
-    json(
+    json_response(
         status,
         &ErrorBody {
             outcome: if has_key { "unknown" } else { "not-run" },
@@ -84,7 +84,7 @@
     )
 }
 
-/// The status code of an outcome, as docs/INTERFACE.md lists them.
+/// Returns the status code of an outcome, as listed in docs/INTERFACE.md.
 #[must_use]
 pub fn status_of(outcome: &Outcome) -> StatusCode {
     let reason = match outcome {
@@ -109,12 +109,13 @@
     }
 }
 
-/// Rounds up, as the header knows only whole seconds and must not say too soon.
-fn whole_seconds(d: Duration) -> u64 {
+/// Rounds up to seconds: the `retry-after` header has no fractions, and must not name too early a time.
+fn round_up_to_seconds(d: Duration) -> u64 {
     d.as_secs() + u64::from(d.subsec_nanos() > 0)
 }
 
-fn json(status: StatusCode, body: &impl Serialize) -> Response<Full<Bytes>> {
+/// Builds a JSON response.
+fn json_response(status: StatusCode, body: &impl Serialize) -> Response<Full<Bytes>> {
     let (status, text) = match serde_json::to_vec(body) {
         Ok(text) => (status, text),
         Err(e) => (
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,7 +1,7 @@
-//! HTTP by hyper on both sides: the callers' interface and the connections to backend servers.
+//! HTTP server and client over hyper: the interface for callers and the connections to backend servers.
 //!
-//! I/O only. What to ask, when to hedge and what to answer is decided in `gs_query`; this crate
-//! hands lookups in through [`LookupService`] and attempts' ends in through [`EventSink`].
+//! The crate does I/O only. `gs_query` decides which servers to query, when to hedge and what to answer: it receives
+//! lookups through [`LookupService`], and the results of attempts through [`EventSink`].
 
 mod backend;
 mod body;
--- a/crates/http/src/phase.rs
+++ b/crates/http/src/phase.rs
@@ -1,7 +1,7 @@
-//! Bounds how long a connection may stay in each phase of a request.
+//! Timeouts for the phases of a server connection: idle and receiving the headers.
 //!
-//! hyper's own bound on the headers also runs while a kept connection is idle, and would close it
-//! under the caller's next request. Here the bound starts with the first byte of a head.
+//! hyper's own header timeout also runs while a keep-alive connection is idle, and would close it at the same time as
+//! the caller's next request arrives. Here the header timeout starts with the first byte of a request.
 
 use std::io::Result;
 use std::pin::Pin;
@@ -19,111 +19,118 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The low bits that hold the phase beside the time.
+/// The number of low bits that hold the phase; the others hold the time.
 const PHASE_BITS: u64 = 2;
 
+/// The phase of a connection.
 #[derive(Clone, Copy, PartialEq)]
 enum Phase {
+    /// No request has begun.
     Idle,
+    /// The headers of a request are being received.
     Head,
+    /// A request is being answered; its body has a timeout of its own.
     Busy,
 }
 
-/// The phase of one connection and when it began, in one word so that both change together.
+/// The phase of one connection and when it began.
 #[derive(Clone)]
 pub(crate) struct PhaseClock {
     start: Instant,
-    word: Arc<AtomicU64>,
-    /// Told when a head begins, as its bound ends before that of the idle time that is waited for.
-    begun: Arc<Notify>,
-    head_max: Duration,
-    idle_max: Duration,
+    /// The phase and its start in milliseconds, in one integer so that both change together.
+    packed: Arc<AtomicU64>,
+    /// Notified when a request begins: its header timeout can expire before the idle timeout being waited for.
+    head_started: Arc<Notify>,
+    head_timeout: Duration,
+    idle_timeout: Duration,
 }
 
 impl PhaseClock {
-    pub(crate) fn new(head_max: Duration, idle_max: Duration) -> Self {
+    pub(crate) fn new(head_timeout: Duration, idle_timeout: Duration) -> Self {
         Self {
             start: Instant::now(),
-            word: Arc::default(),
-            begun: Arc::default(),
-            head_max,
-            idle_max,
+            packed: Arc::default(),
+            head_started: Arc::default(),
+            head_timeout,
+            idle_timeout,
         }
     }
 
-    /// A request's head is in; its body has a bound of its own.
-    pub(crate) fn busy(&self) {
+    /// Marks the connection as busy: the headers of a request are complete.
+    pub(crate) fn set_busy(&self) {
         self.set(Phase::Busy);
     }
 
-    /// The response is handed over.
-    pub(crate) fn idle(&self) {
+    /// Marks the connection as idle: the response is passed to hyper.
+    pub(crate) fn set_idle(&self) {
         self.set(Phase::Idle);
     }
 
-    /// Returns when the connection has stayed in a phase for too long.
-    pub(crate) async fn expired(&self) {
+    /// Waits until the connection has exceeded the timeout of its phase.
+    pub(crate) async fn wait_until_expired(&self) {
         loop {
-            let until = self.until();
-            if until <= Instant::now() {
+            let deadline = self.deadline();
+            if deadline <= Instant::now() {
                 return;
             }
             tokio::select! {
-                () = tokio::time::sleep_until(until) => {}
-                () = self.begun.notified() => {}
+                () = tokio::time::sleep_until(deadline) => {}
+                () = self.head_started.notified() => {}
             }
         }
     }
 
-    fn until(&self) -> Instant {
+    /// Returns when the current phase times out; while the connection is busy, always a time to come.
+    fn deadline(&self) -> Instant {
         let (phase, since) = self.read();
         match phase {
-            Phase::Idle => since + self.idle_max,
-            Phase::Head => since + self.head_max,
-            Phase::Busy => Instant::now() + self.head_max,
+            Phase::Idle => since + self.idle_timeout,
+            Phase::Head => since + self.head_timeout,
+            Phase::Busy => Instant::now() + self.head_timeout,
         }
     }
 
-    fn arrived(&self) {
+    /// Starts the header phase if the connection was idle.
+    fn on_bytes(&self) {
         if self.read().0 == Phase::Idle {
             self.set(Phase::Head);
-            self.begun.notify_one();
+            self.head_started.notify_one();
         }
     }
 
     fn set(&self, phase: Phase) {
         let ms = u64::try_from(self.start.elapsed().as_millis()).unwrap_or(u64::MAX >> PHASE_BITS);
-        self.word
+        self.packed
             .store((ms << PHASE_BITS) | phase as u64, Ordering::Relaxed);
     }
 
     fn read(&self) -> (Phase, Instant) {
-        let word = self.word.load(Ordering::Relaxed);
-        let phase = match word & 3 {
+        let packed = self.packed.load(Ordering::Relaxed);
+        let phase = match packed & 3 {
             0 => Phase::Idle,
             1 => Phase::Head,
             _ => Phase::Busy,
         };
         (
             phase,
-            self.start + Duration::from_millis(word >> PHASE_BITS),
+            self.start + Duration::from_millis(packed >> PHASE_BITS),
         )
     }
 }
 
-/// A TCP stream that tells its [`PhaseClock`] of the first byte of a head.
-pub(crate) struct Watched {
+/// A TCP stream that notifies its [`PhaseClock`] of received bytes.
+pub(crate) struct PhaseStream {
     tcp: TcpStream,
     clock: PhaseClock,
 }
 
-impl Watched {
+impl PhaseStream {
     pub(crate) fn new(tcp: TcpStream, clock: PhaseClock) -> Self {
         Self { tcp, clock }
     }
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for PhaseStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -132,13 +139,13 @@
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.tcp).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.clock.arrived();
+            self.clock.on_bytes();
         }
         polled
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for PhaseStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 server with bounds on memory, time and connections, and a graceful end.
+//! An HTTP/1.1 server with limits on memory, time and connections, and graceful shutdown.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -28,17 +28,17 @@
 use tokio::sync::watch;
 
 use crate::phase::PhaseClock;
-use crate::phase::Watched;
+use crate::phase::PhaseStream;
 
-/// How long to wait after a failed accept, so that running out of file numbers cannot spin a core.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// The delay after a failed accept, so that running out of file descriptors does not cause a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The smallest header buffer that hyper takes, in bytes.
-const HEADER_BUFFER_MIN: usize = 8 * 1024;
+/// The smallest header buffer that hyper accepts, in bytes.
+const HEADER_BUFFER_BYTES_MIN: usize = 8 * 1024;
 
-/// Answers requests.
+/// Handles HTTP requests.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request of `peer`; never fails, as every fault has a response.
+    /// Handles one request of `peer`; never fails, as every error has a response.
     fn handle(
         self: Arc<Self>,
         peer: SocketAddr,
@@ -46,20 +46,20 @@
     ) -> Pin<Box<dyn Future<Output = Response<Full<Bytes>>> + Send>>;
 }
 
-/// The bounds that one connection, and all together, are held to.
+/// The limits of each connection, and on their number.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// The most bytes of a request's line and headers together.
+    /// The largest request line and headers together, in bytes.
     pub head_bytes_max: usize,
-    /// The longest that a request's headers may take to arrive.
+    /// The timeout for receiving the headers of a request.
     pub header_timeout: Duration,
-    /// The longest that a connection may be idle before and between requests.
+    /// How long a connection may be idle before and between requests.
     pub idle_timeout: Duration,
-    /// The most connections open at the same time; more wait in the listen queue.
+    /// The largest number of connections open at the same time; further ones wait in the listen queue.
     pub connections_max: usize,
 }
 
-/// What a server is doing, for dumps and metrics.
+/// The state of a server, for dumps and metrics.
 #[derive(Debug, Default)]
 pub struct ServerState {
     open: AtomicU64,
@@ -68,32 +68,32 @@
 }
 
 impl ServerState {
-    /// Connections open now.
+    /// Returns the number of open connections.
     #[must_use]
     pub fn open(&self) -> u64 {
         self.open.load(Ordering::Relaxed)
     }
 
-    /// Connections accepted since the start.
+    /// Returns the number of connections accepted since the start.
     #[must_use]
     pub fn accepted(&self) -> u64 {
         self.accepted.load(Ordering::Relaxed)
     }
 
-    /// From now on every response asks the peer to close the connection.
+    /// Sends `connection: close` with every response from now on.
     ///
-    /// Guards against a request cut by a graceful shutdown: a kept-alive connection that the peer
-    /// believes to be good is closed under its next request. Told a lag ahead, it opens the next
-    /// one elsewhere.
+    /// Without the announcement, a graceful shutdown could close a keep-alive connection at the same time as the
+    /// client's next request arrives. With it, a client closes the connection and opens the next one at another VM
+    /// before the shutdown.
     pub fn announce_close(&self) {
         self.closing.store(true, Ordering::Relaxed);
     }
 }
 
-/// Counts an open connection for as long as it lives.
-struct Open(Arc<ServerState>);
+/// Counts a connection as open until it is dropped.
+struct OpenConnection(Arc<ServerState>);
 
-impl Open {
+impl OpenConnection {
     fn new(state: &Arc<ServerState>) -> Self {
         state.open.fetch_add(1, Ordering::Relaxed);
         state.accepted.fetch_add(1, Ordering::Relaxed);
@@ -101,18 +101,18 @@
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// The bounds of a server, to be changed while it serves.
+/// The limits of a server, which can be changed while it runs.
 #[derive(Clone, Debug)]
 pub struct LiveLimits(Arc<Mutex<Limits>>);
 
 impl LiveLimits {
-    /// Holds the connections that open from now on to these bounds; the number of connections stays.
+    /// Sets the limits of connections accepted from now on; the number of connections does not change.
     pub fn set(&self, limits: Limits) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = limits;
     }
@@ -133,7 +133,7 @@
 }
 
 impl Server {
-    /// Takes a bound listener.
+    /// Creates a server on a bound listener.
     #[must_use]
     pub fn new(listener: TcpListener, limits: Limits) -> Self {
         Self {
@@ -143,34 +143,34 @@
         }
     }
 
-    /// The bounds, to be changed while the server runs.
+    /// Returns the limits, to change them while the server runs.
     #[must_use]
     pub fn limits(&self) -> LiveLimits {
         self.limits.clone()
     }
 
-    /// The counters, shared with the running server.
+    /// Returns the counters, shared with the running server.
     #[must_use]
     pub fn state(&self) -> Arc<ServerState> {
         Arc::clone(&self.state)
     }
 
-    /// Serves until `stop` turns true, then finishes every request that has begun and returns.
+    /// Serves until `stop` is true, then completes every request in progress and returns.
     pub async fn run(self, handler: Arc<dyn Handler>, mut stop: watch::Receiver<bool>) {
         let permits = Arc::new(Semaphore::new(self.limits.get().connections_max));
         let graceful = GracefulShutdown::new();
         loop {
             let permit = tokio::select! {
                 p = Arc::clone(&permits).acquire_owned() => p,
-                () = stopped(&mut stop) => break,
+                () = wait_for_stop(&mut stop) => break,
             };
             let accepted = tokio::select! {
                 a = self.listener.accept() => a,
-                () = stopped(&mut stop) => break,
+                () = wait_for_stop(&mut stop) => break,
             };
             match accepted {
                 Ok((tcp, peer)) => {
-                    let conn = self.connection(tcp, peer, &handler, &graceful);
+                    let conn = self.connection_task(tcp, peer, &handler, &graceful);
                     tokio::spawn(async move {
                         conn.await;
                         drop(permit);
@@ -178,7 +178,7 @@
                 }
                 Err(e) => {
                     log::warn!("event=accept-failed error=\"{e}\"");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -186,7 +186,8 @@
         graceful.shutdown().await;
     }
 
-    fn connection(
+    /// Returns the task that serves one connection.
+    fn connection_task(
         &self,
         tcp: TcpStream,
         peer: SocketAddr,
@@ -194,24 +195,24 @@
         graceful: &GracefulShutdown,
     ) -> impl Future<Output = ()> + Send + 'static {
         if let Err(e) = tcp.set_nodelay(true) {
-            // The peer has gone already, which the connection's first read shows; or it is merely slower.
+            // If the peer has disconnected, the first read fails; otherwise the connection is only slower.
             log::debug!("event=nodelay-failed peer={peer} error=\"{e}\"");
         }
-        let open = Open::new(&self.state);
+        let open = OpenConnection::new(&self.state);
         let state = Arc::clone(&self.state);
         let handler = Arc::clone(handler);
         let limits = self.limits.get();
         let clock = PhaseClock::new(limits.header_timeout, limits.idle_timeout);
         let phase = clock.clone();
         let service = service_fn(move |req| {
-            phase.busy();
+            phase.set_busy();
             let phase = phase.clone();
-            let answer = Arc::clone(&handler).handle(peer, req);
+            let response = Arc::clone(&handler).handle(peer, req);
             let state = Arc::clone(&state);
             async move {
-                let mut res = answer.await;
-                phase.idle();
-                if state.closing.load(Ordering::Relaxed) || is_unread(&res) {
+                let mut res = response.await;
+                phase.set_idle();
+                if state.closing.load(Ordering::Relaxed) || has_unread_body(&res) {
                     res.headers_mut()
                         .insert(CONNECTION, HeaderValue::from_static("close"));
                 }
@@ -219,30 +220,30 @@
             }
         });
         let conn = hyper::server::conn::http1::Builder::new()
-            .max_buf_size(limits.head_bytes_max.max(HEADER_BUFFER_MIN))
-            .serve_connection(TokioIo::new(Watched::new(tcp, clock.clone())), service);
+            .max_buf_size(limits.head_bytes_max.max(HEADER_BUFFER_BYTES_MIN))
+            .serve_connection(TokioIo::new(PhaseStream::new(tcp, clock.clone())), service);
         let conn = graceful.watch(conn);
         async move {
             tokio::select! {
                 ended = conn => if let Err(e) = ended {
                     log::debug!("event=connection-ended peer={peer} error=\"{e}\"");
                 },
-                () = clock.expired() => log::info!("event=connection-expired peer={peer}"),
+                () = clock.wait_until_expired() => log::info!("event=connection-expired peer={peer}"),
             }
             drop(open);
         }
     }
 }
 
-/// Whether the rest of a request's body was left unread, so that no next request can follow it.
+/// Returns whether the request's body was not read completely, so that the connection cannot be reused.
 ///
-/// Guards against a sender that announces a large body, is refused, and then sends nothing: kept open,
-/// its connection would count as idle.
-fn is_unread<B>(res: &Response<B>) -> bool {
+/// If a client announces a large body, gets an error response and then sends nothing, the connection would count as
+/// idle if it was not closed.
+fn has_unread_body<B>(res: &Response<B>) -> bool {
     res.status() == StatusCode::PAYLOAD_TOO_LARGE
 }
 
-/// Waits until `stop` is true or its sender is gone.
-async fn stopped(stop: &mut watch::Receiver<bool>) {
+/// Waits until `stop` is true or its sender is dropped.
+async fn wait_for_stop(stop: &mut watch::Receiver<bool>) {
     let _ = stop.wait_for(|s| *s).await;
 }
