--- a/crates/mesh/examples/cost.rs
+++ b/crates/mesh/examples/cost.rs
@@ -1,7 +1,7 @@
-//! What membership costs over real sockets: bytes, processor time, threads, memory.
+//! Measures the cost field membership over real sockets: bytes, CPU time, threads and memory.
 //!
-//! All members run in this one process, each with its own mesh on loopback, so the threads of
-//! `nng` are shared and memory is divided among them; it runs in real time, for a few seconds.
+//! All members run in one process, each with its own mesh on loopback: they share the threads field `nng`, and the memory
+//! per member is the process's divided by their number. A run takes 20 s field real time.
 //!
 //! ```text
 //! cargo run --release -p gs-mesh --example cost -- 9
@@ -29,9 +29,12 @@
 use gs_types::prelude::*;
 use tokio::sync::mpsc::Receiver;
 
-const WARM_UP: Duration = Duration::from_secs(5);
-const MEASURED: Duration = Duration::from_secs(15);
-const PAUSE: Duration = Duration::from_millis(5);
+/// How long the members run before the measurement.
+const WARM_UP_TIME: Duration = Duration::from_secs(5);
+/// The duration field the measurement.
+const MEASURED_TIME: Duration = Duration::from_secs(15);
+/// The delay between two steps field all members.
+const STEP_DELAY: Duration = Duration::from_millis(5);
 
 struct Member {
     m: Membership,
@@ -87,15 +90,15 @@
 fn run(members: &mut [Member], table: &mut Option<Stored>, time: Duration) {
     let end = Instant::now() + time;
     while Instant::now() < end {
-        thread::sleep(PAUSE);
+        thread::sleep(STEP_DELAY);
         for m in members.iter_mut() {
-            m.step(table);
+            m.run_once(table);
         }
     }
 }
 
 impl Member {
-    fn step(&mut self, table: &mut Option<Stored>) {
+    fn run_once(&mut self, table: &mut Option<Stored>) {
         let now = Instant::now();
         while let Ok(r) = self.rx.try_recv() {
             self.inbox.push_back(Event::Heartbeat {
@@ -112,13 +115,13 @@
             self.m.on(now, event, &mut out);
         }
         for action in out {
-            self.act(now, action, table);
+            self.perform(now, action, table);
         }
     }
 
-    fn act(&mut self, now: Instant, action: Action, table: &mut Option<Stored>) {
+    fn perform(&mut self, now: Instant, action: Action, table: &mut Option<Stored>) {
         match action {
-            Action::Send(to, beat) => drop(self.mesh.send(&to, &beat)),
+            Action::Send(to, heartbeat) => drop(self.mesh.send(&to, &heartbeat)),
             Action::Peers(peers) => self.mesh.set_peers(&peers),
             Action::Shares { epoch, .. } => self.inbox.push_back(Event::Lowered(epoch)),
             Action::ReadTable => self.inbox.push_back(Event::TableRead(Ok(table.clone()))),
@@ -143,56 +146,59 @@
     }
 }
 
-/// Processor time of this process in seconds, user and system.
-fn spent() -> f64 {
+/// Returns the CPU time field this process in seconds, user and system.
+fn cpu_seconds() -> f64 {
     let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let ticks = |n| stat.split(' ').nth(n).and_then(|s| s.parse::<f64>().ok());
     (ticks(13).unwrap_or(0.0) + ticks(14).unwrap_or(0.0)) / 100.0
 }
 
-/// A number from this process's status file.
-fn status(key: &str) -> u64 {
+/// Returns a number from `/proc/self/status`; 0 if it cannot be read.
+fn status_number(key: &str) -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|l| l.starts_with(key));
     let value = line.and_then(|l| l.split_whitespace().nth(1));
     value.and_then(|s| s.parse().ok()).unwrap_or(0)
 }
 
-fn sum(members: &[Member], of: impl Fn(&Counts) -> u64) -> u64 {
-    members.iter().map(|m| of(&m.mesh.counts())).sum()
+fn sum_counts(members: &[Member], field: impl Fn(&Counts) -> u64) -> u64 {
+    members.iter().map(|m| field(&m.mesh.counts())).sum()
 }
 
 fn main() {
     let arg = std::env::args().nth(1).and_then(|s| s.parse().ok());
     let n: usize = arg.unwrap_or(9);
-    let (idle, mut table) = (status("VmRSS"), None);
+    let (idle, mut table) = (status_number("VmRSS"), None);
     let mut members = fleet(n);
-    run(&mut members, &mut table, WARM_UP);
+    run(&mut members, &mut table, WARM_UP_TIME);
     let before = (
-        sum(&members, |c| c.sent),
-        sum(&members, |c| c.sent_bytes),
-        spent(),
+        sum_counts(&members, |c| c.sent),
+        sum_counts(&members, |c| c.sent_bytes),
+        cpu_seconds(),
     );
-    run(&mut members, &mut table, MEASURED);
-    let each = n as f64 * MEASURED.as_secs_f64();
-    let sent = sum(&members, |c| c.sent) - before.0;
-    let bytes = sum(&members, |c| c.sent_bytes) - before.1;
+    run(&mut members, &mut table, MEASURED_TIME);
+    let member_seconds = n as f64 * MEASURED_TIME.as_secs_f64();
+    let sent = sum_counts(&members, |c| c.sent) - before.0;
+    let bytes = sum_counts(&members, |c| c.sent_bytes) - before.1;
     println!("members            {n}");
-    println!("messages/s each    {:.1}", sent as f64 / each);
-    println!("bytes/s each       {:.0}", bytes as f64 / each);
-    println!("bytes a message    {:.0}", bytes as f64 / sent as f64);
+    println!("messages/s each    {:.1}", sent as f64 / member_seconds);
+    println!("bytes/s each       {:.0}", bytes as f64 / member_seconds);
+    println!("bytes per message  {:.0}", bytes as f64 / sent as f64);
     println!(
         "CPU us/s each      {:.0}",
-        (spent() - before.2) * 1e6 / each
+        (cpu_seconds() - before.2) * 1e6 / member_seconds
     );
-    println!("threads in all     {}", status("Threads"));
+    println!("threads in total   {}", status_number("Threads"));
     println!(
         "memory KB each     {}",
-        status("VmRSS").saturating_sub(idle) / n as u64
+        status_number("VmRSS").saturating_sub(idle) / n as u64
     );
     println!(
-        "refused frames     {}",
-        sum(&members, |c| c.bad_secret + c.replayed + c.garbled)
+        "rejected frames    {}",
+        sum_counts(&members, |c| c.bad_secret + c.replayed + c.garbled)
+    );
+    println!(
+        "dropped, full      {}",
+        sum_counts(&members, |c| c.send_full)
     );
-    println!("dropped, full      {}", sum(&members, |c| c.send_full));
 }
--- a/crates/mesh/examples/throughput.rs
+++ b/crates/mesh/examples/throughput.rs
@@ -1,7 +1,7 @@
-//! What a message costs over the mesh, by size: processor time of sender and receiver together.
+//! Measures the cost of a message over the mesh by its size: CPU time of sender and receiver together.
 //!
-//! Two meshes in this one process, loopback, for two seconds a size. `in flight` messages are kept
-//! under way, so that none is dropped.
+//! Two meshes in one process exchange messages on loopback for two seconds per size. At most [`IN_FLIGHT`] messages are
+//! in flight, so that none is dropped.
 //!
 //! ```text
 //! cargo run --release -p gs-mesh --example throughput
@@ -20,12 +20,14 @@
 use gs_types::prelude::*;
 use tokio::sync::mpsc::Receiver;
 
+/// The largest number of messages in flight.
 const IN_FLIGHT: u64 = 32;
-const TIME: Duration = Duration::from_secs(2);
+/// How long each size is measured.
+const MEASURED_TIME: Duration = Duration::from_secs(2);
 
-type End = (NngMesh<Vec<u8>>, Receiver<Received<Vec<u8>>>);
+type Endpoint = (NngMesh<Vec<u8>>, Receiver<Received<Vec<u8>>>);
 
-fn start(name: &str) -> End {
+fn start(name: &str) -> Endpoint {
     let cfg = MeshSettings::builder()
         .vm(name.parse().expect("a name"))
         .incarnation(Incarnation(1))
@@ -35,8 +37,8 @@
     NngMesh::start(cfg).expect("listens")
 }
 
-/// Processor time of this process in seconds, user and system.
-fn spent() -> f64 {
+/// Returns the CPU time of this process in seconds, user and system.
+fn cpu_seconds() -> f64 {
     let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let ticks = |n| stat.split(' ').nth(n).and_then(|s| s.parse::<f64>().ok());
     (ticks(13).unwrap_or(0.0) + ticks(14).unwrap_or(0.0)) / 100.0
@@ -57,9 +59,9 @@
     );
     for size in [64, 1 << 10, 8 << 10, 64 << 10] {
         let msg = vec![7; size];
-        let (begun, cpu) = (Instant::now(), spent());
+        let (started, cpu) = (Instant::now(), cpu_seconds());
         let (mut sent, mut got) = (0_u64, 0_u64);
-        while begun.elapsed() < TIME {
+        while started.elapsed() < MEASURED_TIME {
             while sent - got < IN_FLIGHT && a.send(&to, &msg).is_ok() {
                 sent += 1;
             }
@@ -68,9 +70,9 @@
                 None => return,
             }
         }
-        let each = (spent() - cpu) * 1e6 / got as f64;
-        let rate = got as f64 / begun.elapsed().as_secs_f64();
-        println!("{size:>10} {rate:>12.0} {each:>14.1}");
+        let cpu_us = (cpu_seconds() - cpu) * 1e6 / got as f64;
+        let rate = got as f64 / started.elapsed().as_secs_f64();
+        println!("{size:>10} {rate:>12.0} {cpu_us:>14.1}");
         while got < sent && rx.blocking_recv().is_some() {
             got += 1;
         }
--- a/crates/mesh/src/counters.rs
+++ b/crates/mesh/src/counters.rs
@@ -1,4 +1,4 @@
-//! What a mesh counts.
+//! Counters of sent, received and rejected messages.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -8,7 +8,7 @@
 
 use crate::frame::RejectReason;
 
-/// Declares the live counters and their snapshot in one place.
+/// Declares the live counters, and the struct of their values with the same fields.
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
         /// The live counters of a mesh.
@@ -17,14 +17,14 @@
             $($(#[$doc])* pub $name: AtomicU64,)*
         }
 
-        /// The counters at one moment, for dumps and metrics.
+        /// The values of the counters at one moment, for dumps and metrics.
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
         pub struct Counts {
             $($(#[$doc])* pub $name: u64,)*
         }
 
         impl Counters {
-            /// Reads every counter.
+            /// Returns the current values.
             #[must_use]
             pub fn counts(&self) -> Counts {
                 Counts {
@@ -36,50 +36,51 @@
 }
 
 counters! {
-    /// Messages handed to the network.
+    /// Messages accepted by the network library for sending.
     sent,
-    /// Bytes of frames handed to the network.
+    /// Bytes of frames accepted by the network library for sending.
     sent_bytes,
-    /// Messages dropped because the peer does not take them.
+    /// Messages dropped because the send queue of the peer was full.
     send_full,
-    /// Messages dropped for any other reason before they left.
+    /// Messages dropped before sending for any other reason.
     send_failed,
-    /// Messages received and handed over.
+    /// Messages received and delivered to the program.
     received,
-    /// Bytes of frames received, refused ones included.
+    /// Bytes of frames received, including rejected ones.
     received_bytes,
-    /// Received messages dropped because the program did not take them.
+    /// Received messages dropped because the inbox of the program was full.
     inbox_full,
-    /// Frames that are no frame of ours, or cut short.
+    /// Received bytes that are no frame, or a truncated one.
     garbled,
     /// Frames of another protocol version.
     other_version,
-    /// Frames that a wrong secret, or none, made.
+    /// Frames authenticated with a wrong secret, or with none.
     bad_secret,
-    /// Frames meant for another VM.
+    /// Frames addressed to another VM.
     misdirected,
-    /// Frames seen before, or of an earlier run of their sender.
+    /// Frames received before, or sent by an earlier incarnation of their sender.
     replayed,
-    /// Frames meant for an earlier run of this process; their sender was told of this one.
+    /// Frames not addressed to the current incarnation of this process; their sender receives a hello that names it.
     stale,
-    /// Frames whose message does not decode.
+    /// Frames whose message cannot be decoded.
     undecodable,
 }
 
 impl Counters {
-    /// Counts one refused frame.
-    pub fn refuse(&self, why: RejectReason) {
-        add(self.of(why), 1);
+    /// Counts a rejected frame.
+    pub fn count_rejected(&self, reason: RejectReason) {
+        add(self.counter(reason), 1);
     }
 
-    /// How many frames were refused for one reason.
+    /// Returns the number of frames rejected for one reason.
     #[must_use]
-    pub fn refused(&self, why: RejectReason) -> u64 {
-        self.of(why).load(Ordering::Relaxed)
+    pub fn rejected(&self, reason: RejectReason) -> u64 {
+        self.counter(reason).load(Ordering::Relaxed)
     }
 
-    fn of(&self, why: RejectReason) -> &AtomicU64 {
-        match why {
+    /// Returns the counter for a reason.
+    fn counter(&self, reason: RejectReason) -> &AtomicU64 {
+        match reason {
             RejectReason::Garbled => &self.garbled,
             RejectReason::OtherVersion => &self.other_version,
             RejectReason::BadSecret => &self.bad_secret,
@@ -91,7 +92,7 @@
     }
 }
 
-/// Adds to one counter.
+/// Adds `n` to a counter.
 pub(crate) fn add(c: &AtomicU64, n: u64) {
     c.fetch_add(n, Ordering::Relaxed);
 }
--- a/crates/mesh/src/hub.rs
+++ b/crates/mesh/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What the sending side and the receiving callback share.
+//! State and frame handling shared by the sending side of [`NngMesh`](crate::NngMesh) and its receive callback.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -27,64 +27,70 @@
 use crate::replay::ReplayGuard;
 use crate::settings::MeshSettings;
 
-/// Shortest time between two greetings of one peer.
-const GREET_EVERY: Duration = Duration::from_millis(50);
+/// The shortest time between two hellos to a peer in response to its frames.
+const HELLO_INTERVAL_MIN: Duration = Duration::from_millis(50);
 
-pub(crate) struct Hub {
+/// This VM's end of the mesh: sends frames to peers, and checks and delivers received ones.
+pub(crate) struct Endpoint {
     pub(crate) counters: Counters,
     cfg: MeshSettings,
     advertised: SocketAddr,
     codec: Codec,
     seq: AtomicU64,
     links: Mutex<Links>,
-    guard: Mutex<ReplayGuard>,
+    replay_guard: Mutex<ReplayGuard>,
 }
 
-impl Hub {
-    pub(crate) fn new(cfg: MeshSettings, listening: SocketAddr) -> Self {
+impl Endpoint {
+    pub(crate) fn new(cfg: MeshSettings, listener_addr: SocketAddr) -> Self {
         Self {
             counters: Counters::default(),
-            advertised: cfg.advertised.unwrap_or(listening),
+            advertised: cfg.advertised.unwrap_or(listener_addr),
             codec: Codec::new(&cfg.secret),
             seq: AtomicU64::new(0),
-            links: Mutex::new(Links::new(cfg.source, cfg.queue)),
-            guard: Mutex::default(),
+            links: Mutex::new(Links::new(cfg.source, cfg.send_queue_max)),
+            replay_guard: Mutex::default(),
             cfg,
         }
     }
 
+    /// Sends an encoded message to a peer.
     pub(crate) fn send(&self, to: &VmId, body: &[u8]) -> Result<(), SendError> {
         let mut links = self.links();
         let link = links.find(to).ok_or(SendError::NoSuchPeer)?;
-        self.put(link, to, FrameKind::Message, body)
+        self.send_frame(link, to, FrameKind::Message, body)
     }
 
-    /// Connects to the listed peers, greets the new ones and gives the sockets now unused.
-    pub(crate) fn list(&self, peers: &[(VmId, SocketAddr)]) -> Vec<Socket> {
+    /// Connects to the listed peers, sends a hello to the new ones and returns the sockets that are no longer used.
+    pub(crate) fn set_peers(&self, peers: &[(VmId, SocketAddr)]) -> Vec<Socket> {
         let mut links = self.links();
-        let (fresh, unused) = links.list(peers);
-        for vm in &fresh {
+        let (added, unused) = links.set_peers(peers);
+        for vm in &added {
             if let Some(link) = links.find(vm) {
-                self.greet(link, vm);
+                self.send_hello(link, vm);
             }
         }
         unused
     }
 
-    pub(crate) fn close(&self) -> Vec<Socket> {
-        self.links().clear()
+    /// Removes all connections and returns their sockets, to close them.
+    pub(crate) fn take_sockets(&self) -> Vec<Socket> {
+        self.links().take_sockets()
     }
 
-    /// Handles one frame as it came.
-    pub(crate) fn take<M: DeserializeOwned>(&self, buf: &[u8], tx: &mpsc::Sender<Received<M>>) {
+    /// Handles a received frame; counts and logs it if it is rejected.
+    pub(crate) fn on_frame<M: DeserializeOwned>(&self, buf: &[u8], tx: &mpsc::Sender<Received<M>>) {
         add(&self.counters.received_bytes, buf.len() as u64);
-        if let Err(why) = self.try_take(buf, tx) {
-            self.counters.refuse(why);
-            self.log_refusal(why);
+        if let Err(reason) = self.try_receive(buf, tx) {
+            self.counters.count_rejected(reason);
+            self.log_rejected(reason);
         }
     }
 
-    fn try_take<M: DeserializeOwned>(
+    /// Checks a frame and delivers its message.
+    ///
+    /// Replies with a hello if the frame is not addressed to the current incarnation.
+    fn try_receive<M: DeserializeOwned>(
         &self,
         buf: &[u8],
         tx: &mpsc::Sender<Received<M>>,
@@ -93,26 +99,27 @@
         if frame.to != self.cfg.vm {
             return Err(RejectReason::Misdirected);
         }
-        let knows_us = frame.to_incarnation == self.cfg.incarnation;
-        if frame.kind == FrameKind::Message && !knows_us {
-            self.answer_greeting(&frame);
+        let is_for_this_incarnation = frame.to_incarnation == self.cfg.incarnation;
+        if frame.kind == FrameKind::Message && !is_for_this_incarnation {
+            self.reply_with_hello(&frame);
             return Err(RejectReason::Stale);
         }
-        self.guard
+        self.replay_guard
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .admit(&frame)?;
-        if !knows_us {
-            self.answer_greeting(&frame);
+        if !is_for_this_incarnation {
+            self.reply_with_hello(&frame);
         }
-        self.learn(&frame);
+        self.note_incarnation(&frame);
         match frame.kind {
             FrameKind::Hello => Ok(()),
-            FrameKind::Message => self.hand_over(frame, body, tx),
+            FrameKind::Message => self.deliver(frame, body, tx),
         }
     }
 
-    fn hand_over<M: DeserializeOwned>(
+    /// Passes a message to the program, or drops it if the inbox is full.
+    fn deliver<M: DeserializeOwned>(
         &self,
         frame: Frame,
         body: &[u8],
@@ -131,34 +138,44 @@
         Ok(())
     }
 
-    /// Remembers the run of a peer, so that frames to it name that run.
-    fn learn(&self, frame: &Frame) {
+    /// Records the incarnation of a peer, so that frames to the peer are addressed to it.
+    fn note_incarnation(&self, frame: &Frame) {
         let mut links = self.links();
         if let Some(link) = links.find(&frame.from) {
             link.incarnation = link.incarnation.max(frame.incarnation);
         }
     }
 
-    /// Tells a peer which run of ours it should speak to. A VM that just joined is told too, before
-    /// the platform's list shows it.
-    fn answer_greeting(&self, frame: &Frame) {
+    /// Sends a hello with the current incarnation to the sender of a frame that addressed another one.
+    ///
+    /// Also replies to a VM that has just joined and is not in the platform's list yet.
+    fn reply_with_hello(&self, frame: &Frame) {
         let mut links = self.links();
-        let Some(link) = links.guest(&frame.from, frame.addr) else {
+        let Some(link) = links.find_or_open_unlisted(&frame.from, frame.addr) else {
             return;
         };
         link.incarnation = link.incarnation.max(frame.incarnation);
-        let due = link.greeted.is_none_or(|t| t.elapsed() >= GREET_EVERY);
+        let due = link
+            .last_hello
+            .is_none_or(|t| t.elapsed() >= HELLO_INTERVAL_MIN);
         if due {
-            self.greet(link, &frame.from);
+            self.send_hello(link, &frame.from);
         }
     }
 
-    fn greet(&self, link: &mut Link, to: &VmId) {
-        link.greeted = Some(Instant::now());
-        let _ = self.put(link, to, FrameKind::Hello, &[]);
+    /// Sends a hello to a peer; like any frame, it may be lost.
+    fn send_hello(&self, link: &mut Link, to: &VmId) {
+        link.last_hello = Some(Instant::now());
+        let _ = self.send_frame(link, to, FrameKind::Hello, &[]);
     }
 
-    fn put(&self, link: &Link, to: &VmId, kind: FrameKind, body: &[u8]) -> Result<(), SendError> {
+    fn send_frame(
+        &self,
+        link: &Link,
+        to: &VmId,
+        kind: FrameKind,
+        body: &[u8],
+    ) -> Result<(), SendError> {
         let frame = Frame {
             kind,
             from: self.cfg.vm.clone(),
@@ -194,11 +211,11 @@
         }
     }
 
-    /// Logs the 1st, 2nd, 4th and so on refusal of a kind, so that a hostile peer cannot fill the log.
-    fn log_refusal(&self, why: RejectReason) {
-        let n = self.counters.refused(why);
-        if n.is_power_of_two() && why != RejectReason::Stale {
-            log::warn!("event=mesh-refused reason={why} count={n}");
+    /// Logs the 1st, 2nd, 4th, 8th and so on rejected frame per reason, so that a hostile peer cannot fill the log.
+    fn log_rejected(&self, reason: RejectReason) {
+        let n = self.counters.rejected(reason);
+        if n.is_power_of_two() && reason != RejectReason::Stale {
+            log::warn!("event=mesh-refused reason={reason} count={n}");
         }
     }
 
--- a/crates/mesh/src/frame.rs
+++ b/crates/mesh/src/frame.rs
@@ -1,4 +1,4 @@
-//! The envelope of a message: magic, protocol version, header, body and authentication code.
+//! The frame format of messages: magic, protocol version, header, body and authentication code.
 //!
 //! ```text
 //! "GSMH" | version u16 LE | header (postcard) | body (postcard) | HMAC-SHA256 of all before, 16 bytes
@@ -16,77 +16,78 @@
 
 use crate::secret::Secret;
 
-/// The version of the envelope and of the messages in it.
-pub const PROTOCOL: u16 = 1;
+/// The version of the frame format and of the messages in frames.
+pub const PROTOCOL_VERSION: u16 = 1;
 
 /// The first bytes of every frame.
 const MAGIC: [u8; 4] = *b"GSMH";
 
-/// Bytes before the header.
-const PREFIX: usize = MAGIC.len() + size_of::<u16>();
+/// The number of bytes before the header.
+const PREFIX_BYTES: usize = MAGIC.len() + size_of::<u16>();
 
-/// Bytes to set aside for a header; a guess that only saves a reallocation.
-const HEADER_GUESS: usize = 128;
+/// The estimated size of a header in bytes, used as buffer capacity to avoid a reallocation.
+const HEADER_BYTES_ESTIMATE: usize = 128;
 
-/// Bytes of the authentication code: SHA-256 cut to half, as RFC 2104 section 5 allows.
-const TAG: usize = 16;
+/// The size of the authentication code in bytes: half of SHA-256, a truncation that RFC 2104 section 5 allows.
+const TAG_BYTES: usize = 16;
 
-/// What a frame carries.
+/// The kind of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FrameKind {
     /// A message in the body.
     Message,
-    /// Nothing but the sender's address and run; sent to a peer that spoke to an earlier run.
+    /// Only the sender's address and incarnation, without a body; sent to new peers, and to a peer that addressed
+    /// another incarnation.
     Hello,
 }
 
 /// The header of a frame.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Frame {
-    /// What it carries.
+    /// The kind of the frame.
     pub kind: FrameKind,
-    /// The VM that sent it.
+    /// The sending VM.
     pub from: VmId,
-    /// The run of the process that sent it.
+    /// The incarnation of the sending process.
     pub incarnation: Incarnation,
-    /// Where that VM takes answers, so that it can be greeted before the list shows it.
+    /// The address for replies to the sender, so that it gets a hello before it is listed as a peer.
     pub addr: SocketAddr,
-    /// The VM that it is for.
+    /// The receiving VM.
     pub to: VmId,
-    /// The run of the process that it is for; 0 while that is not known.
+    /// The incarnation of the receiving process; 0 while it is unknown.
     pub to_incarnation: Incarnation,
-    /// Counts the frames of this run of the sender, to whichever VM.
+    /// The sequence number among all frames of this incarnation of the sender, to any VM.
     pub seq: u64,
 }
 
-/// Why a frame was refused.
+/// Why a frame was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum RejectReason {
-    /// It is no frame of ours, or cut short.
+    /// The bytes are no frame, or a truncated one.
     Garbled,
-    /// It is of a protocol version that this process does not speak.
+    /// The protocol version is not supported.
     OtherVersion,
-    /// It was not made with our secret.
+    /// The authentication code was not made with the secret of this VM.
     BadSecret,
-    /// It is meant for another VM.
+    /// The frame is addressed to another VM.
     Misdirected,
-    /// It was seen before, or an earlier run of its sender made it.
+    /// The frame was received before, or was sent by an earlier incarnation of its sender.
     Replayed,
-    /// It is meant for an earlier run of this process, or its sender does not know this run yet.
+    /// The frame is addressed to an earlier incarnation of this process, or its sender does not know the current one.
     Stale,
-    /// Its message does not decode.
+    /// The message cannot be decoded.
     Undecodable,
 }
 
-/// Writes and reads frames with one secret.
+/// Encodes and decodes frames, authenticated with a secret.
 #[derive(Clone, Debug)]
 pub struct Codec {
     mac: Hmac<Sha256>,
 }
 
 impl Codec {
-    /// Readies the codec.
+    /// Creates a codec for a secret.
     #[must_use]
     pub fn new(secret: &Secret) -> Self {
         Self {
@@ -94,26 +95,27 @@
         }
     }
 
-    /// Writes a frame with an encoded message.
+    /// Encodes a frame with an encoded message as its body.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::BadInput`] if the header does not encode.
+    /// [`ErrorKind::BadInput`] if the header cannot be encoded.
     pub fn write(&self, f: &Frame, body: &[u8]) -> Result<Vec<u8>> {
-        let mut buf = Vec::with_capacity(PREFIX + HEADER_GUESS + body.len() + TAG);
+        let mut buf =
+            Vec::with_capacity(PREFIX_BYTES + HEADER_BYTES_ESTIMATE + body.len() + TAG_BYTES);
         buf.extend_from_slice(&MAGIC);
-        buf.extend_from_slice(&PROTOCOL.to_le_bytes());
+        buf.extend_from_slice(&PROTOCOL_VERSION.to_le_bytes());
         let mut buf = postcard::to_extend(f, buf)
             .map_err(|e| Error::new(ErrorKind::BadInput, e.to_string()).at("encode frame"))?;
         buf.extend_from_slice(body);
         let tag = self.mac.clone().chain_update(&buf).finalize().into_bytes();
-        buf.extend_from_slice(&tag[..TAG]);
+        buf.extend_from_slice(&tag[..TAG_BYTES]);
         Ok(buf)
     }
 
-    /// Checks a frame's form, version and authentication code, in this order.
+    /// Decodes a frame and returns its header and the encoded message.
     ///
-    /// Gives the header and the encoded message.
+    /// Checks the format, the version and the authentication code, in this order.
     ///
     /// # Errors
     ///
@@ -121,17 +123,16 @@
     pub fn read<'a>(&self, buf: &'a [u8]) -> Result<(Frame, &'a [u8]), RejectReason> {
         let rest = buf.strip_prefix(&MAGIC).ok_or(RejectReason::Garbled)?;
         let (version, rest) = rest.split_first_chunk::<2>().ok_or(RejectReason::Garbled)?;
-        if u16::from_le_bytes(*version) != PROTOCOL {
+        if u16::from_le_bytes(*version) != PROTOCOL_VERSION {
             return Err(RejectReason::OtherVersion);
         }
         let (inner, tag) = rest
-            .split_last_chunk::<TAG>()
+            .split_last_chunk::<TAG_BYTES>()
             .ok_or(RejectReason::Garbled)?;
-        // `verify_truncated_left` compares in constant time, so that a forger learns nothing from
-        // how long the refusal takes.
+        // `verify_truncated_left` compares in constant time, so that an attacker learns nothing from the time it takes.
         self.mac
             .clone()
-            .chain_update(&buf[..buf.len() - TAG])
+            .chain_update(&buf[..buf.len() - TAG_BYTES])
             .verify_truncated_left(tag)
             .map_err(|_| RejectReason::BadSecret)?;
         postcard::take_from_bytes(inner).map_err(|_| RejectReason::Garbled)
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -1,15 +1,14 @@
-//! Messages between our own processes: framed, authenticated and bounded, over `nng` and TCP.
+//! Messages between the VMs: framed, authenticated and bounded in size, over `nng` and TCP.
 //!
-//! A [`Mesh`] sends one typed message to one peer and never waits for it: a peer that is dead, cut
-//! off, stopped or slow loses messages, which are counted, and holds up nobody. What arrives comes
-//! out of a channel of [`Received`]. Nothing here decides anything: every message may be lost,
-//! and is handed over at most once.
+//! A [`Mesh`] sends a typed message to a peer without waiting for it. Messages to a peer that is dead, partitioned,
+//! stopped or slow are dropped and counted, and do not delay those to other peers. Received messages arrive on a channel
+//! of [`Received`]. The crate does I/O only: any message may be lost, and each is delivered at most once.
 //!
-//! [`NngMesh`] is the real one, [`LocalMesh`] joins senders within one process for tests.
+//! [`NngMesh`] is the implementation over the network; [`LocalMesh`] connects senders within one process for tests.
 
 mod counters;
+mod endpoint;
 mod frame;
-mod hub;
 mod link;
 mod local;
 mod mesh;
@@ -23,7 +22,7 @@
 pub use frame::Codec;
 pub use frame::Frame;
 pub use frame::FrameKind;
-pub use frame::PROTOCOL;
+pub use frame::PROTOCOL_VERSION;
 pub use frame::RejectReason;
 pub use local::LocalHub;
 pub use local::LocalMesh;
--- a/crates/mesh/src/link.rs
+++ b/crates/mesh/src/link.rs
@@ -1,4 +1,4 @@
-//! Outgoing connections, one socket a peer.
+//! Outgoing connections: one `nng` socket per peer.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -14,42 +14,42 @@
 use nng::options::ReconnectMinTime;
 use nng::options::SendBufferSize;
 
-/// Most connections to VMs that the program did not list.
-const GUESTS_MAX: usize = 256;
+/// The largest number of connections to unlisted VMs, which sent a frame before the program listed them.
+const UNLISTED_PEERS_MAX: usize = 256;
 
-/// How long a VM that is not listed keeps its connection.
-const GUEST_FOR: Duration = Duration::from_secs(60);
+/// How long the connection to an unlisted VM is kept.
+const UNLISTED_PEER_RETENTION: Duration = Duration::from_secs(60);
 
-/// First and longest wait between attempts to connect.
-const RECONNECT: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
+/// The initial and the longest delay between attempts to connect.
+const RECONNECT_DELAYS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
 
 /// The connection to one peer.
 #[derive(Debug)]
 pub(crate) struct Link {
     pub(crate) addr: SocketAddr,
     pub(crate) socket: Socket,
-    /// The newest run of the peer's process heard of.
+    /// The newest known incarnation of the peer's process.
     pub(crate) incarnation: Incarnation,
-    /// When it was last greeted, so that stale frames cannot make us flood it.
-    pub(crate) greeted: Option<Instant>,
-    /// When it connected without being listed; `None` if the program lists it.
-    guest_since: Option<Instant>,
+    /// When the last hello was sent; limits the hellos sent in response to stale frames.
+    pub(crate) last_hello: Option<Instant>,
+    /// When the connection to an unlisted VM was opened; `None` if the VM is listed.
+    unlisted_since: Option<Instant>,
 }
 
-/// All outgoing connections.
+/// The outgoing connections to all peers.
 #[derive(Debug)]
 pub(crate) struct Links {
     map: HashMap<VmId, Link>,
     source: Option<IpAddr>,
-    queue: u16,
+    send_queue_max: u16,
 }
 
 impl Links {
-    pub(crate) fn new(source: Option<IpAddr>, queue: u16) -> Self {
+    pub(crate) fn new(source: Option<IpAddr>, send_queue_max: u16) -> Self {
         Self {
             map: HashMap::new(),
             source,
-            queue,
+            send_queue_max,
         }
     }
 
@@ -57,33 +57,37 @@
         self.map.get_mut(vm)
     }
 
-    /// Connects to the listed peers and gives those that are new, and the sockets now unused.
-    pub(crate) fn list(&mut self, peers: &[(VmId, SocketAddr)]) -> (Vec<VmId>, Vec<Socket>) {
+    /// Connects to the listed peers; returns the newly connected ones, and the sockets that are no longer used.
+    pub(crate) fn set_peers(&mut self, peers: &[(VmId, SocketAddr)]) -> (Vec<VmId>, Vec<Socket>) {
         let now = Instant::now();
-        let wanted: HashMap<&VmId, SocketAddr> = peers.iter().map(|(vm, a)| (vm, *a)).collect();
-        let keep = |vm: &VmId, l: &Link| match (wanted.get(vm), l.guest_since) {
+        let listed: HashMap<&VmId, SocketAddr> = peers.iter().map(|(vm, a)| (vm, *a)).collect();
+        let keep = |vm: &VmId, l: &Link| match (listed.get(vm), l.unlisted_since) {
             (Some(addr), _) => *addr == l.addr,
-            (None, Some(since)) => now.duration_since(since) < GUEST_FOR,
+            (None, Some(since)) => now.duration_since(since) < UNLISTED_PEER_RETENTION,
             (None, None) => false,
         };
         let unused = self.map.extract_if(|vm, l| !keep(vm, l));
         let unused = unused.map(|(_, l)| l.socket).collect();
-        let mut fresh = Vec::new();
+        let mut added = Vec::new();
         for (vm, addr) in peers {
             if let Some(l) = self.map.get_mut(vm) {
-                l.guest_since = None;
+                l.unlisted_since = None;
             } else if self.open(vm, *addr, None).is_ok() {
-                fresh.push(vm.clone());
+                added.push(vm.clone());
             }
         }
-        (fresh, unused)
+        (added, unused)
     }
 
-    /// Finds the connection to a VM that spoke first, or opens one if there are not too many.
-    pub(crate) fn guest(&mut self, vm: &VmId, addr: SocketAddr) -> Option<&mut Link> {
+    /// Returns the connection to a VM that sent a frame, opening one if the VM is unlisted and the limit allows it.
+    pub(crate) fn find_or_open_unlisted(
+        &mut self,
+        vm: &VmId,
+        addr: SocketAddr,
+    ) -> Option<&mut Link> {
         if !self.map.contains_key(vm) {
-            let guests = self.map.values().filter(|l| l.guest_since.is_some());
-            if guests.count() >= GUESTS_MAX {
+            let unlisted = self.map.values().filter(|l| l.unlisted_since.is_some());
+            if unlisted.count() >= UNLISTED_PEERS_MAX {
                 return None;
             }
             self.open(vm, addr, Some(Instant::now())).ok()?;
@@ -91,31 +95,37 @@
         self.map.get_mut(vm)
     }
 
-    /// Takes every socket, to close them.
-    pub(crate) fn clear(&mut self) -> Vec<Socket> {
+    /// Removes all connections and returns their sockets, to close them.
+    pub(crate) fn take_sockets(&mut self) -> Vec<Socket> {
         self.map.drain().map(|(_, l)| l.socket).collect()
     }
 
-    fn open(&mut self, vm: &VmId, addr: SocketAddr, guest: Option<Instant>) -> nng::Result<()> {
+    /// Opens the connection to a peer in the background.
+    fn open(
+        &mut self,
+        vm: &VmId,
+        addr: SocketAddr,
+        unlisted_since: Option<Instant>,
+    ) -> nng::Result<()> {
         let socket = Socket::new(Protocol::Push0)?;
-        socket.set_opt::<SendBufferSize>(i32::from(self.queue))?;
-        socket.set_opt::<ReconnectMinTime>(Some(RECONNECT.0))?;
-        socket.set_opt::<ReconnectMaxTime>(Some(RECONNECT.1))?;
-        socket.dial_async(&url(self.source, addr))?;
+        socket.set_opt::<SendBufferSize>(i32::from(self.send_queue_max))?;
+        socket.set_opt::<ReconnectMinTime>(Some(RECONNECT_DELAYS.0))?;
+        socket.set_opt::<ReconnectMaxTime>(Some(RECONNECT_DELAYS.1))?;
+        socket.dial_async(&dial_url(self.source, addr))?;
         let link = Link {
             addr,
             socket,
             incarnation: Incarnation::default(),
-            greeted: None,
-            guest_since: guest,
+            last_hello: None,
+            unlisted_since,
         };
         self.map.insert(vm.clone(), link);
         Ok(())
     }
 }
 
-/// The address to dial, with the local one before it if that is set.
-fn url(source: Option<IpAddr>, addr: SocketAddr) -> String {
+/// Returns the URL to dial, preceded by the local address if one is set.
+fn dial_url(source: Option<IpAddr>, addr: SocketAddr) -> String {
     match source {
         Some(IpAddr::V6(ip)) => format!("tcp://[{ip}];{addr}"),
         Some(ip) => format!("tcp://{ip};{addr}"),
--- a/crates/mesh/src/local.rs
+++ b/crates/mesh/src/local.rs
@@ -1,4 +1,4 @@
-//! A mesh within one process, for tests.
+//! An in-process mesh for tests.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,12 +17,12 @@
 use crate::mesh::Received;
 use crate::mesh::SendError;
 
-/// Messages kept until a receiver takes them.
-const INBOX: usize = 4096;
+/// The largest number of messages queued for a receiver.
+const INBOX_MAX: usize = 4096;
 
 type Inboxes<M> = HashMap<VmId, mpsc::Sender<Received<M>>>;
 
-/// Joins the [`LocalMesh`]es of one test.
+/// Connects the [`LocalMesh`]es of a test.
 #[derive(Debug)]
 pub struct LocalHub<M> {
     inboxes: Mutex<Inboxes<M>>,
@@ -37,13 +37,13 @@
 }
 
 impl<M: Clone + Send> LocalHub<M> {
-    /// Joins a VM, or a newer run of one, and gives its end and what it receives.
+    /// Adds a VM, or a newer incarnation of one, and returns its mesh and the channel of messages it receives.
     pub fn join(
         self: &Arc<Self>,
         vm: VmId,
         incarnation: Incarnation,
     ) -> (LocalMesh<M>, mpsc::Receiver<Received<M>>) {
-        let (tx, rx) = mpsc::channel(INBOX);
+        let (tx, rx) = mpsc::channel(INBOX_MAX);
         self.inboxes().insert(vm.clone(), tx);
         let mesh = LocalMesh {
             hub: Arc::clone(self),
@@ -59,7 +59,7 @@
     }
 }
 
-/// One VM's end of a [`LocalHub`].
+/// The mesh of one VM, connected to others by a [`LocalHub`].
 #[derive(Debug)]
 pub struct LocalMesh<M> {
     hub: Arc<LocalHub<M>>,
--- a/crates/mesh/src/mesh.rs
+++ b/crates/mesh/src/mesh.rs
@@ -1,4 +1,4 @@
-//! The interface that the rest of the program sees.
+//! The [`Mesh`] trait, which the other crates use to send messages.
 
 use std::net::SocketAddr;
 
@@ -6,43 +6,43 @@
 
 use crate::counters::Counts;
 
-/// Sends messages of type `M` to peers without ever waiting for one.
+/// Sends messages of type `M` to peers without waiting.
 pub trait Mesh<M>: Send + Sync {
-    /// Hands a message over for a peer; it may still be lost.
+    /// Sends a message to a peer; it may still be lost.
     ///
     /// # Errors
     ///
-    /// [`SendError`] if it was dropped at once; a caller that counts on answers by timeout, as all
-    /// of ours do, may ignore it.
+    /// [`SendError`] if the message was dropped at once. Callers that rely on timeouts to detect missing answers, as
+    /// all in this workspace do, can ignore it.
     fn send(&self, to: &VmId, msg: &M) -> Result<(), SendError>;
 
-    /// Replaces the list of peers to hold connections to.
+    /// Sets the peers to keep connections to, replacing the previous ones.
     fn set_peers(&self, peers: &[(VmId, SocketAddr)]);
 
-    /// What was sent, received and refused so far.
+    /// Returns the numbers of sent, received and rejected messages.
     fn counts(&self) -> Counts;
 }
 
-/// A message whose sender is authenticated.
+/// A received message from an authenticated sender.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Received<M> {
-    /// The VM that sent it.
+    /// The sending VM.
     pub from: VmId,
-    /// The run of the process that sent it.
+    /// The incarnation of the sending process.
     pub incarnation: Incarnation,
     /// The message.
     pub msg: M,
 }
 
-/// Why a message was dropped before it left.
+/// Why a message was dropped before it was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum SendError {
     /// The peer's address is not known.
     NoSuchPeer,
-    /// The peer does not take messages as fast as they come, or is away.
+    /// The send queue is full: the peer is too slow or unreachable.
     Full,
-    /// The encoded message passes the bound on size.
+    /// The encoded message is larger than allowed.
     TooLarge,
     /// The message could not be encoded or the socket failed.
     Failed,
--- a/crates/mesh/src/nng_mesh.rs
+++ b/crates/mesh/src/nng_mesh.rs
@@ -1,8 +1,8 @@
-//! The mesh over `nng`.
+//! Implementation of [`Mesh`] over `nng`.
 //!
-//! One `Pull0` socket listens, one `Push0` socket a peer dials. Each sends without waiting: a peer
-//! that is dead, cut off or stopped fills its own queue, whereupon messages for it are dropped and
-//! counted, while every other peer has a queue of its own.
+//! One `Pull0` socket listens, and one `Push0` socket per peer dials. Sending never waits: if a peer is dead, partitioned
+//! or stopped, its queue fills up, and further messages to it are dropped and counted. The queues of other peers are
+//! not affected.
 
 use std::marker::PhantomData;
 use std::net::SocketAddr;
@@ -25,14 +25,14 @@
 use tokio::sync::mpsc;
 
 use crate::counters::Counts;
-use crate::hub::Hub;
+use crate::endpoint::Endpoint;
 use crate::mesh::Mesh;
 use crate::mesh::Received;
 use crate::mesh::SendError;
 use crate::settings::MeshSettings;
 
-/// What the reaper is given to drop.
-enum Dead {
+/// What the reaper thread closes.
+enum Discarded {
     Sockets(Vec<Socket>),
     Receiver(Aio),
 }
@@ -63,33 +63,33 @@
 /// # Ok::<(), Error>(())
 /// ```
 pub struct NngMesh<M> {
-    hub: Arc<Hub>,
+    endpoint: Arc<Endpoint>,
     listener_addr: SocketAddr,
     pull: Socket,
     aio: Option<Aio>,
-    reaper: std_mpsc::Sender<Dead>,
+    reaper: std_mpsc::Sender<Discarded>,
     message: PhantomData<fn(M) -> M>,
 }
 
 impl<M: Serialize + DeserializeOwned + Send + 'static> NngMesh<M> {
-    /// Listens, and gives what is received.
+    /// Starts listening; returns the mesh and the channel of received messages.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Io`] if the address cannot be listened on.
+    /// [`ErrorKind::Io`] if the address cannot be bound.
     pub fn start(cfg: MeshSettings) -> Result<(Self, mpsc::Receiver<Received<M>>)> {
-        let (tx, rx) = mpsc::channel(cfg.inbox);
+        let (tx, rx) = mpsc::channel(cfg.inbox_max);
         let (pull, listener_addr) = listen(&cfg).map_err(|e| {
             Error::new(ErrorKind::Io, e.to_string())
                 .at("listen for VMs")
                 .from_peer(cfg.listen.to_string())
                 .with_hint("check the mesh address and that no other process uses it")
         })?;
-        let hub = Arc::new(Hub::new(cfg, listener_addr));
-        let aio = receive(&hub, &pull, tx)
+        let endpoint = Arc::new(Endpoint::new(cfg, listener_addr));
+        let aio = receive(&endpoint, &pull, tx)
             .map_err(|e| Error::new(ErrorKind::Io, e.to_string()).at("receive from VMs"))?;
         let mesh = Self {
-            hub,
+            endpoint,
             listener_addr,
             pull,
             aio: Some(aio),
@@ -99,7 +99,7 @@
         Ok((mesh, rx))
     }
 
-    /// Where it listens.
+    /// Returns the address on which the mesh listens.
     #[must_use]
     pub fn local_addr(&self) -> SocketAddr {
         self.listener_addr
@@ -109,52 +109,57 @@
 impl<M: Serialize + DeserializeOwned + Send + 'static> Mesh<M> for NngMesh<M> {
     fn send(&self, to: &VmId, msg: &M) -> Result<(), SendError> {
         let body = postcard::to_allocvec(msg).map_err(|_| SendError::Failed)?;
-        self.hub.send(to, &body)
+        self.endpoint.send(to, &body)
     }
 
     fn set_peers(&self, peers: &[(VmId, SocketAddr)]) {
-        let unused = self.hub.list(peers);
-        let _ = self.reaper.send(Dead::Sockets(unused));
+        let unused = self.endpoint.set_peers(peers);
+        let _ = self.reaper.send(Discarded::Sockets(unused));
     }
 
     fn counts(&self) -> Counts {
-        self.hub.counters.counts()
+        self.endpoint.counters.counts()
     }
 }
 
 impl<M> Drop for NngMesh<M> {
     fn drop(&mut self) {
         self.pull.close();
-        let _ = self.reaper.send(Dead::Sockets(self.hub.close()));
+        let _ = self
+            .reaper
+            .send(Discarded::Sockets(self.endpoint.take_sockets()));
         if let Some(aio) = self.aio.take() {
-            let _ = self.reaper.send(Dead::Receiver(aio));
+            let _ = self.reaper.send(Discarded::Receiver(aio));
         }
     }
 }
 
+/// Opens the listening socket and returns it with its address.
 fn listen(cfg: &MeshSettings) -> nng::Result<(Socket, SocketAddr)> {
     let pull = Socket::new(Protocol::Pull0)?;
     let builder = ListenerBuilder::new(&pull, &format!("tcp://{}", cfg.listen))?;
     builder.set_opt::<RecvMaxSize>(usize::try_from(cfg.message_max.0).unwrap_or(usize::MAX))?;
     let listener: Listener = builder.start().map_err(|(_, e)| e)?;
-    // The crate gives `LocalAddr`'s port in network byte order; `BoundPort` is right.
+    // The `nng` crate returns the port of `LocalAddr` in network byte order; `BoundPort` is right.
     let port = listener.get_opt::<BoundPort>()?;
     let addr = SocketAddr::new(cfg.listen.ip(), port);
     Ok((pull, addr))
 }
 
-/// Keeps one receive under way; each ends in a callback on a thread of `nng`, which starts the
-/// next. The callback never waits and holds no handle whose drop would wait for the callback.
+/// Starts receiving messages.
+///
+/// One receive operation is in progress at any time. It ends in a callback on a thread of `nng`, which starts the next
+/// one. The callback never waits, and holds no handle whose drop would wait for the callback.
 fn receive<M: DeserializeOwned + Send + 'static>(
-    hub: &Arc<Hub>,
+    endpoint: &Arc<Endpoint>,
     pull: &Socket,
     tx: mpsc::Sender<Received<M>>,
 ) -> nng::Result<Aio> {
-    let hub = Arc::clone(hub);
+    let endpoint = Arc::clone(endpoint);
     let socket = pull.clone();
     let aio = Aio::new(move |aio, res| {
         match res {
-            AioResult::Recv(Ok(m)) => hub.take(m.as_slice(), &tx),
+            AioResult::Recv(Ok(m)) => endpoint.on_frame(m.as_slice(), &tx),
             AioResult::Recv(Err(nng::Error::Closed | nng::Error::Canceled)) => return,
             AioResult::Recv(Err(e)) => log::warn!("event=mesh-receive error={e:?}"),
             AioResult::Send(_) | AioResult::Sleep(_) => return,
@@ -165,19 +170,19 @@
     Ok(aio)
 }
 
-/// Starts the thread that drops sockets and receivers.
+/// Starts the thread that closes sockets and receivers.
 ///
-/// Dropping either waits for `nng`'s own threads: on a tokio worker that would hold up unrelated
-/// work for as long as a peer's connection takes to close, and in a callback it would never end.
-fn reaper() -> Result<std_mpsc::Sender<Dead>> {
-    let (tx, rx) = std_mpsc::channel::<Dead>();
+/// Closing either waits for threads of `nng`: on a tokio worker this would block unrelated tasks until the peer's
+/// connection is closed, and in a callback it would deadlock.
+fn reaper() -> Result<std_mpsc::Sender<Discarded>> {
+    let (tx, rx) = std_mpsc::channel::<Discarded>();
     thread::Builder::new()
         .name("mesh-reaper".to_owned())
         .spawn(move || {
-            for dead in rx {
-                match dead {
-                    Dead::Sockets(sockets) => sockets.iter().for_each(Socket::close),
-                    Dead::Receiver(aio) => aio.wait(),
+            for discarded in rx {
+                match discarded {
+                    Discarded::Sockets(sockets) => sockets.iter().for_each(Socket::close),
+                    Discarded::Receiver(aio) => aio.wait(),
                 }
             }
         })
--- a/crates/mesh/src/replay.rs
+++ b/crates/mesh/src/replay.rs
@@ -1,4 +1,4 @@
-//! Refuses frames seen before.
+//! Replay protection: rejects frames that were received before.
 
 use std::collections::HashMap;
 
@@ -7,70 +7,75 @@
 use crate::frame::Frame;
 use crate::frame::RejectReason;
 
-/// Sequence numbers behind the newest that are still told apart.
-const SPAN: u64 = 64;
+/// How many of a sender's newest sequence numbers are tracked; older frames are rejected.
+const WINDOW_FRAMES: u64 = 64;
 
-/// Most senders remembered.
+/// The largest number of senders tracked; frames of further senders are rejected.
 const SENDERS_MAX: usize = 20_000;
 
-/// Remembers, for each sender, its newest run and which of its last frames came.
+/// Tracks, for each sender, its newest incarnation and which of its newest frames were received.
 #[derive(Debug, Default)]
 pub struct ReplayGuard {
-    senders: HashMap<VmId, Last>,
+    senders: HashMap<VmId, SenderWindow>,
 }
 
+/// The newest frames of one sender.
 #[derive(Clone, Copy, Debug)]
-struct Last {
+struct SenderWindow {
     incarnation: Incarnation,
     newest: u64,
-    /// Bit `i` is set if the frame `newest - i` came.
+    /// Bit `i` is set if the frame `newest - i` was received.
     seen: u64,
 }
 
 impl ReplayGuard {
-    /// Notes a frame.
+    /// Records a frame, or rejects it as a replay.
     ///
     /// # Errors
     ///
-    /// [`RejectReason::Replayed`] if it came before, is too old to tell, is of an earlier run of its
-    /// sender, or is of one sender too many.
+    /// [`RejectReason::Replayed`] if the frame was received before, is older than the tracked frames, was sent by an
+    /// earlier incarnation of its sender, or if too many senders are tracked already.
     pub fn admit(&mut self, f: &Frame) -> Result<(), RejectReason> {
-        let fresh = Last {
+        let fresh = SenderWindow {
             incarnation: f.incarnation,
             newest: f.seq,
             seen: 1,
         };
-        let Some(last) = self.senders.get_mut(&f.from) else {
+        let Some(window) = self.senders.get_mut(&f.from) else {
             if self.senders.len() >= SENDERS_MAX {
                 return Err(RejectReason::Replayed);
             }
             self.senders.insert(f.from.clone(), fresh);
             return Ok(());
         };
-        if f.incarnation > last.incarnation {
-            *last = fresh;
+        if f.incarnation > window.incarnation {
+            *window = fresh;
             return Ok(());
         }
-        if f.incarnation < last.incarnation {
+        if f.incarnation < window.incarnation {
             return Err(RejectReason::Replayed);
         }
-        last.admit(f.seq)
+        window.admit(f.seq)
     }
 }
 
-impl Last {
+impl SenderWindow {
     fn admit(&mut self, seq: u64) -> Result<(), RejectReason> {
         if seq > self.newest {
-            let by = seq - self.newest;
-            self.seen = if by < SPAN { self.seen << by | 1 } else { 1 };
+            let shift = seq - self.newest;
+            self.seen = if shift < WINDOW_FRAMES {
+                self.seen << shift | 1
+            } else {
+                1
+            };
             self.newest = seq;
             return Ok(());
         }
-        let back = self.newest - seq;
-        if back >= SPAN || self.seen & (1 << back) != 0 {
+        let age = self.newest - seq;
+        if age >= WINDOW_FRAMES || self.seen & (1 << age) != 0 {
             return Err(RejectReason::Replayed);
         }
-        self.seen |= 1 << back;
+        self.seen |= 1 << age;
         Ok(())
     }
 }
--- a/crates/mesh/src/settings.rs
+++ b/crates/mesh/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a mesh is told at its start.
+//! Settings of a mesh.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
@@ -7,37 +7,37 @@
 
 use crate::secret::Secret;
 
-/// Largest message accepted by default: a platform value of a megabyte and its envelope.
-const MESSAGE_MAX: Bytes = Bytes((1 << 20) + (16 << 10));
+/// The default for the largest message: a platform value of 1 MiB, and 16 KiB for its envelope.
+const MESSAGE_BYTES_MAX: Bytes = Bytes((1 << 20) + (16 << 10));
 
-/// Messages kept for a peer that does not take them yet.
-const QUEUE: u16 = 64;
+/// The default number of messages queued for a peer.
+const SEND_QUEUE_MAX: u16 = 64;
 
-/// Received messages kept until the program takes them.
-const INBOX: usize = 4096;
+/// The default number of received messages queued for the program.
+const INBOX_MAX: usize = 4096;
 
-/// What a mesh is told at its start.
+/// Settings of a mesh.
 #[derive(Clone, Debug, bon::Builder)]
 pub struct MeshSettings {
-    /// This VM.
+    /// The name of this VM.
     pub vm: VmId,
-    /// This run of the process; larger than that of every earlier run on the VM.
+    /// The incarnation of this process; larger than every earlier one on this VM.
     pub incarnation: Incarnation,
-    /// Where to listen; port 0 takes a free one, for tests.
+    /// The address to listen on; port 0 selects a free port, for tests.
     pub listen: SocketAddr,
-    /// The address that peers are told to answer to; the listening one by default.
+    /// The address announced to peers for replies; the listening address by default.
     pub advertised: Option<SocketAddr>,
-    /// The address that outgoing connections come from; the system's choice by default.
+    /// The local address of outgoing connections; chosen by the system by default.
     pub source: Option<IpAddr>,
-    /// What all VMs share to recognise each other.
+    /// The secret shared by all VMs, which authenticates frames.
     pub secret: Secret,
-    /// Largest message accepted or sent.
-    #[builder(default = MESSAGE_MAX)]
+    /// The largest message accepted or sent.
+    #[builder(default = MESSAGE_BYTES_MAX)]
     pub message_max: Bytes,
-    /// Messages kept for a peer that does not take them yet; newer ones are dropped.
-    #[builder(default = QUEUE)]
-    pub queue: u16,
-    /// Received messages kept until the program takes them; newer ones are dropped.
-    #[builder(default = INBOX)]
-    pub inbox: usize,
+    /// The largest number of messages queued for a peer; further ones are dropped.
+    #[builder(default = SEND_QUEUE_MAX)]
+    pub send_queue_max: u16,
+    /// The largest number of received messages queued for the program; further ones are dropped.
+    #[builder(default = INBOX_MAX)]
+    pub inbox_max: usize,
 }
--- a/crates/mesh/tests/mesh/frame.rs
+++ b/crates/mesh/tests/mesh/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: what is accepted and what is refused.
+//! Tests that valid frames are decoded and all others rejected.
 
 use gs_mesh::Codec;
 use gs_mesh::Frame;
@@ -65,9 +65,9 @@
 }
 
 fn config() -> Config {
-    let asked = std::env::var("GS_FUZZ_CASES").ok();
+    let cases = std::env::var("GS_FUZZ_CASES").ok();
     Config {
-        cases: asked.and_then(|s| s.parse().ok()).unwrap_or(512),
+        cases: cases.and_then(|s| s.parse().ok()).unwrap_or(512),
         rng_seed: RngSeed::Fixed(20_261_203),
         failure_persistence: None,
         ..Config::default()
--- a/crates/mesh/tests/mesh/link.rs
+++ b/crates/mesh/tests/mesh/link.rs
@@ -1,4 +1,4 @@
-//! Real sockets on loopback. Every wait is for a message or a counter, never for a time.
+//! Tests over real sockets on loopback. Each waits for a message or a counter, and none relies on a fixed time.
 
 use std::io::Read;
 use std::io::Write;
@@ -26,10 +26,10 @@
     vm: VmId,
 }
 
-fn settings(name: &str, run: u64, listen: SocketAddr, secret: &str) -> MeshSettings {
+fn settings(name: &str, incarnation: u64, listen: SocketAddr, secret: &str) -> MeshSettings {
     MeshSettings::builder()
         .vm(name.parse().expect("a name"))
-        .incarnation(Incarnation(run))
+        .incarnation(Incarnation(incarnation))
         .listen(listen)
         .source("127.0.0.1".parse().expect("an address"))
         .secret(Secret::new(secret.as_bytes()).expect("long enough"))
@@ -41,8 +41,8 @@
     "127.0.0.1:0".parse().expect("an address")
 }
 
-fn node(name: &str, run: u64, listen: SocketAddr, secret: &str) -> Node {
-    let (mesh, rx) = NngMesh::start(settings(name, run, listen, secret)).expect("listens");
+fn node(name: &str, incarnation: u64, listen: SocketAddr, secret: &str) -> Node {
+    let (mesh, rx) = NngMesh::start(settings(name, incarnation, listen, secret)).expect("listens");
     Node {
         mesh,
         rx,
@@ -55,8 +55,8 @@
         (self.vm.clone(), self.mesh.local_addr())
     }
 
-    /// Sends until one arrives, as everything on the mesh may be lost.
-    fn reach(&self, other: &mut Node, text: &str) -> Received<String> {
+    /// Sends a message repeatedly until one arrives, as any message on the mesh may be lost.
+    fn send_until_received(&self, other: &mut Node, text: &str) -> Received<String> {
         loop {
             let _ = self.mesh.send(&other.vm, &text.to_owned());
             thread::sleep(Duration::from_millis(5));
@@ -66,14 +66,15 @@
         }
     }
 
-    fn wait(&self, what: impl Fn(&Counts) -> bool) {
-        while !what(&self.mesh.counts()) {
+    /// Waits until the counters meet a condition.
+    fn wait_until(&self, condition: impl Fn(&Counts) -> bool) {
+        while !condition(&self.mesh.counts()) {
             thread::sleep(Duration::from_millis(2));
         }
     }
 }
 
-fn two() -> (Node, Node) {
+fn connected_pair() -> (Node, Node) {
     let a = node("a", 1, any_port(), SECRET);
     let b = node("b", 1, any_port(), SECRET);
     a.mesh.set_peers(&[b.peer()]);
@@ -83,10 +84,10 @@
 
 #[test]
 fn messages_go_both_ways_and_name_their_sender() {
-    let (mut a, mut b) = two();
-    let got = a.reach(&mut b, "there");
+    let (mut a, mut b) = connected_pair();
+    let got = a.send_until_received(&mut b, "there");
     assert_eq!((got.from, got.msg), (a.vm.clone(), "there".to_owned()));
-    let got = b.reach(&mut a, "back");
+    let got = b.send_until_received(&mut a, "back");
     assert_eq!((got.from, got.msg), (b.vm.clone(), "back".to_owned()));
 }
 
@@ -95,8 +96,8 @@
     let mut a = node("a", 1, any_port(), SECRET);
     let mut b = node("b", 1, any_port(), SECRET);
     a.mesh.set_peers(&[b.peer()]);
-    a.reach(&mut b, "hello");
-    b.reach(&mut a, "welcome");
+    a.send_until_received(&mut b, "hello");
+    b.send_until_received(&mut a, "welcome");
 }
 
 #[test]
@@ -104,13 +105,13 @@
     let a = node("a", 1, any_port(), "another sixteen bytes");
     let b = node("b", 1, any_port(), SECRET);
     a.mesh.set_peers(&[b.peer()]);
-    b.wait(|c| c.bad_secret > 0);
+    b.wait_until(|c| c.bad_secret > 0);
     assert_eq!(b.mesh.counts().received, 0);
 }
 
 #[test]
 fn a_message_above_the_bound_does_not_leave() {
-    let (a, _b) = two();
+    let (a, _b) = connected_pair();
     let long = "x".repeat(65 << 10);
     assert_eq!(
         a.mesh.send(&"b".parse().expect("a name"), &long),
@@ -118,12 +119,12 @@
     );
 }
 
-/// A process is restarted on its address. Its peers go on speaking to the run before, which would
-/// be refused for ever if nobody told them of the new one.
+/// A process is restarted on the same address, and its peers address their frames to the previous incarnation. Without
+/// a hello that names the new one, their frames would be rejected forever.
 #[test]
 fn a_restarted_peer_is_reached_again() {
-    let (mut a, mut b) = two();
-    a.reach(&mut b, "one");
+    let (mut a, mut b) = connected_pair();
+    a.send_until_received(&mut b, "one");
     let addr = b.mesh.local_addr();
     drop(b);
     let mut b = loop {
@@ -136,17 +137,17 @@
         }
     };
     b.mesh.set_peers(&[a.peer()]);
-    let got = a.reach(&mut b, "two");
+    let got = a.send_until_received(&mut b, "two");
     assert_eq!(got.msg, "two");
-    let got = b.reach(&mut a, "three");
+    let got = b.send_until_received(&mut a, "three");
     assert_eq!(got.incarnation, Incarnation(2));
 }
 
-/// One peer is dead, one takes connections and never reads. The sender runs on a tokio runtime of
-/// one worker: were it held up by either, the healthy peer would hear nothing more.
+/// One peer is dead, and one accepts connections and never reads. The sender runs on a tokio runtime with one worker: if
+/// either peer blocked it, the healthy peer would receive no more messages.
 #[test]
 fn a_dead_and_a_stopped_peer_hold_up_nobody() {
-    let (a, mut b) = two();
+    let (a, mut b) = connected_pair();
     let stopped = TcpListener::bind(any_port()).expect("listens");
     let dead = TcpListener::bind(any_port()).expect("listens");
     let dead_addr = dead.local_addr().expect("an address");
@@ -155,7 +156,7 @@
     let stopped_addr = stopped.local_addr().expect("an address");
     let others = [(name("stopped"), stopped_addr), (name("dead"), dead_addr)];
     a.mesh.set_peers(&[&[b.peer()], &others[..]].concat());
-    a.reach(&mut b, "before");
+    a.send_until_received(&mut b, "before");
     let rt = tokio::runtime::Builder::new_current_thread()
         .build()
         .expect("a runtime");
@@ -168,29 +169,32 @@
             }
         }
     });
-    assert_eq!(a.reach(&mut b, "after").msg, "after");
+    assert_eq!(a.send_until_received(&mut b, "after").msg, "after");
     a.mesh.set_peers(&[b.peer()]);
-    assert_eq!(a.reach(&mut b, "unlisted").msg, "unlisted");
+    assert_eq!(a.send_until_received(&mut b, "unlisted").msg, "unlisted");
     let (mut conn, _) = stopped.accept().expect("the mesh connected");
     let _ = conn.read(&mut [0; 16]);
 }
 
-/// A stranger connects to the mesh port and sends bytes that are no messages. The process must
-/// stay up and go on hearing its peers.
+/// An unknown client connects to the mesh port and sends bytes that are no messages. The process must keep running and
+/// receiving messages from its peers.
 #[test]
 fn garbled_bytes_are_survived() {
-    let (a, mut b) = two();
+    let (a, mut b) = connected_pair();
     for len in [0_usize, 1, 8, 200, 4096] {
         let mut conn = TcpStream::connect(b.mesh.local_addr()).expect("connects");
         let bytes: Vec<u8> = (0..len).map(|i| (i * 37 % 251) as u8).collect();
         let _ = conn.write_all(&bytes);
     }
-    // The transport's own greeting for a `Push0` socket, and a message that is no frame.
+    // The transport's handshake for a `Push0` socket, and a message that is no frame.
     let mut conn = TcpStream::connect(b.mesh.local_addr()).expect("connects");
     let greeting = [0, b'S', b'P', 0, 0, 0x50, 0, 0];
     conn.write_all(&greeting).expect("sent");
     conn.write_all(&[0, 0, 0, 0, 0, 0, 0, 3, 1, 2, 3])
         .expect("sent");
-    b.wait(|c| c.garbled > 0);
-    assert_eq!(a.reach(&mut b, "still here").msg, "still here");
+    b.wait_until(|c| c.garbled > 0);
+    assert_eq!(
+        a.send_until_received(&mut b, "still here").msg,
+        "still here"
+    );
 }
--- a/crates/mesh/tests/mesh/local.rs
+++ b/crates/mesh/tests/mesh/local.rs
@@ -1,4 +1,4 @@
-//! The mesh within one process.
+//! Tests of the in-process mesh.
 
 use std::sync::Arc;
 
--- a/crates/mesh/tests/mesh/main.rs
+++ b/crates/mesh/tests/mesh/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the mesh, by feature.
+//! Tests of the mesh, one module per feature.
 
 mod frame;
 mod link;
--- a/crates/mesh/tests/mesh/replay.rs
+++ b/crates/mesh/tests/mesh/replay.rs
@@ -1,4 +1,4 @@
-//! Frames that come again.
+//! Tests of the replay protection.
 
 use gs_mesh::Frame;
 use gs_mesh::RejectReason;
@@ -8,9 +8,9 @@
 
 use crate::frame::frame;
 
-fn of_run(seq: u64, run: u64) -> Frame {
+fn with_incarnation(seq: u64, incarnation: u64) -> Frame {
     Frame {
-        incarnation: Incarnation(run),
+        incarnation: Incarnation(incarnation),
         ..frame(seq)
     }
 }
@@ -30,12 +30,15 @@
     assert_eq!(got, expected);
 }
 
-/// A recorded frame of a process's earlier run is sent again after it restarted. Taken, it would
-/// bring back a state that the sender has left behind.
+/// A recorded frame of an earlier incarnation is sent again after the process restarted. If it were accepted, it would
+/// restore a state of the sender that is out of date.
 #[test]
 fn a_frame_of_an_earlier_run_is_refused() {
     let mut guard = ReplayGuard::default();
-    assert_eq!(guard.admit(&of_run(5, 1)), Ok(()));
-    assert_eq!(guard.admit(&of_run(1, 2)), Ok(()));
-    assert_eq!(guard.admit(&of_run(6, 1)), Err(RejectReason::Replayed));
+    assert_eq!(guard.admit(&with_incarnation(5, 1)), Ok(()));
+    assert_eq!(guard.admit(&with_incarnation(1, 2)), Ok(()));
+    assert_eq!(
+        guard.admit(&with_incarnation(6, 1)),
+        Err(RejectReason::Replayed)
+    );
 }
