--- a/crates/http/tests/callers.rs
+++ b/crates/http/tests/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' interface answers good and bad requests within its bounds, and serves on.
+//! Tests that the interface for callers answers valid and invalid requests within its limits, and keeps serving.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,13 +18,13 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-const BODY_MAX: usize = 256;
+const BODY_BYTES_MAX: usize = 256;
 
-/// Answers every lookup with an empty page, or with the refusal that its query names.
-struct Echo;
+/// Answers every lookup with an empty page, or with the refusal named by its query.
+struct StubService;
 
 #[async_trait]
-impl LookupService for Echo {
+impl LookupService for StubService {
     async fn lookup(&self, req: LookupRequest) -> LookupReply {
         let request = RequestId {
             vm: "vm-1".parse().expect("a name"),
@@ -53,12 +53,13 @@
     }
 }
 
-struct Running {
+/// A running server.
+struct RunningServer {
     addr: SocketAddr,
     stop: watch::Sender<bool>,
 }
 
-async fn start() -> Running {
+async fn start() -> RunningServer {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = listener.local_addr().expect("bound");
     let limits = Limits {
@@ -68,22 +69,22 @@
         connections_max: 16,
     };
     let callers = Arc::new(CallerHandler::new(
-        Arc::new(Echo),
-        BODY_MAX,
+        Arc::new(StubService),
+        BODY_BYTES_MAX,
         Duration::from_millis(300),
     ));
     let (stop, stopped) = watch::channel(false);
     tokio::spawn(Server::new(listener, limits).run(callers, stopped));
-    Running { addr, stop }
+    RunningServer { addr, stop }
 }
 
-/// Sends bytes, reads until the server closes.
+/// Sends bytes and reads until the server closes the connection.
 async fn exchange(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut tcp = TcpStream::connect(addr).await.expect("listening");
-    // A server that refuses may close before it has read everything; what it answered is read below.
+    // A server that rejects the request may close the connection before it has read everything; its answer is read below.
     let _ = tcp.write_all(bytes).await;
     let mut buf = Vec::new();
-    // A reset ends what there is to read, as an end does.
+    // A reset ends the answer like a normal close.
     let _ = tcp.read_to_end(&mut buf).await;
     String::from_utf8_lossy(&buf).into_owned()
 }
@@ -174,7 +175,7 @@
 #[tokio::test]
 async fn an_oversized_body_is_refused_with_its_bound() {
     let s = start().await;
-    let body = format!(r#"{{"query":"{}"}}"#, "x".repeat(BODY_MAX));
+    let body = format!(r#"{{"query":"{}"}}"#, "x".repeat(BODY_BYTES_MAX));
     let res = exchange(s.addr, post(PATH, "", &body).as_bytes()).await;
     assert!(
         res.starts_with("HTTP/1.1 413 Payload Too Large\r\n"),
@@ -197,8 +198,8 @@
     );
 }
 
-/// A caller sends half a head, or half a body, and no more. Without a bound each such caller would
-/// hold a connection for ever, until none is left for the others.
+/// A caller sends half of the headers, or half of the body, and nothing more. Without timeouts each such caller would hold
+/// a connection forever, until none is left for the others.
 #[rstest]
 #[case::head("POST /v1/fronts/archive/lookups/quotes HTTP/1.1\r\nhost: x\r\nconte")]
 #[case::body(
@@ -221,8 +222,8 @@
 async fn a_stopping_server_finishes_the_request_that_has_begun() {
     let s = start().await;
     let mut tcp = TcpStream::connect(s.addr).await.expect("listening");
-    let whole = post(PATH, "", r#"{"query":"trout"}"#);
-    let (first, rest) = whole.split_at(whole.len() - 3);
+    let request = post(PATH, "", r#"{"query":"trout"}"#);
+    let (first, rest) = request.split_at(request.len() - 3);
     tcp.write_all(first.as_bytes()).await.expect("sent");
     tokio::time::sleep(Duration::from_millis(20)).await;
     s.stop.send(true).expect("running");
@@ -232,8 +233,8 @@
     assert!(res.starts_with("HTTP/1.1 200 OK\r\n"), "{res}");
 }
 
-/// A caller keeps a connection for its next lookup. An idle time longer than the header bound must
-/// not close it under the next request.
+/// A caller keeps a connection open for its next lookup. If it is idle for longer than the header timeout, it must not be
+/// closed: the next request would fail.
 #[tokio::test]
 async fn a_kept_connection_outlives_the_header_timeout() {
     let s = start().await;
@@ -251,9 +252,9 @@
     }
 }
 
-/// A caller keeps a connection, and later sends half a head on it and no more.
-/// The bound on a head ran only if its first byte came with the connection: once the connection had
-/// been seen idle, the bound on idleness was waited for, a minute, and no other caller had its place.
+/// A caller keeps a connection open, and later sends half of the headers on it and nothing more. The header timeout must
+/// also apply on a connection that was idle before: if only the idle timeout of a minute applied, the connection would be
+/// occupied for that long.
 #[tokio::test]
 async fn half_a_head_on_a_kept_connection_is_ended() {
     let s = start().await;
--- a/crates/http/tests/fuzz.rs
+++ b/crates/http/tests/fuzz.rs
@@ -1,6 +1,7 @@
-//! Any bytes from callers and from backend servers: no panic, no hang, no wrong page, and on it goes.
+//! Fuzz tests with arbitrary bytes from callers and from backend servers.
 //!
-//! `GS_FUZZ_CASES` sets the number of cases for a longer run; the seed is fixed.
+//! The code must not panic, hang or accept a wrong page, and must keep serving. `GS_FUZZ_CASES` sets the number of cases
+//! for a longer run; the seed is fixed.
 
 #[path = "fuzz/answer.rs"]
 mod answer;
@@ -19,16 +20,16 @@
 use proptest::test_runner::RngSeed;
 use tokio::runtime::Runtime;
 
-/// Cases run when `GS_FUZZ_CASES` does not say; each sends a batch.
+/// The number of cases if `GS_FUZZ_CASES` is not set; each sends a batch.
 const CASES: u32 = 24;
 
-/// Panics in any thread, also in tasks whose end nobody looks at.
+/// The number of panics in any thread, including those in tasks that are not awaited.
 static PANICS: AtomicU32 = AtomicU32::new(0);
 
 fn config() -> Config {
-    let asked = std::env::var("GS_FUZZ_CASES").ok();
+    let cases = std::env::var("GS_FUZZ_CASES").ok();
     Config {
-        cases: asked.and_then(|s| s.parse().ok()).unwrap_or(CASES),
+        cases: cases.and_then(|s| s.parse().ok()).unwrap_or(CASES),
         rng_seed: RngSeed::Fixed(20_261_203),
         failure_persistence: None,
         max_shrink_iters: 16,
@@ -36,7 +37,7 @@
     }
 }
 
-/// A runtime whose tasks' panics are counted.
+/// Creates a runtime, and counts the panics of its tasks.
 fn runtime() -> Runtime {
     static HOOK: Once = Once::new();
     HOOK.call_once(|| {
--- a/crates/http/tests/fuzz/answer.rs
+++ b/crates/http/tests/fuzz/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of a backend server, right and wrong, and what each means.
+//! Valid and invalid answers of a backend server, and the reply expected for each.
 
 use std::sync::Arc;
 
@@ -13,10 +13,10 @@
 
 pub const PART: &str = r#"{"hits":[{"doc":"d1","score":9,"text":"trout"}],"matched":1}"#;
 
-/// The most bytes that the pool takes of a body.
-pub const PART_MAX: usize = 2048;
+/// The largest body that the pools accept, in bytes.
+pub const PART_BYTES_MAX: usize = 2048;
 
-pub fn whole() -> PartReply {
+pub fn complete_reply() -> PartReply {
     PartReply::Whole {
         snapshot: SnapshotId(3),
         part: Arc::new(serde_json::from_str(PART).expect("a part")),
@@ -31,17 +31,17 @@
     Length,
     Chunked,
     UntilClose,
-    /// Shorter than its length says.
+    /// Shorter than its content length.
     Short,
-    /// Longer than the pool takes.
+    /// Longer than the pools accept.
     Long,
 }
 
-/// An answer in its parts, right or wrong.
+/// The parts of an answer, valid or invalid.
 #[derive(Clone, Debug)]
-pub struct Answer200 {
+pub struct ScriptedAnswer {
     status: u16,
-    /// The id echoed: the attempt's own for `Some(true)`, another's for `Some(false)`.
+    /// The echoed id: that of the attempt for `Some(true)`, that of another attempt for `Some(false)`.
     id: Option<bool>,
     digest: Option<bool>,
     snapshot: Option<&'static str>,
@@ -51,8 +51,8 @@
     framing: Framing,
 }
 
-impl Answer200 {
-    pub const fn good(framing: Framing) -> Self {
+impl ScriptedAnswer {
+    pub const fn valid(framing: Framing) -> Self {
         Self {
             status: 200,
             id: Some(true),
@@ -68,7 +68,7 @@
     pub fn bytes(&self, id: &str) -> Vec<u8> {
         let mut body = self.body.to_owned();
         if self.framing == Framing::Long {
-            body.push_str(&" ".repeat(PART_MAX));
+            body.push_str(&" ".repeat(PART_BYTES_MAX));
         }
         let other = format!("{id}1");
         let digest = xxh3_64(body.as_bytes());
@@ -111,17 +111,17 @@
         }
     }
 
-    /// What it means by docs/PROTOCOLS.md.
-    pub fn meaning(&self) -> PartReply {
+    /// Returns the expected reply, as specified in docs/PROTOCOLS.md.
+    pub fn expected_reply(&self) -> PartReply {
         match self.framing {
             Framing::Short => return PartReply::Broken,
             Framing::Long => return PartReply::Garbled,
             _ => {}
         }
         let own = self.id == Some(true);
-        let right = self.digest == Some(true) && self.snapshot == Some("3") && self.body == PART;
+        let is_valid = self.digest == Some(true) && self.snapshot == Some("3") && self.body == PART;
         match (own, self.status, self.not_run, self.reason) {
-            (true, 200, ..) if right => whole(),
+            (true, 200, ..) if is_valid => complete_reply(),
             (false, ..) | (true, 200, ..) => PartReply::Garbled,
             (true, _, Some("1"), Some("draining")) => PartReply::Draining,
             (true, _, Some("1"), _) => PartReply::NotSent,
@@ -130,8 +130,8 @@
     }
 }
 
-pub fn answer() -> impl Strategy<Value = Answer200> {
-    let mostly_right =
+pub fn answer() -> impl Strategy<Value = ScriptedAnswer> {
+    let mostly_valid =
         || prop_oneof![4 => Just(Some(true)), 1 => Just(Some(false)), 1 => Just(None)];
     let framing = prop_oneof![
         3 => Just(Framing::Length),
@@ -142,8 +142,8 @@
     ];
     (
         select(vec![200, 200, 200, 500, 503, 499]),
-        mostly_right(),
-        mostly_right(),
+        mostly_valid(),
+        mostly_valid(),
         select(vec![Some("3"), Some("3"), Some("3"), None, Some("x")]),
         select(vec![PART, PART, PART, "{", "[]"]),
         option::of(select(vec!["1", "1", "0", "yes"])),
@@ -151,7 +151,7 @@
         framing,
     )
         .prop_map(
-            |(status, id, digest, snapshot, body, not_run, reason, framing)| Answer200 {
+            |(status, id, digest, snapshot, body, not_run, reason, framing)| ScriptedAnswer {
                 status,
                 id,
                 digest,
--- a/crates/http/tests/fuzz/backend.rs
+++ b/crates/http/tests/fuzz/backend.rs
@@ -1,4 +1,4 @@
-//! The connections to backend servers, against a server that replies anything.
+//! Fuzz tests of the connections to backend servers, against a server that replies with arbitrary bytes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,28 +22,28 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-use crate::answer::Answer200;
 use crate::answer::Framing;
 use crate::answer::PART;
-use crate::answer::PART_MAX;
+use crate::answer::PART_BYTES_MAX;
+use crate::answer::ScriptedAnswer;
 use crate::answer::answer;
-use crate::answer::whole;
-use crate::bytes::Spoil;
-use crate::bytes::spoil;
+use crate::answer::complete_reply;
+use crate::bytes::Corruption;
+use crate::bytes::corruption;
 use crate::config;
 use crate::panics;
 use crate::runtime;
 
-/// The connections that the pool may have open.
+/// The number of connections that may be open.
 const SHARE: u32 = 8;
 
-/// No reply comes near this unless it is lost.
-const HANGS: Duration = Duration::from_secs(20);
+/// A reply that takes this long counts as lost.
+const HANG_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What the server sends in answer to each attempt, by its id.
+/// The server's answer to each attempt, by its id.
 type Scripts = Arc<Mutex<HashMap<String, Script>>>;
 
-/// The bytes of an answer, and whether the server closes the connection behind them.
+/// The bytes of an answer, and whether the server closes the connection after them.
 #[derive(Clone, Debug)]
 pub struct Script {
     pub bytes: Vec<u8>,
@@ -61,13 +61,13 @@
     addr
 }
 
-/// Answers request after request by the scripts, as the pool has only one under way at a time.
+/// Answers the requests on one connection by the scripts; only one is in flight at a time.
 async fn connection(mut tcp: TcpStream, scripts: Scripts) {
     let (mut seen, mut buf) = (Vec::new(), [0; 4096]);
     while let Ok(n @ 1..) = tcp.read(&mut buf).await {
         seen.extend_from_slice(&buf[..n]);
         let text = String::from_utf8_lossy(&seen).into_owned();
-        // The query is the body, and the last that comes.
+        // The query is the body, and thus the end of the request.
         let (Some(id), true) = (attempt_of(&text), text.ends_with("\r\n\r\ntrout")) else {
             continue;
         };
@@ -84,15 +84,17 @@
     head.lines().find_map(|l| l.strip_prefix("x-attempt: "))
 }
 
-struct Tell(mpsc::UnboundedSender<Event>);
+/// Sends the events to a channel.
+struct ChannelSink(mpsc::UnboundedSender<Event>);
 
-impl EventSink for Tell {
+impl EventSink for ChannelSink {
     fn on_event(&self, ev: Event) {
         let _ = self.0.send(ev);
     }
 }
 
-struct Bench {
+/// A scripted server and the pools under test.
+struct Fixture {
     server: Arc<ServerDecl>,
     scripts: Scripts,
     pool: ConnectionPools,
@@ -100,7 +102,7 @@
     next: u64,
 }
 
-impl Bench {
+impl Fixture {
     async fn start() -> Self {
         let scripts = Scripts::default();
         let server = Arc::new(ServerDecl {
@@ -113,10 +115,10 @@
         });
         let (tx, rx) = mpsc::unbounded_channel();
         let options = ConnectionPoolsOptions::builder()
-            .connect_timeout(HANGS)
-            .part_bytes_max(PART_MAX)
+            .connect_timeout(HANG_TIMEOUT)
+            .part_bytes_max(PART_BYTES_MAX)
             .build();
-        let pool = ConnectionPools::new(options, Arc::new(Tell(tx)));
+        let pool = ConnectionPools::new(options, Arc::new(ChannelSink(tx)));
         pool.set_shares(&[(server.name.clone(), Connections(SHARE))]);
         Self {
             server,
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Hands out an attempt that the server answers by the script for its id.
+    /// Dispatches an attempt that the server answers by the script for its id.
     fn dispatch(&mut self, budget: Duration, script: impl FnOnce(&str) -> Script) -> AttemptId {
         self.next += 1;
         let attempt = AttemptId {
@@ -157,11 +159,11 @@
         attempt
     }
 
-    /// The replies until `n` have come.
+    /// Waits for `n` replies and returns them.
     async fn replies(&mut self, n: usize) -> Vec<(AttemptId, PartReply)> {
         let mut out = Vec::new();
         while out.len() < n {
-            let ev = tokio::time::timeout(HANGS, self.rx.recv()).await;
+            let ev = tokio::time::timeout(HANG_TIMEOUT, self.rx.recv()).await;
             let ev = ev.expect("a reply for each attempt");
             if let Event::Reply(id, reply) = ev.expect("the pool lives") {
                 out.push((id, reply));
@@ -170,23 +172,23 @@
         out
     }
 
-    /// Good replies are taken again once the connections that were spoilt are used up; no reply is
-    /// left over from before.
-    async fn assert_serves_on(&mut self) {
+    /// Asserts that valid replies are accepted again after the connections with malformed bytes are used up, and that
+    /// no earlier reply is left over.
+    async fn assert_keeps_serving(&mut self) {
         let mut last = None;
         for _ in 0..=SHARE {
-            let id = self.dispatch(HANGS, |id| Script {
-                bytes: Answer200::good(Framing::Length).bytes(id),
+            let id = self.dispatch(HANG_TIMEOUT, |id| Script {
+                bytes: ScriptedAnswer::valid(Framing::Length).bytes(id),
                 close: false,
             });
             let (of, reply) = self.replies(1).await.remove(0);
             assert_eq!(of, id, "a second reply: {reply:?}");
-            if reply == whole() {
+            if reply == complete_reply() {
                 return;
             }
             last = Some(reply);
         }
-        panic!("no good reply is taken any more: {last:?}");
+        panic!("no valid reply is accepted any more: {last:?}");
     }
 }
 
@@ -194,30 +196,30 @@
 fn an_answer_means_what_the_protocol_says() {
     let rt = runtime();
     let _in = rt.enter();
-    let mut b = rt.block_on(Bench::start());
+    let mut b = rt.block_on(Fixture::start());
     let b = std::cell::RefCell::new(&mut b);
     let mut runner = TestRunner::new(config());
     let run = runner.run(&vec(answer(), 16), |answers| {
         let mut b = b.borrow_mut();
         for a in answers {
-            let id = b.dispatch(HANGS, |id| a.script(id));
+            let id = b.dispatch(HANG_TIMEOUT, |id| a.script(id));
             let got = rt.block_on(b.replies(1)).remove(0);
-            prop_assert_eq!(got, (id, a.meaning()), "{:?}", a);
+            prop_assert_eq!(got, (id, a.expected_reply()), "{:?}", a);
         }
         Ok(())
     });
     run.unwrap_or_else(|e| panic!("{e}\n{runner}"));
-    rt.block_on(b.into_inner().assert_serves_on());
+    rt.block_on(b.into_inner().assert_keeps_serving());
     assert_eq!(panics(), 0);
 }
 
-/// Spoilt answers, with whether the server closes behind them.
-fn batch() -> impl Strategy<Value = Vec<(bool, bool, Spoil)>> {
-    vec((any::<bool>(), any::<bool>(), spoil()), 16)
+/// Malformed answers, each with whether it is chunked and whether the server closes the connection after it.
+fn batch() -> impl Strategy<Value = Vec<(bool, bool, Corruption)>> {
+    vec((any::<bool>(), any::<bool>(), corruption()), 16)
 }
 
-/// Whether a reply that was taken for whole was there in the bytes.
-fn is_honest(reply: &PartReply, id: &AttemptId, sent: &[u8]) -> bool {
+/// Returns whether a reply that was accepted as complete is contained in the sent bytes.
+fn is_contained(reply: &PartReply, id: &AttemptId, sent: &[u8]) -> bool {
     let PartReply::Whole { part, .. } = reply else {
         return true;
     };
@@ -230,22 +232,22 @@
 fn any_bytes_from_a_server_end_each_attempt_once() {
     let rt = runtime();
     let _in = rt.enter();
-    let mut b = rt.block_on(Bench::start());
+    let mut b = rt.block_on(Fixture::start());
     let b = std::cell::RefCell::new(&mut b);
     let mut runner = TestRunner::new(config());
     let run = runner.run(&batch(), |batch| {
         let mut b = b.borrow_mut();
         let mut sent = HashMap::new();
-        for (chunked, close, spoil) in batch {
+        for (chunked, close, corruption) in batch {
             let framing = if chunked {
                 Framing::Chunked
             } else {
                 Framing::Length
             };
-            let good = Answer200::good(framing);
+            let valid = ScriptedAnswer::valid(framing);
             let mut bytes = Vec::new();
             let id = b.dispatch(Duration::from_millis(150), |id| {
-                bytes = spoil.of(&good.bytes(id));
+                bytes = corruption.apply_to(&valid.bytes(id));
                 Script {
                     bytes: bytes.clone(),
                     close,
@@ -258,7 +260,7 @@
             prop_assert!(bytes.is_some(), "a second reply for {}: {:?}", id, reply);
             let bytes = bytes.unwrap_or_default();
             prop_assert!(
-                is_honest(&reply, &id, &bytes),
+                is_contained(&reply, &id, &bytes),
                 "{:?} from {}",
                 reply,
                 bytes.escape_ascii()
@@ -267,6 +269,6 @@
         Ok(())
     });
     run.unwrap_or_else(|e| panic!("{e}\n{runner}"));
-    rt.block_on(b.into_inner().assert_serves_on());
+    rt.block_on(b.into_inner().assert_keeps_serving());
     assert_eq!(panics(), 0);
 }
--- a/crates/http/tests/fuzz/bytes.rs
+++ b/crates/http/tests/fuzz/bytes.rs
@@ -1,10 +1,10 @@
-//! Random bytes, and bytes of a good message with edits.
+//! Malformed messages: valid ones with edits, and random bytes.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::sample::Index;
 
-/// What a parser of HTTP/1.1 or JSON might trip over.
+/// Tokens that a parser of HTTP/1.1 or JSON might handle wrongly.
 const TOKENS: &[&str] = &[
     "\r\n",
     "\r\n\r\n",
@@ -34,14 +34,14 @@
     "9999999999999999999y",
 ];
 
-/// One change of some bytes.
+/// One change to a message.
 #[derive(Clone, Debug)]
 pub enum Edit {
     Flip(Index, u8),
     Insert(Index, Vec<u8>),
     Delete(Index, usize),
     Repeat(Index, usize),
-    End(Index),
+    Truncate(Index),
 }
 
 impl Edit {
@@ -65,7 +65,7 @@
                 let at = at.index(len);
                 buf.extend_from_within(at..until(at, *n));
             }
-            Self::End(at) => buf.truncate(at.index(len)),
+            Self::Truncate(at) => buf.truncate(at.index(len)),
         }
     }
 }
@@ -79,24 +79,24 @@
         1 => (at(), vec(any::<u8>(), 1..40)).prop_map(|(at, b)| Edit::Insert(at, b)),
         1 => (at(), 1_usize..40).prop_map(|(at, n)| Edit::Delete(at, n)),
         1 => (at(), 1_usize..400).prop_map(|(at, n)| Edit::Repeat(at, n)),
-        1 => at().prop_map(Edit::End),
+        1 => at().prop_map(Edit::Truncate),
     ]
 }
 
-/// Edits to a good message, or bytes in its place.
+/// Edits to a valid message, or bytes that replace it.
 #[derive(Clone, Debug)]
-pub enum Spoil {
+pub enum Corruption {
     Edits(Vec<Edit>),
     Bytes(Vec<u8>),
 }
 
-impl Spoil {
-    /// The bytes to send where `good` would be right.
-    pub fn of(&self, good: &[u8]) -> Vec<u8> {
+impl Corruption {
+    /// Returns the bytes to send instead of the valid message `valid`.
+    pub fn apply_to(&self, valid: &[u8]) -> Vec<u8> {
         match self {
             Self::Bytes(b) => b.clone(),
             Self::Edits(edits) => {
-                let mut buf = good.to_vec();
+                let mut buf = valid.to_vec();
                 edits.iter().for_each(|e| e.apply(&mut buf));
                 buf
             }
@@ -104,10 +104,10 @@
     }
 }
 
-/// Mostly edits, as random bytes seldom get past the first line.
-pub fn spoil() -> impl Strategy<Value = Spoil> {
+/// Generates mostly edits, as random bytes are usually rejected at the first line.
+pub fn corruption() -> impl Strategy<Value = Corruption> {
     prop_oneof![
-        6 => vec(edit(), 1..5).prop_map(Spoil::Edits),
-        1 => vec(any::<u8>(), 0..3000).prop_map(Spoil::Bytes),
+        6 => vec(edit(), 1..5).prop_map(Corruption::Edits),
+        1 => vec(any::<u8>(), 0..3000).prop_map(Corruption::Bytes),
     ]
 }
--- a/crates/http/tests/fuzz/callers.rs
+++ b/crates/http/tests/fuzz/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' server.
+//! Fuzz tests of the server for callers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,64 +23,67 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-use crate::bytes::Spoil;
-use crate::bytes::spoil;
+use crate::bytes::Corruption;
+use crate::bytes::corruption;
 use crate::config;
 use crate::panics;
 use crate::runtime;
 
-/// A bound that the server holds its callers to.
-const PHASE_MAX: Duration = Duration::from_millis(60);
+/// The timeout for the headers and for the body of a request.
+const PHASE_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// No exchange comes near this unless it hangs.
-const HANGS: Duration = Duration::from_secs(20);
+/// An exchange that takes this long counts as hanging.
+const HANG_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// More than all answers of one connection may take.
-const ANSWERS_MAX: usize = 256 * 1024;
+/// The largest size of all answers on one connection, in bytes.
+const ANSWERS_BYTES_MAX: usize = 256 * 1024;
 
-/// The longest query or key, and the longest deadline, by docs/INTERFACE.md.
-const TEXT_MAX: usize = 4096;
+/// The longest query or key in bytes, as specified in docs/INTERFACE.md.
+const TEXT_BYTES_MAX: usize = 4096;
+
+/// The longest deadline, as specified in docs/INTERFACE.md.
 const DEADLINE_MAX: Duration = Duration::from_secs(600);
 
-/// What the interface and HTTP may answer when no lookup was refused.
-const STATUSES: &[&str] = &["100", "200", "400", "404", "413", "414", "431"];
+/// The statuses that the interface may answer with when no lookup is refused.
+const EXPECTED_STATUSES: &[&str] = &["100", "200", "400", "404", "413", "414", "431"];
 
-const GOOD: &str = "POST /v1/fronts/archive/lookups/quotes HTTP/1.1\r\nhost: x\r\n\
+/// A valid request.
+const VALID_REQUEST: &str = "POST /v1/fronts/archive/lookups/quotes HTTP/1.1\r\nhost: x\r\n\
     content-type: application/json\r\nidempotency-key: 1796256000-3f9a7c21\r\n\
     content-length: 74\r\n\r\n\
     {\"query\": \"brook trout\", \"key\": \"book-7\", \"deadline\": \"80ms\", \"floor\": 41}";
 
-/// A chunked request, and a second one behind it.
-const CHUNKED: &str = "POST /v1/fronts/archive/lookups/quotes HTTP/1.1\r\nhost: x\r\n\
+/// A chunked request, followed by a second one.
+const CHUNKED_REQUESTS: &str = "POST /v1/fronts/archive/lookups/quotes HTTP/1.1\r\nhost: x\r\n\
     transfer-encoding: chunked\r\n\r\n11\r\n{\"query\":\"trout\"}\r\n0\r\n\r\n\
     POST /v1/fronts/archive/lookups/quotes HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\
     content-length: 17\r\n\r\n{\"query\":\"trout\"}";
 
-/// Answers every lookup, and keeps those that the interface should not have let through.
+/// Answers every lookup, and records those that the interface should have rejected.
 #[derive(Default)]
-struct Strict {
+struct CheckingService {
     bad: Mutex<Vec<LookupRequest>>,
 }
 
-impl Strict {
+impl CheckingService {
     fn bad(&self) -> Vec<LookupRequest> {
         self.bad.lock().expect("not poisoned").clone()
     }
 }
 
-fn is_text(s: &str) -> bool {
-    (1..=TEXT_MAX).contains(&s.len()) && !s.chars().any(char::is_control)
+fn is_valid_text(s: &str) -> bool {
+    (1..=TEXT_BYTES_MAX).contains(&s.len()) && !s.chars().any(char::is_control)
 }
 
 fn is_allowed(req: &LookupRequest) -> bool {
     let in_time = |d: Duration| !d.is_zero() && d <= DEADLINE_MAX;
-    is_text(&req.query)
-        && req.key.as_deref().is_none_or(is_text)
+    is_valid_text(&req.query)
+        && req.key.as_deref().is_none_or(is_valid_text)
         && req.deadline.is_none_or(in_time)
 }
 
 #[async_trait]
-impl LookupService for Strict {
+impl LookupService for CheckingService {
     async fn lookup(&self, req: LookupRequest) -> LookupReply {
         if !is_allowed(&req) {
             self.bad.lock().expect("not poisoned").push(req);
@@ -107,47 +110,54 @@
     }
 }
 
-struct Running {
+/// A running server.
+struct RunningServer {
     addr: SocketAddr,
     state: Arc<ServerState>,
-    desk: Arc<Strict>,
+    service: Arc<CheckingService>,
     _stop: watch::Sender<bool>,
 }
 
-async fn start() -> Running {
+async fn start() -> RunningServer {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = listener.local_addr().expect("bound");
     let limits = Limits {
         idle_timeout: std::time::Duration::from_secs(60),
         head_bytes_max: 8192,
-        header_timeout: PHASE_MAX,
+        header_timeout: PHASE_TIMEOUT,
         connections_max: 32,
     };
-    let desk = Arc::new(Strict::default());
+    let service = Arc::new(CheckingService::default());
     let server = Server::new(listener, limits);
     let state = server.state();
     let (stop, stopped) = watch::channel(false);
-    let callers = CallerHandler::new(Arc::clone(&desk) as Arc<dyn LookupService>, 8192, PHASE_MAX);
+    let callers = CallerHandler::new(
+        Arc::clone(&service) as Arc<dyn LookupService>,
+        8192,
+        PHASE_TIMEOUT,
+    );
     tokio::spawn(server.run(Arc::new(callers), stopped));
-    Running {
+    RunningServer {
         addr,
         state,
-        desk,
+        service,
         _stop: stop,
     }
 }
 
-/// Sends bytes in two writes, and reads until the server closes or, if told so, ends its own half.
+/// Sends bytes in two writes, and reads until the server closes the connection or sends nothing more.
+///
+/// With `half_close`, shuts down its sending side first.
 async fn exchange(addr: SocketAddr, bytes: &[u8], half_close: bool) -> Vec<u8> {
     let mut tcp = TcpStream::connect(addr).await.expect("listening");
     let (first, second) = bytes.split_at(bytes.len() / 2);
-    // The server may close before it has read all.
+    // The server may close the connection before it has read everything.
     let _ = tcp.write_all(first).await;
     let _ = tcp.write_all(second).await;
     // A connection on which nothing was sent may be idle for a minute.
     let half_close = half_close || bytes.is_empty();
     if half_close {
-        // It may be closed already.
+        // The connection may be closed already.
         let _ = tcp.shutdown().await;
     }
     let mut buf = Vec::new();
@@ -155,24 +165,24 @@
     let read = async {
         while let Ok(n @ 1..) = tcp.read(&mut chunk).await {
             buf.extend_from_slice(&chunk[..n]);
-            // A kept connection is idle for a minute; nothing more comes of it.
-            if !half_close && ends_idle(&mut tcp).await {
+            // A keep-alive connection may be idle for a minute; nothing more is received on it.
+            if !half_close && is_idle(&mut tcp).await {
                 return;
             }
         }
     };
-    let ended = tokio::time::timeout(HANGS, read).await;
+    let ended = tokio::time::timeout(HANG_TIMEOUT, read).await;
     assert!(ended.is_ok(), "hangs: {}", bytes.escape_ascii());
     buf
 }
 
-/// Whether nothing comes for longer than a request may take.
-async fn ends_idle(tcp: &mut TcpStream) -> bool {
-    let more = tokio::time::timeout(4 * PHASE_MAX, tcp.readable());
+/// Returns whether nothing is received for longer than a request may take.
+async fn is_idle(tcp: &mut TcpStream) -> bool {
+    let more = tokio::time::timeout(4 * PHASE_TIMEOUT, tcp.readable());
     more.await.is_err()
 }
 
-/// The statuses of the answers on one connection.
+/// Returns the statuses of the answers on one connection.
 fn statuses(answers: &[u8]) -> Vec<String> {
     let text = String::from_utf8_lossy(answers);
     let heads = text.split("HTTP/1.").skip(1);
@@ -181,9 +191,10 @@
         .collect()
 }
 
-async fn assert_serves_on(s: &Running) {
-    let good = GOOD.replace("host: x\r\n", "host: x\r\nconnection: close\r\n");
-    let res = exchange(s.addr, good.as_bytes(), false).await;
+/// Asserts that a valid request is answered, and that all connections are closed then.
+async fn assert_keeps_serving(s: &RunningServer) {
+    let valid = VALID_REQUEST.replace("host: x\r\n", "host: x\r\nconnection: close\r\n");
+    let res = exchange(s.addr, valid.as_bytes(), false).await;
     assert!(
         res.starts_with(b"HTTP/1.1 200 OK\r\n"),
         "{}",
@@ -194,13 +205,13 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    let closed = tokio::time::timeout(HANGS, closed).await;
+    let closed = tokio::time::timeout(HANG_TIMEOUT, closed).await;
     assert!(closed.is_ok(), "{} connections open", s.state.open());
 }
 
-/// A batch of spoilt requests, sent at the same time.
-fn batch() -> impl Strategy<Value = Vec<(bool, bool, Spoil)>> {
-    vec((any::<bool>(), any::<bool>(), spoil()), 24)
+/// A batch of malformed requests, sent at the same time.
+fn batch() -> impl Strategy<Value = Vec<(bool, bool, Corruption)>> {
+    vec((any::<bool>(), any::<bool>(), corruption()), 24)
 }
 
 #[test]
@@ -211,28 +222,35 @@
     let run = runner.run(&batch(), |batch| {
         let sent: Vec<(Vec<u8>, bool)> = batch
             .iter()
-            .map(|(chunked, half, spoil)| {
-                let good = if *chunked { CHUNKED } else { GOOD };
-                (spoil.of(good.as_bytes()), *half)
+            .map(|(chunked, half, corruption)| {
+                let valid = if *chunked {
+                    CHUNKED_REQUESTS
+                } else {
+                    VALID_REQUEST
+                };
+                (corruption.apply_to(valid.as_bytes()), *half)
             })
             .collect();
         let exchanges = sent.iter().map(|(b, half)| exchange(s.addr, b, *half));
         let answers = rt.block_on(join_all(exchanges));
         for (answer, (bytes, _)) in answers.iter().zip(&sent) {
-            let (asked, got) = (bytes.escape_ascii(), answer.escape_ascii());
-            prop_assert!(answer.len() <= ANSWERS_MAX, "{} bytes", answer.len());
+            let (request, got) = (bytes.escape_ascii(), answer.escape_ascii());
+            prop_assert!(answer.len() <= ANSWERS_BYTES_MAX, "{} bytes", answer.len());
             prop_assert!(
                 answer.is_empty() || answer.starts_with(b"HTTP/1."),
-                "{asked}\n{got}"
+                "{request}\n{got}"
             );
             for status in statuses(answer) {
-                prop_assert!(STATUSES.contains(&&*status), "{status} to {asked}");
+                prop_assert!(
+                    EXPECTED_STATUSES.contains(&&*status),
+                    "{status} to {request}"
+                );
             }
         }
-        prop_assert_eq!(s.desk.bad(), Vec::new());
+        prop_assert_eq!(s.service.bad(), Vec::new());
         prop_assert_eq!(panics(), 0);
         Ok(())
     });
-    rt.block_on(assert_serves_on(&s));
+    rt.block_on(assert_keeps_serving(&s));
     run.unwrap_or_else(|e| panic!("{e}\n{runner}"));
 }
--- a/crates/http/tests/pool.rs
+++ b/crates/http/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Attempts end with one truthful reply each, and a server never sees more connections than shared.
+//! Tests that each attempt ends with one correct reply, and that connections to a server stay within the share.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,10 +27,10 @@
 
 const PART: &str = r#"{"hits":[{"doc":"d1","score":9,"text":"trout"}],"matched":1}"#;
 
-/// What the scripted server does with a search.
+/// How the fake server answers a search.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Script {
-    Whole,
+    Complete,
     OtherId,
     NoId,
     BadDigest,
@@ -40,11 +40,12 @@
     NoSnapshot,
     Error,
     Close,
-    /// Answers only once the attempt is cancelled.
+    /// Answers only when the attempt is cancelled.
     Hang,
 }
 
-struct Fake {
+/// A backend server that answers every search as scripted.
+struct FakeServer {
     addr: SocketAddr,
     open: AtomicU32,
     peak: AtomicU32,
@@ -53,7 +54,7 @@
     cancelled: Notify,
 }
 
-impl Fake {
+impl FakeServer {
     async fn start(script: Script) -> Arc<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let fake = Arc::new(Self {
@@ -96,7 +97,7 @@
 }
 
 async fn answer(
-    fake: Arc<Fake>,
+    fake: Arc<FakeServer>,
     script: Script,
     req: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Box<dyn std::error::Error + Send + Sync>> {
@@ -121,19 +122,19 @@
             .header("x-not-run", "1")
             .header("x-reason", reason)
     };
-    let whole = |id: &str, digest: &str, body: &'static str| {
+    let complete = |id: &str, digest: &str, body: &'static str| {
         ok().header("x-attempt", id)
             .header("x-digest", digest)
             .body(Full::from(body))
     };
     Ok(match script {
-        Script::Whole => whole(&id, &digest, PART)?,
-        Script::OtherId => whole("vm-9/1/1/0/0", &digest, PART)?,
+        Script::Complete => complete(&id, &digest, PART)?,
+        Script::OtherId => complete("vm-9/1/1/0/0", &digest, PART)?,
         Script::NoId => ok().header("x-digest", digest).body(Full::from(PART))?,
-        Script::BadDigest => whole(&id, "00000000000000aa", PART)?,
+        Script::BadDigest => complete(&id, "00000000000000aa", PART)?,
         Script::NoJson => {
             let digest = format!("{:016x}", xxhash_rust::xxh3::xxh3_64(b"{"));
-            whole(&id, &digest, "{")?
+            complete(&id, &digest, "{")?
         }
         Script::Shed => refusal("shed")
             .header("x-retry-after-ms", "70")
@@ -158,27 +159,29 @@
     })
 }
 
-struct Tell(mpsc::UnboundedSender<Event>);
+/// Sends the events to a channel.
+struct ChannelSink(mpsc::UnboundedSender<Event>);
 
-impl EventSink for Tell {
+impl EventSink for ChannelSink {
     fn on_event(&self, ev: Event) {
         let _ = self.0.send(ev);
     }
 }
 
-struct Bench {
-    fake: Arc<Fake>,
+/// A fake server and the pools under test.
+struct Fixture {
+    fake: Arc<FakeServer>,
     pool: ConnectionPools,
     rx: mpsc::UnboundedReceiver<Event>,
 }
 
-impl Bench {
+impl Fixture {
     async fn start(script: Script, share: u32) -> Self {
-        let fake = Fake::start(script).await;
+        let fake = FakeServer::start(script).await;
         let (tx, rx) = mpsc::unbounded_channel();
         let pool = ConnectionPools::new(
             ConnectionPoolsOptions::builder().build(),
-            Arc::new(Tell(tx)),
+            Arc::new(ChannelSink(tx)),
         );
         pool.set_shares(&[(fake.decl().name.clone(), Connections(share))]);
         Self { fake, pool, rx }
@@ -206,7 +209,7 @@
         id
     }
 
-    /// The next reply, and whether the point of no return was told before it.
+    /// Returns the next reply, and whether `Event::Sent` came before it.
     async fn reply(&mut self) -> (AttemptId, PartReply, bool) {
         let mut sent = Vec::new();
         loop {
@@ -219,7 +222,7 @@
     }
 }
 
-fn whole() -> PartReply {
+fn complete_reply() -> PartReply {
     let part = serde_json::from_str(PART).expect("a part");
     PartReply::Whole {
         snapshot: SnapshotId(3),
@@ -230,7 +233,7 @@
 }
 
 #[rstest]
-#[case(Script::Whole, whole())]
+#[case(Script::Complete, complete_reply())]
 #[case(Script::OtherId, PartReply::Garbled)]
 #[case(Script::NoId, PartReply::Garbled)]
 #[case(Script::BadDigest, PartReply::Garbled)]
@@ -242,25 +245,25 @@
 #[case(Script::Close, PartReply::Broken)]
 #[tokio::test]
 async fn a_reply_is_judged(#[case] script: Script, #[case] wanted: PartReply) {
-    let mut b = Bench::start(script, 2).await;
+    let mut b = Fixture::start(script, 2).await;
     let id = b.dispatch(0);
     assert_eq!(b.reply().await, (id, wanted, true));
 }
 
 #[tokio::test]
 async fn without_a_share_nothing_is_sent() {
-    let mut b = Bench::start(Script::Whole, 0).await;
+    let mut b = Fixture::start(Script::Complete, 0).await;
     let id = b.dispatch(0);
     b.pool.cancel(&id);
     assert_eq!(b.reply().await, (id, PartReply::NotSent, false));
     assert_eq!(b.fake.searches.load(Ordering::SeqCst), 0);
 }
 
-/// The loser of a hedge is cancelled. Closing its connection each time would cost the server's
-/// handshake again; with another connection idle, the cancel travels there and both live on.
+/// The slower attempt of a hedged request is cancelled. Closing its connection each time would cost the server another
+/// handshake; if another connection is idle, the cancel is sent on that one, and both stay open.
 #[tokio::test]
 async fn a_cancel_keeps_the_connection_when_another_is_idle() {
-    let mut b = Bench::start(Script::Hang, 2).await;
+    let mut b = Fixture::start(Script::Hang, 2).await;
     b.pool.open_at_least(&b.fake.decl(), Connections(2));
     while b.pool.state().opened < 2 {
         tokio::task::yield_now().await;
@@ -278,32 +281,32 @@
 
 #[tokio::test]
 async fn a_cancel_without_an_idle_connection_closes_the_attempts_own() {
-    let mut b = Bench::start(Script::Hang, 1).await;
+    let mut b = Fixture::start(Script::Hang, 1).await;
     let id = b.dispatch(0);
     b.fake.seen.notified().await;
     b.pool.cancel(&id);
     assert_eq!(b.reply().await, (id, PartReply::Cancelled, true));
 }
 
-/// A burst of attempts meets a share of two connections. A third connection would break the
-/// server's limit once every VM did the same.
+/// A burst of attempts is dispatched with a share of two connections. If every VM opened a third one, the server's
+/// connection limit would be exceeded.
 #[tokio::test]
 async fn a_server_never_sees_more_connections_than_shared() {
-    let mut b = Bench::start(Script::Whole, 2).await;
+    let mut b = Fixture::start(Script::Complete, 2).await;
     for attempt in 0..40 {
         b.dispatch(attempt);
     }
     for _ in 0..40 {
-        assert_eq!(b.reply().await.1, whole());
+        assert_eq!(b.reply().await.1, complete_reply());
     }
     assert_eq!(b.fake.peak.load(Ordering::SeqCst), 2);
 }
 
-/// A share is lowered while its connections are busy. The VM that takes it over must not be told
-/// before they are closed.
+/// A share is lowered while its connections are busy. The share may be given to another VM only after they are closed,
+/// so until then the pools report that they exceed it.
 #[tokio::test]
 async fn a_lowered_share_is_told_only_when_connections_are_closed() {
-    let mut b = Bench::start(Script::Hang, 2).await;
+    let mut b = Fixture::start(Script::Hang, 2).await;
     let first = b.dispatch(0);
     b.fake.seen.notified().await;
     let second = b.dispatch(1);
@@ -320,11 +323,11 @@
     b.reply().await;
 }
 
-/// A leaving process has closed its connections, and another VM may hold them by now. Shares told to
-/// the pool after that must not open them again: the server would see more than its limit.
+/// A leaving process has closed its connections, and another VM may use its share by now. Shares set after that must not
+/// open connections again: the server's connection limit would be exceeded.
 #[tokio::test]
 async fn a_closed_pool_opens_nothing_by_later_shares() {
-    let mut b = Bench::start(Script::Whole, 2).await;
+    let mut b = Fixture::start(Script::Complete, 2).await;
     b.pool.close();
     b.pool
         .set_shares(&[(b.fake.decl().name.clone(), Connections(2))]);
