--- a/crates/http/src/backend/connection_pool.rs
+++ b/crates/http/src/backend/connection_pool.rs
@@ -223,7 +223,7 @@
         None
     }
 
-    /// Returns a connection whose last reply was read completely.
+    /// Puts a connection back into the pool; its last reply must have been read completely.
     pub fn put_back(&self, mut conn: PooledConnection) {
         conn.idle_since = Instant::now();
         let mut s = self.state();
--- a/crates/http/src/backend/exchange.rs
+++ b/crates/http/src/backend/exchange.rs
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 ///
-/// [`ExchangeError`] tells apart whether the request may have been executed.
+/// [`ExchangeError`] shows whether the request may have been executed.
 pub async fn exchange(
     conn: &mut PooledConnection,
     req: Request<Full<Bytes>>,
--- a/crates/http/src/backend/part_reply.rs
+++ b/crates/http/src/backend/part_reply.rs
@@ -1,5 +1,7 @@
-//! Validates and parses the reply to an attempt: a part is accepted only if its id, snapshot, length and digest are
-//! right.
+//! Validates and parses the reply to an attempt.
+//!
+//! A part is accepted only if the reply echoes the attempt's id, names a snapshot and has the right digest; hyper checks
+//! the length.
 
 use std::str::FromStr;
 use std::sync::Arc;
@@ -26,7 +28,7 @@
 /// The largest number of snapshots read from `x-holds`.
 const HELD_SNAPSHOTS_MAX: usize = 16;
 
-/// Sends a request and parses the reply; returns it with whether the connection can be reused.
+/// Sends a request; returns the parsed reply, and whether the connection can be reused.
 pub(crate) async fn exchange_part(
     conn: &mut PooledConnection,
     req: Request<Full<Bytes>>,
@@ -41,7 +43,7 @@
     }
 }
 
-/// Parses a reply, and returns it with whether the connection can be reused.
+/// Parses a reply; also returns whether the connection can be reused.
 ///
 /// Rejects the reply to another request: an intermediary or a server that mixes up connections would otherwise return
 /// the results of one caller to another. Only the server that executed this attempt echoes its id.
--- a/crates/http/src/phase.rs
+++ b/crates/http/src/phase.rs
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Returns when the current phase times out; while the connection is busy, always a time to come.
+    /// Returns when the current phase times out; always in the future while the connection is busy.
     fn deadline(&self) -> Instant {
         let (phase, since) = self.read();
         match phase {
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -83,7 +83,7 @@
     /// Sends `connection: close` with every response from now on.
     ///
     /// Without the announcement, a graceful shutdown could close a keep-alive connection at the same time as the
-    /// client's next request arrives. With it, a client closes the connection and opens the next one at another VM
+    /// client's next request arrives. With it, a client closes the connection and opens the next one to another VM
     /// before the shutdown.
     pub fn announce_close(&self) {
         self.closing.store(true, Ordering::Relaxed);
--- a/crates/http/tests/callers.rs
+++ b/crates/http/tests/callers.rs
@@ -253,8 +253,8 @@
 }
 
 /// A caller keeps a connection open, and later sends half of the headers on it and nothing more. The header timeout must
-/// also apply on a connection that was idle before: if only the idle timeout of a minute applied, the connection would be
-/// occupied for that long.
+/// also apply if the server is waiting for the idle timeout when the first byte arrives. If it went on waiting for the
+/// idle timeout of a minute, the connection would be occupied for that long, and other callers would be kept out.
 #[tokio::test]
 async fn half_a_head_on_a_kept_connection_is_ended() {
     let s = start().await;
--- a/crates/http/tests/fuzz/bytes.rs
+++ b/crates/http/tests/fuzz/bytes.rs
@@ -91,7 +91,7 @@
 }
 
 impl Corruption {
-    /// Returns the bytes to send instead of the valid message `valid`.
+    /// Returns the bytes to send instead of `valid`, a valid message.
     pub fn apply_to(&self, valid: &[u8]) -> Vec<u8> {
         match self {
             Self::Bytes(b) => b.clone(),
--- a/crates/mesh/examples/cost.rs
+++ b/crates/mesh/examples/cost.rs
@@ -1,7 +1,7 @@
-//! Measures the cost field membership over real sockets: bytes, CPU time, threads and memory.
+//! Measures the cost of membership over real sockets: bytes, CPU time, threads and memory.
 //!
-//! All members run in one process, each with its own mesh on loopback: they share the threads field `nng`, and the memory
-//! per member is the process's divided by their number. A run takes 20 s field real time.
+//! All members run in one process, each with its own mesh on loopback: they share the threads of `nng`, and the memory
+//! per member is the process's divided by their number. A run takes 20 s of real time.
 //!
 //! ```text
 //! cargo run --release -p gs-mesh --example cost -- 9
@@ -31,9 +31,9 @@
 
 /// How long the members run before the measurement.
 const WARM_UP_TIME: Duration = Duration::from_secs(5);
-/// The duration field the measurement.
+/// The duration of the measurement.
 const MEASURED_TIME: Duration = Duration::from_secs(15);
-/// The delay between two steps field all members.
+/// The delay between two steps of all members.
 const STEP_DELAY: Duration = Duration::from_millis(5);
 
 struct Member {
@@ -146,7 +146,7 @@
     }
 }
 
-/// Returns the CPU time field this process in seconds, user and system.
+/// Returns the CPU time of this process in seconds, user and system.
 fn cpu_seconds() -> f64 {
     let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let ticks = |n| stat.split(' ').nth(n).and_then(|s| s.parse::<f64>().ok());
--- a/crates/mesh/src/counters.rs
+++ b/crates/mesh/src/counters.rs
@@ -50,7 +50,7 @@
     received_bytes,
     /// Received messages dropped because the inbox of the program was full.
     inbox_full,
-    /// Received bytes that are no frame, or a truncated one.
+    /// Messages that do not have the format of a frame, or are too short for one.
     garbled,
     /// Frames of another protocol version.
     other_version,
--- a/crates/mesh/src/endpoint.rs
+++ b/crates/mesh/src/endpoint.rs
@@ -95,7 +95,7 @@
         buf: &[u8],
         tx: &mpsc::Sender<Received<M>>,
     ) -> Result<(), RejectReason> {
-        let (frame, body) = self.codec.read(buf)?;
+        let (frame, body) = self.codec.decode(buf)?;
         if frame.to != self.cfg.vm {
             return Err(RejectReason::Misdirected);
         }
@@ -187,7 +187,7 @@
         };
         let buf = self
             .codec
-            .write(&frame, body)
+            .encode(&frame, body)
             .map_err(|_| SendError::Failed)?;
         let res = match buf.len() as u64 > self.cfg.message_max.0 {
             true => Err(SendError::TooLarge),
--- a/crates/mesh/src/frame.rs
+++ b/crates/mesh/src/frame.rs
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum RejectReason {
-    /// The bytes are no frame, or a truncated one.
+    /// The bytes do not have the format of a frame, or are too short for one.
     Garbled,
     /// The protocol version is not supported.
     OtherVersion,
@@ -100,7 +100,7 @@
     /// # Errors
     ///
     /// [`ErrorKind::BadInput`] if the header cannot be encoded.
-    pub fn write(&self, f: &Frame, body: &[u8]) -> Result<Vec<u8>> {
+    pub fn encode(&self, f: &Frame, body: &[u8]) -> Result<Vec<u8>> {
         let mut buf =
             Vec::with_capacity(PREFIX_BYTES + HEADER_BYTES_ESTIMATE + body.len() + TAG_BYTES);
         buf.extend_from_slice(&MAGIC);
@@ -120,7 +120,7 @@
     /// # Errors
     ///
     /// [`RejectReason::Garbled`], [`RejectReason::OtherVersion`] or [`RejectReason::BadSecret`].
-    pub fn read<'a>(&self, buf: &'a [u8]) -> Result<(Frame, &'a [u8]), RejectReason> {
+    pub fn decode<'a>(&self, buf: &'a [u8]) -> Result<(Frame, &'a [u8]), RejectReason> {
         let rest = buf.strip_prefix(&MAGIC).ok_or(RejectReason::Garbled)?;
         let (version, rest) = rest.split_first_chunk::<2>().ok_or(RejectReason::Garbled)?;
         if u16::from_le_bytes(*version) != PROTOCOL_VERSION {
--- a/crates/mesh/src/nng_mesh.rs
+++ b/crates/mesh/src/nng_mesh.rs
@@ -86,14 +86,14 @@
                 .with_hint("check the mesh address and that no other process uses it")
         })?;
         let endpoint = Arc::new(Endpoint::new(cfg, listener_addr));
-        let aio = receive(&endpoint, &pull, tx)
+        let aio = start_receiving(&endpoint, &pull, tx)
             .map_err(|e| Error::new(ErrorKind::Io, e.to_string()).at("receive from VMs"))?;
         let mesh = Self {
             endpoint,
             listener_addr,
             pull,
             aio: Some(aio),
-            reaper: reaper()?,
+            reaper: start_reaper()?,
             message: PhantomData,
         };
         Ok((mesh, rx))
@@ -150,7 +150,7 @@
 ///
 /// One receive operation is in progress at any time. It ends in a callback on a thread of `nng`, which starts the next
 /// one. The callback never waits, and holds no handle whose drop would wait for the callback.
-fn receive<M: DeserializeOwned + Send + 'static>(
+fn start_receiving<M: DeserializeOwned + Send + 'static>(
     endpoint: &Arc<Endpoint>,
     pull: &Socket,
     tx: mpsc::Sender<Received<M>>,
@@ -174,7 +174,7 @@
 ///
 /// Closing either waits for threads of `nng`: on a tokio worker this would block unrelated tasks until the peer's
 /// connection is closed, and in a callback it would deadlock.
-fn reaper() -> Result<std_mpsc::Sender<Discarded>> {
+fn start_reaper() -> Result<std_mpsc::Sender<Discarded>> {
     let (tx, rx) = std_mpsc::channel::<Discarded>();
     thread::Builder::new()
         .name("mesh-reaper".to_owned())
--- a/crates/mesh/src/replay.rs
+++ b/crates/mesh/src/replay.rs
@@ -25,7 +25,7 @@
     incarnation: Incarnation,
     newest: u64,
     /// Bit `i` is set if the frame `newest - i` was received.
-    seen: u64,
+    received: u64,
 }
 
 impl ReplayGuard {
@@ -39,7 +39,7 @@
         let fresh = SenderWindow {
             incarnation: f.incarnation,
             newest: f.seq,
-            seen: 1,
+            received: 1,
         };
         let Some(window) = self.senders.get_mut(&f.from) else {
             if self.senders.len() >= SENDERS_MAX {
@@ -63,8 +63,8 @@
     fn admit(&mut self, seq: u64) -> Result<(), RejectReason> {
         if seq > self.newest {
             let shift = seq - self.newest;
-            self.seen = if shift < WINDOW_FRAMES {
-                self.seen << shift | 1
+            self.received = if shift < WINDOW_FRAMES {
+                self.received << shift | 1
             } else {
                 1
             };
@@ -72,10 +72,10 @@
             return Ok(());
         }
         let age = self.newest - seq;
-        if age >= WINDOW_FRAMES || self.seen & (1 << age) != 0 {
+        if age >= WINDOW_FRAMES || self.received & (1 << age) != 0 {
             return Err(RejectReason::Replayed);
         }
-        self.seen |= 1 << age;
+        self.received |= 1 << age;
         Ok(())
     }
 }
--- a/crates/mesh/tests/mesh/frame.rs
+++ b/crates/mesh/tests/mesh/frame.rs
@@ -26,30 +26,32 @@
     }
 }
 
-fn written() -> Vec<u8> {
+fn encoded_frame() -> Vec<u8> {
     let codec = codec("sixteen bytes or more");
-    codec.write(&frame(1), b"hello").expect("encodes")
+    codec.encode(&frame(1), b"hello").expect("encodes")
 }
 
 #[test]
 fn a_frame_is_read_as_written() {
-    let buf = written();
-    let read = codec("sixteen bytes or more").read(&buf);
-    assert_eq!(read, Ok((frame(1), &b"hello"[..])));
+    let buf = encoded_frame();
+    let decoded = codec("sixteen bytes or more").decode(&buf);
+    assert_eq!(decoded, Ok((frame(1), &b"hello"[..])));
 }
 
 #[test]
 fn a_wrong_secret_is_refused() {
-    let read = codec("another sixteen bytes").read(&written()).map(|_| ());
-    assert_eq!(read, Err(RejectReason::BadSecret));
+    let decoded = codec("another sixteen bytes")
+        .decode(&encoded_frame())
+        .map(|_| ());
+    assert_eq!(decoded, Err(RejectReason::BadSecret));
 }
 
 #[test]
 fn another_version_is_refused_as_such() {
-    let mut buf = written();
+    let mut buf = encoded_frame();
     buf[4] = 2;
-    let read = codec("sixteen bytes or more").read(&buf).map(|_| ());
-    assert_eq!(read, Err(RejectReason::OtherVersion));
+    let decoded = codec("sixteen bytes or more").decode(&buf).map(|_| ());
+    assert_eq!(decoded, Err(RejectReason::OtherVersion));
 }
 
 #[test]
@@ -79,27 +81,27 @@
 
     #[test]
     fn any_bytes_are_refused(bytes: Vec<u8>) {
-        prop_assert!(codec("sixteen bytes or more").read(&bytes).is_err());
+        prop_assert!(codec("sixteen bytes or more").decode(&bytes).is_err());
     }
 
     #[test]
     fn any_bytes_after_the_magic_are_refused(bytes: Vec<u8>) {
         let buf = [&b"GSMH\x01\x00"[..], &bytes].concat();
-        prop_assert!(codec("sixteen bytes or more").read(&buf).is_err());
+        prop_assert!(codec("sixteen bytes or more").decode(&buf).is_err());
     }
 
     #[test]
     fn a_flipped_bit_is_refused(at: prop::sample::Index, bit in 0..8) {
-        let mut buf = written();
+        let mut buf = encoded_frame();
         let at = at.index(buf.len());
         buf[at] ^= 1_u8 << bit;
-        prop_assert!(codec("sixteen bytes or more").read(&buf).is_err());
+        prop_assert!(codec("sixteen bytes or more").decode(&buf).is_err());
     }
 
     #[test]
     fn a_cut_frame_is_refused(len: prop::sample::Index) {
-        let buf = written();
+        let buf = encoded_frame();
         let buf = &buf[..len.index(buf.len())];
-        prop_assert!(codec("sixteen bytes or more").read(buf).is_err());
+        prop_assert!(codec("sixteen bytes or more").decode(buf).is_err());
     }
 }
