--- a/crates/http/src/backend/mod.rs
+++ b/crates/http/src/backend/mod.rs
@@ -1,21 +1,21 @@
-//! Connections to backend servers: one pool a process, one lane a server, one task an attempt.
+//! Client for backend servers: a connection pool per server, and a task per attempt.
 
 mod attempt;
-mod check;
 mod connect;
+mod connection_pool;
+mod connection_pools;
 mod exchange;
-mod lane;
-mod pool;
+mod part_reply;
 mod status;
 
+pub use connection_pool::ConnectOptions;
+pub use connection_pool::ConnectionPool;
+pub use connection_pool::ConnectionSink;
+pub use connection_pool::PooledConnection;
+pub use connection_pools::ConnectionPools;
+pub use connection_pools::ConnectionPoolsOptions;
+pub use connection_pools::ConnectionPoolsState;
+pub use connection_pools::EventSink;
+pub use exchange::CompleteReply;
 pub use exchange::ExchangeError;
-pub use exchange::Whole;
 pub use exchange::exchange;
-pub use lane::ConnectionSink;
-pub use lane::Lane;
-pub use lane::LaneOptions;
-pub use lane::Lent;
-pub use pool::Pool;
-pub use pool::PoolOptions;
-pub use pool::PoolState;
-pub use pool::Sink;
--- a/crates/mesh/tests/mesh/frame.rs
+++ b/crates/mesh/tests/mesh/frame.rs
@@ -1,9 +1,9 @@
-//! Frames: what is accepted and what is refused.
+//! Tests that valid frames are decoded and all others rejected.
 
 use gs_mesh::Codec;
 use gs_mesh::Frame;
-use gs_mesh::Kind;
-use gs_mesh::Refused;
+use gs_mesh::FrameKind;
+use gs_mesh::RejectReason;
 use gs_mesh::Secret;
 use gs_types::prelude::*;
 use proptest::prelude::*;
@@ -16,7 +16,7 @@
 
 pub fn frame(seq: u64) -> Frame {
     Frame {
-        kind: Kind::Message,
+        kind: FrameKind::Message,
         from: "entry-1".parse().expect("a name"),
         incarnation: Incarnation(7),
         addr: "127.0.0.1:7100".parse().expect("an address"),
@@ -26,30 +26,32 @@
     }
 }
 
-fn written() -> Vec<u8> {
+fn encoded_frame() -> Vec<u8> {
     let codec = codec("sixteen bytes or more");
-    codec.write(&frame(1), b"hello").expect("encodes")
+    codec.encode(&frame(1), b"hello").expect("encodes")
 }
 
 #[test]
 fn a_frame_is_read_as_written() {
-    let buf = written();
-    let read = codec("sixteen bytes or more").read(&buf);
-    assert_eq!(read, Ok((frame(1), &b"hello"[..])));
+    let buf = encoded_frame();
+    let decoded = codec("sixteen bytes or more").decode(&buf);
+    assert_eq!(decoded, Ok((frame(1), &b"hello"[..])));
 }
 
 #[test]
 fn a_wrong_secret_is_refused() {
-    let read = codec("another sixteen bytes").read(&written()).map(|_| ());
-    assert_eq!(read, Err(Refused::BadSecret));
+    let decoded = codec("another sixteen bytes")
+        .decode(&encoded_frame())
+        .map(|_| ());
+    assert_eq!(decoded, Err(RejectReason::BadSecret));
 }
 
 #[test]
 fn another_version_is_refused_as_such() {
-    let mut buf = written();
+    let mut buf = encoded_frame();
     buf[4] = 2;
-    let read = codec("sixteen bytes or more").read(&buf).map(|_| ());
-    assert_eq!(read, Err(Refused::OtherVersion));
+    let decoded = codec("sixteen bytes or more").decode(&buf).map(|_| ());
+    assert_eq!(decoded, Err(RejectReason::OtherVersion));
 }
 
 #[test]
@@ -65,9 +67,9 @@
 }
 
 fn config() -> Config {
-    let asked = std::env::var("GS_FUZZ_CASES").ok();
+    let cases = std::env::var("GS_FUZZ_CASES").ok();
     Config {
-        cases: asked.and_then(|s| s.parse().ok()).unwrap_or(512),
+        cases: cases.and_then(|s| s.parse().ok()).unwrap_or(512),
         rng_seed: RngSeed::Fixed(20_261_203),
         failure_persistence: None,
         ..Config::default()
@@ -79,27 +81,27 @@
 
     #[test]
     fn any_bytes_are_refused(bytes: Vec<u8>) {
-        prop_assert!(codec("sixteen bytes or more").read(&bytes).is_err());
+        prop_assert!(codec("sixteen bytes or more").decode(&bytes).is_err());
     }
 
     #[test]
     fn any_bytes_after_the_magic_are_refused(bytes: Vec<u8>) {
         let buf = [&b"GSMH\x01\x00"[..], &bytes].concat();
-        prop_assert!(codec("sixteen bytes or more").read(&buf).is_err());
+        prop_assert!(codec("sixteen bytes or more").decode(&buf).is_err());
     }
 
     #[test]
     fn a_flipped_bit_is_refused(at: prop::sample::Index, bit in 0..8) {
-        let mut buf = written();
+        let mut buf = encoded_frame();
         let at = at.index(buf.len());
         buf[at] ^= 1_u8 << bit;
-        prop_assert!(codec("sixteen bytes or more").read(&buf).is_err());
+        prop_assert!(codec("sixteen bytes or more").decode(&buf).is_err());
     }
 
     #[test]
     fn a_cut_frame_is_refused(len: prop::sample::Index) {
-        let buf = written();
+        let buf = encoded_frame();
         let buf = &buf[..len.index(buf.len())];
-        prop_assert!(codec("sixteen bytes or more").read(buf).is_err());
+        prop_assert!(codec("sixteen bytes or more").decode(buf).is_err());
     }
 }
