--- a/crates/actor/src/driver.rs
+++ b/crates/actor/src/machine_actor.rs
@@ -19,7 +19,7 @@
 
 /// The time of one event.
 #[derive(Clone, Copy)]
-pub struct Times<'a> {
+pub struct EventTime<'a> {
     /// The monotonic time.
     pub now: Instant,
     /// Tells the time of day to those that need it.
@@ -43,13 +43,13 @@
     type Action: Send + 'static;
 
     /// Takes one event in and appends what has to be done to `out`.
-    fn on(&mut self, at: Times<'_>, ev: Self::Event, out: &mut Vec<Self::Action>);
+    fn on(&mut self, at: EventTime<'_>, ev: Self::Event, out: &mut Vec<Self::Action>);
 
     /// The event that says that a timer is due.
-    fn tick() -> Self::Event;
+    fn tick_event() -> Self::Event;
 
     /// The event that says that everything that had come by now was told; `None` if that is of no use.
-    fn caught_up() -> Option<Self::Event> {
+    fn caught_up_event() -> Option<Self::Event> {
         None
     }
 }
@@ -57,7 +57,7 @@
 /// Carries out a decision's actions.
 pub trait Shell<M: Machine<Self>>: Sized + Send + 'static {
     /// Sees an event just before the decision does.
-    fn before(&mut self, now: Instant, ev: &M::Event) {
+    fn before_event(&mut self, now: Instant, ev: &M::Event) {
         let _ = (now, ev);
     }
 
@@ -66,7 +66,7 @@
 }
 
 /// The actor around one decision.
-pub struct Driver<M: Machine<S>, S> {
+pub struct MachineActor<M: Machine<S>, S> {
     machine: Shared<M>,
     shell: S,
     clock: Arc<dyn Clock>,
@@ -83,24 +83,24 @@
 struct Due;
 
 /// An actor's mailbox, made before the actor, so that actors can feed each other.
-pub struct Slot<M: Machine<S>, S> {
-    addr: Address<Driver<M, S>>,
-    mailbox: Mailbox<Driver<M, S>>,
+pub struct UnstartedActor<M: Machine<S>, S> {
+    addr: Address<MachineActor<M, S>>,
+    mailbox: Mailbox<MachineActor<M, S>>,
     feed: Feed<M::Event>,
 }
 
-impl<M: Machine<S>, S: Shell<M>> Default for Slot<M, S> {
+impl<M: Machine<S>, S: Shell<M>> Default for UnstartedActor<M, S> {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl<M: Machine<S>, S: Shell<M>> Slot<M, S> {
+impl<M: Machine<S>, S: Shell<M>> UnstartedActor<M, S> {
     /// Makes the mailbox.
     #[must_use]
     pub fn new() -> Self {
         let (addr, mailbox) = Mailbox::unbounded();
-        let to: Address<Driver<M, S>> = addr.clone();
+        let to: Address<MachineActor<M, S>> = addr.clone();
         let feed = Feed::new(Box::new(move || {
             drop(to.send(Ready).detach().now_or_never())
         }));
@@ -120,7 +120,7 @@
     pub fn start(self, machine: Shared<M>, shell: S, clock: Arc<dyn Clock>) {
         let to = self.addr;
         let timer = Timer::start(move || drop(to.send(Due).detach().now_or_never()));
-        let driver = Driver {
+        let driver = MachineActor {
             machine,
             shell,
             clock,
@@ -133,13 +133,13 @@
     }
 }
 
-impl<M: Machine<S>, S: Shell<M>> Driver<M, S> {
+impl<M: Machine<S>, S: Shell<M>> MachineActor<M, S> {
     fn step(&mut self, ev: M::Event) {
-        let at = Times {
+        let at = EventTime {
             now: self.clock.now(),
             clock: self.clock.as_ref(),
         };
-        self.shell.before(at.now, &ev);
+        self.shell.before_event(at.now, &ev);
         lock(&self.machine).on(at, ev, &mut self.actions);
         for a in self.actions.drain(..) {
             if let Some(after) = self.shell.perform(a, &self.feed) {
@@ -149,7 +149,7 @@
     }
 }
 
-impl<M: Machine<S>, S: Shell<M>> Driver<M, S> {
+impl<M: Machine<S>, S: Shell<M>> MachineActor<M, S> {
     /// Hands over everything that is queued.
     fn catch_up(&mut self) {
         let mut batch = std::mem::take(&mut self.batch);
@@ -158,19 +158,19 @@
             self.step(ev);
         }
         self.batch = batch;
-        if let Some(ev) = <M as Machine<S>>::caught_up() {
+        if let Some(ev) = <M as Machine<S>>::caught_up_event() {
             self.step(ev);
         }
     }
 }
 
-impl<M: Machine<S>, S: Shell<M>> Actor for Driver<M, S> {
+impl<M: Machine<S>, S: Shell<M>> Actor for MachineActor<M, S> {
     type Stop = ();
 
     async fn stopped(self) {}
 }
 
-impl<M: Machine<S>, S: Shell<M>> Handler<Ready> for Driver<M, S> {
+impl<M: Machine<S>, S: Shell<M>> Handler<Ready> for MachineActor<M, S> {
     type Return = ();
 
     async fn handle(&mut self, _: Ready, _: &mut Context<Self>) {
@@ -178,7 +178,7 @@
     }
 }
 
-impl<M: Machine<S>, S: Shell<M>> Handler<Due> for Driver<M, S> {
+impl<M: Machine<S>, S: Shell<M>> Handler<Due> for MachineActor<M, S> {
     type Return = ();
 
     async fn handle(&mut self, _: Due, _: &mut Context<Self>) {
@@ -186,6 +186,6 @@
         // After a stand-still of the process a timer is due together with the answers that came meanwhile, which a
         // page that leaves at its objective would lack.
         self.catch_up();
-        self.step(<M as Machine<S>>::tick());
+        self.step(<M as Machine<S>>::tick_event());
     }
 }
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use gs_scrape::Names;
-use gs_scrape::Scrape;
+use gs_scrape::MetricsExporter;
+use gs_scrape::SeriesNames;
 use gs_types::prelude::*;
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::Histogram;
@@ -14,14 +14,14 @@
 ];
 
 /// The names of the series of totals and states.
-const NAMES: Names = Names {
+const NAMES: SeriesNames = SeriesNames {
     totals: "gentiansill_relay_events",
     states: "gentiansill_relay_state",
 };
 
 /// The instruments of one process.
 pub(crate) struct Metrics {
-    scrape: Scrape,
+    scrape: MetricsExporter,
     latency: Histogram<f64>,
 }
 
@@ -32,7 +32,7 @@
     ///
     /// [`ErrorKind::Io`] if the exporter cannot be registered.
     pub(crate) fn new(vm: &VmId, data_centre: &DataCentre) -> Result<Self> {
-        let scrape = Scrape::new(vm, data_centre, NAMES)?;
+        let scrape = MetricsExporter::new(vm, data_centre, NAMES)?;
         let latency = scrape
             .meter()
             .f64_histogram("gentiansill_request_latency")
--- a/crates/edge/src/process.rs
+++ b/crates/edge/src/process.rs
@@ -5,7 +5,7 @@
 
 use gs_actor::Feed;
 use gs_actor::Shared;
-use gs_actor::Slot;
+use gs_actor::UnstartedActor;
 use gs_clock::Clock;
 use gs_http::LaneOptions;
 use gs_http::Server;
@@ -68,7 +68,7 @@
     ) -> Result<Self> {
         let vm = &settings.vm;
         let metrics = Arc::new(Metrics::new(&vm.name, &vm.data_centre)?);
-        let slot: Slot<Relay, RelayShell> = Slot::new();
+        let slot: UnstartedActor<Relay, RelayShell> = UnstartedActor::new();
         let feed = slot.feed();
         let opts = LaneOptions {
             source: Some(settings.listen.callers.ip()),
--- a/crates/edge/src/shell.rs
+++ b/crates/edge/src/shell.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use gs_actor::EventTime;
 use gs_actor::Feed;
 use gs_actor::Machine;
 use gs_actor::Shell;
-use gs_actor::Times;
 use gs_relay::Action;
 use gs_relay::Event;
 use gs_relay::Relay;
@@ -20,15 +20,15 @@
     type Event = Event;
     type Action = Action;
 
-    fn on(&mut self, at: Times<'_>, ev: Event, out: &mut Vec<Action>) {
+    fn on(&mut self, at: EventTime<'_>, ev: Event, out: &mut Vec<Action>) {
         Relay::on(self, at.now, ev, out);
     }
 
-    fn tick() -> Event {
+    fn tick_event() -> Event {
         Event::Tick
     }
 
-    fn caught_up() -> Option<Event> {
+    fn caught_up_event() -> Option<Event> {
         Some(Event::CaughtUp)
     }
 }
--- a/crates/node/src/book_shell.rs
+++ b/crates/node/src/book_shell.rs
@@ -21,21 +21,21 @@
 use crate::feeds::Feeds;
 use crate::message::Message;
 use crate::spread::Spread;
+use gs_actor::EventTime;
 use gs_actor::Feed;
 use gs_actor::Machine;
 use gs_actor::Shell;
-use gs_actor::Times;
 use gs_actor::lock;
 
 impl Machine<BookShell> for ConfigManager {
     type Event = Event;
     type Action = Action;
 
-    fn on(&mut self, at: Times<'_>, ev: Event, out: &mut Vec<Action>) {
+    fn on(&mut self, at: EventTime<'_>, ev: Event, out: &mut Vec<Action>) {
         ConfigManager::on(self, at.now, ev, out);
     }
 
-    fn tick() -> Event {
+    fn tick_event() -> Event {
         Event::Tick
     }
 }
--- a/crates/node/src/engine_shell.rs
+++ b/crates/node/src/engine_shell.rs
@@ -15,20 +15,20 @@
 use crate::feeds::Feeds;
 use crate::recording::Recording;
 use crate::spread::Spread;
+use gs_actor::EventTime;
 use gs_actor::Feed;
 use gs_actor::Machine;
 use gs_actor::Shell;
-use gs_actor::Times;
 
 impl Machine<EngineShell> for Engine {
     type Event = Event;
     type Action = Action;
 
-    fn on(&mut self, at: Times<'_>, ev: Event, out: &mut Vec<Action>) {
+    fn on(&mut self, at: EventTime<'_>, ev: Event, out: &mut Vec<Action>) {
         Engine::on(self, at.now, ev, out);
     }
 
-    fn tick() -> Event {
+    fn tick_event() -> Event {
         Event::Tick
     }
 }
@@ -53,7 +53,7 @@
 }
 
 impl Shell<Engine> for EngineShell {
-    fn before(&mut self, now: Instant, ev: &Event) {
+    fn before_event(&mut self, now: Instant, ev: &Event) {
         self.recording.event(now, ev);
     }
 
--- a/crates/node/src/member_shell.rs
+++ b/crates/node/src/member_shell.rs
@@ -19,10 +19,10 @@
 use crate::feeds::Feeds;
 use crate::message::Message;
 use crate::spread::Spread;
+use gs_actor::EventTime;
 use gs_actor::Feed;
 use gs_actor::Machine;
 use gs_actor::Shell;
-use gs_actor::Times;
 
 /// How often it is looked whether the pool's connections are within lowered shares.
 const LOWER_PAUSE: Duration = Duration::from_millis(5);
@@ -31,11 +31,11 @@
     type Event = Event;
     type Action = Action;
 
-    fn on(&mut self, at: Times<'_>, ev: Event, out: &mut Vec<Action>) {
+    fn on(&mut self, at: EventTime<'_>, ev: Event, out: &mut Vec<Action>) {
         Membership::on(self, at.now, ev, out);
     }
 
-    fn tick() -> Event {
+    fn tick_event() -> Event {
         Event::Tick
     }
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use gs_actor::lock;
-use gs_scrape::Names;
-use gs_scrape::Scrape;
+use gs_scrape::MetricsExporter;
+use gs_scrape::SeriesNames;
 use gs_types::prelude::*;
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::Counter;
@@ -22,14 +22,14 @@
 const UNDECLARED: &str = "undeclared";
 
 /// The series of totals and states.
-const NAMES: Names = Names {
+const NAMES: SeriesNames = SeriesNames {
     totals: "gentiansill_events",
     states: "gentiansill_state",
 };
 
 /// The instruments of one process.
 pub(crate) struct Metrics {
-    scrape: Scrape,
+    scrape: MetricsExporter,
     latency: Histogram<f64>,
     outcomes: Counter<u64>,
     shards: Counter<u64>,
@@ -42,7 +42,7 @@
     ///
     /// [`ErrorKind::Io`] if the exporter cannot be registered.
     pub(crate) fn new(vm: &Vm<'_>) -> Result<Self> {
-        let scrape = Scrape::new(vm.name, vm.data_centre, NAMES)?;
+        let scrape = MetricsExporter::new(vm.name, vm.data_centre, NAMES)?;
         let meter = scrape.meter();
         Ok(Self {
             latency: latency(&meter),
--- a/crates/node/src/once_shell.rs
+++ b/crates/node/src/once_shell.rs
@@ -13,20 +13,20 @@
 use crate::feeds::Feeds;
 use crate::message::Message;
 use crate::spread::Spread;
+use gs_actor::EventTime;
 use gs_actor::Feed;
 use gs_actor::Machine;
 use gs_actor::Shell;
-use gs_actor::Times;
 
 impl Machine<OnceShell> for Once {
     type Event = Event;
     type Action = Action;
 
-    fn on(&mut self, at: Times<'_>, ev: Event, out: &mut Vec<Action>) {
+    fn on(&mut self, at: EventTime<'_>, ev: Event, out: &mut Vec<Action>) {
         Once::on(self, at.now, unix_seconds(at.clock), ev, out);
     }
 
-    fn tick() -> Event {
+    fn tick_event() -> Event {
         Event::Tick
     }
 }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -47,7 +47,7 @@
 use crate::spread::Spread;
 use crate::watch::Follower;
 use gs_actor::Shared;
-use gs_actor::Slot;
+use gs_actor::UnstartedActor;
 
 /// The addresses that a process listens on, bound before anything else starts.
 pub(crate) struct Listeners {
@@ -94,11 +94,11 @@
 }
 
 /// The decisions' mailboxes, before their actors start.
-struct Slots {
-    engine: Slot<Engine, EngineShell>,
-    book: Slot<ConfigManager, BookShell>,
-    member: Slot<Membership, MemberShell>,
-    once: Slot<Once, OnceShell>,
+struct UnstartedActors {
+    engine: UnstartedActor<Engine, EngineShell>,
+    book: UnstartedActor<ConfigManager, BookShell>,
+    member: UnstartedActor<Membership, MemberShell>,
+    once: UnstartedActor<Once, OnceShell>,
 }
 
 impl Process {
@@ -108,13 +108,13 @@
     ///
     /// [`ErrorKind::Io`] if the mesh's address is not to be had or the recording cannot be written.
     pub(crate) fn start(start: Start) -> Result<(Self, Inbox)> {
-        let slots = Slots {
-            engine: Slot::new(),
-            book: Slot::new(),
-            member: Slot::new(),
-            once: Slot::new(),
+        let actors = UnstartedActors {
+            engine: UnstartedActor::new(),
+            book: UnstartedActor::new(),
+            member: UnstartedActor::new(),
+            once: UnstartedActor::new(),
         };
-        let feeds = slots.feeds();
+        let feeds = actors.feeds();
         let board = Arc::new(Board::default());
         let (mesh, inbox) = start.mesh()?;
         let sink = EngineSink(feeds.engine.clone());
@@ -137,7 +137,7 @@
             board,
             mesh,
         };
-        this.run(slots);
+        this.run(actors);
         Ok((this, inbox))
     }
 
@@ -178,19 +178,19 @@
         self.recording.finish();
     }
 
-    fn run(&self, slots: Slots) {
+    fn run(&self, actors: UnstartedActors) {
         let clock = || Arc::clone(&self.start.clock);
         let m = &self.machines;
-        slots
+        actors
             .engine
             .start(Arc::clone(&m.engine), self.engine_shell(), clock());
-        slots
+        actors
             .book
             .start(Arc::clone(&m.book), self.book_shell(), clock());
-        slots
+        actors
             .member
             .start(Arc::clone(&m.member), self.member_shell(), clock());
-        slots
+        actors
             .once
             .start(Arc::clone(&m.once), self.once_shell(), clock());
         self.feeds.book.push(gs_conf::Event::Start);
@@ -320,7 +320,7 @@
     }
 }
 
-impl Slots {
+impl UnstartedActors {
     fn feeds(&self) -> Feeds {
         Feeds {
             engine: self.engine.feed(),
--- a/crates/scrape/src/scrape.rs
+++ b/crates/scrape/src/exporter.rs
@@ -16,13 +16,13 @@
 use prometheus::Registry;
 use prometheus::TextEncoder;
 
-use crate::names::Names;
+use crate::series_names::SeriesNames;
 
 /// The name of the program in each scrape.
 const PROGRAM: &str = "gentiansill";
 
 /// The instruments of one process. No label follows what callers send, so that their number is bounded.
-pub struct Scrape {
+pub struct MetricsExporter {
     registry: Registry,
     provider: SdkMeterProvider,
     totals: Counter<u64>,
@@ -31,13 +31,13 @@
     seen: Mutex<HashMap<&'static str, u64>>,
 }
 
-impl Scrape {
+impl MetricsExporter {
     /// Sets the registry of a VM's process up.
     ///
     /// # Errors
     ///
     /// [`ErrorKind::Io`] if the exporter cannot be registered.
-    pub fn new(vm: &VmId, data_centre: &DataCentre, names: Names) -> Result<Self> {
+    pub fn new(vm: &VmId, data_centre: &DataCentre, names: SeriesNames) -> Result<Self> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
--- a/crates/scrape/src/lib.rs
+++ b/crates/scrape/src/lib.rs
@@ -1,10 +1,10 @@
 //! Metrics of one process by opentelemetry, in the usual scrape format.
 //!
-//! Both kinds of process count in their decisions, without I/O. At a scrape [`Scrape::text`] carries these
-//! totals and present states over, beside the instruments that a process makes of [`Scrape::meter`].
+//! Both kinds of process count in their decisions, without I/O. At a scrape [`MetricsExporter::text`] carries these
+//! totals and present states over, beside the instruments that a process makes of [`MetricsExporter::meter`].
 
-mod names;
-mod scrape;
+mod exporter;
+mod series_names;
 
-pub use names::Names;
-pub use scrape::Scrape;
+pub use exporter::MetricsExporter;
+pub use series_names::SeriesNames;
--- a/crates/scrape/src/names.rs
+++ b/crates/scrape/src/series_names.rs
@@ -2,7 +2,7 @@
 
 /// The names under which a process's totals and states are scraped.
 #[derive(Clone, Copy, Debug)]
-pub struct Names {
+pub struct SeriesNames {
     /// Of what it counts, by kind.
     pub totals: &'static str,
     /// Of what it holds now.
--- a/crates/scrape/tests/scrape.rs
+++ b/crates/scrape/tests/scrape.rs
@@ -1,16 +1,16 @@
 //! What a scrape shows.
 
-use gs_scrape::Names;
-use gs_scrape::Scrape;
+use gs_scrape::MetricsExporter;
+use gs_scrape::SeriesNames;
 
-fn scrape() -> Scrape {
-    let names = Names {
+fn scrape() -> MetricsExporter {
+    let names = SeriesNames {
         totals: "gs_events",
         states: "gs_state",
     };
     let vm = "vm-1".parse().expect("a name");
     let data_centre = "hobart-a".parse().expect("a name");
-    Scrape::new(&vm, &data_centre, names).expect("it is set up")
+    MetricsExporter::new(&vm, &data_centre, names).expect("it is set up")
 }
 
 fn line<'a>(text: &'a str, begins: &str, holds: &str) -> &'a str {
