--- a/crates/actor/src/feed.rs
+++ b/crates/actor/src/feed.rs
@@ -1,13 +1,13 @@
-//! A queue of events towards one actor.
+//! The queue of events for one actor.
 
 use std::sync::Arc;
 use std::sync::Mutex;
 use std::sync::PoisonError;
 
-/// A queue of events that wakes its actor once for a whole batch.
+/// A queue of events that wakes its actor once per batch.
 ///
-/// A message an event would cost a mailbox entry and a wake-up for each of a fan-out's replies;
-/// while the actor is busy, events pile up here and are taken together.
+/// One actor message per event would cost a mailbox entry and a wake-up for each reply of a fan-out.
+/// Instead, events queue up here while the actor is busy, and it processes them together.
 pub struct Feed<E> {
     inner: Arc<Inner<E>>,
 }
@@ -26,7 +26,7 @@
 }
 
 impl<E> Feed<E> {
-    /// Starts empty; `wake` is called when the first event is queued.
+    /// Creates an empty queue; `wake` is called when an event is added to the empty queue.
     #[must_use]
     pub fn new(wake: Box<dyn Fn() + Send + Sync>) -> Self {
         Self {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Adds an event; they are handed over in the order of the calls.
+    /// Adds an event; events are processed in the order of the calls.
     pub fn push(&self, ev: E) {
         let mut q = self
             .inner
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Takes everything queued by swapping it with the empty `into`.
+    /// Takes all queued events by swapping the queue with `into`, which must be empty.
     pub fn take(&self, into: &mut Vec<E>) {
         let mut q = self
             .inner
--- a/crates/actor/src/lib.rs
+++ b/crates/actor/src/lib.rs
@@ -1,7 +1,7 @@
-//! Runs a decision as an actor: events queue up in a [`Feed`], a driver hands them over.
+//! Runs a state machine as an actor that processes the events queued in a [`Feed`].
 //!
-//! A [`Machine`] is a state machine without I/O; a [`Shell`] carries its actions out. One `xtra`
-//! actor, made by a [`UnstartedActor`], joins them.
+//! A [`Machine`] is a state machine without I/O; a [`Shell`] (the I/O driver) performs its actions.
+//! One `xtra` actor, started from an [`UnstartedActor`], connects the two.
 
 mod feed;
 mod machine_actor;
@@ -18,7 +18,7 @@
 pub use machine_actor::Shell;
 pub use machine_actor::UnstartedActor;
 
-/// Locks, also after a holder's panic: what is behind the lock is whole between two events.
+/// Locks a mutex, even a poisoned one: the data behind it is consistent between two events.
 pub fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
     m.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/actor/src/machine_actor.rs
+++ b/crates/actor/src/machine_actor.rs
@@ -1,4 +1,4 @@
-//! Hands events to a decision and its actions to a shell.
+//! The actor that passes events to a state machine and performs its actions through a shell.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -17,55 +17,56 @@
 use crate::lock;
 use crate::timer::Timer;
 
-/// The time of one event.
+/// The time at which an event is processed.
 #[derive(Clone, Copy)]
 pub struct EventTime<'a> {
     /// The monotonic time.
     pub now: Instant,
-    /// Tells the time of day to those that need it.
+    /// The source of the time of day, for machines that need it.
     pub clock: &'a dyn Clock,
 }
 
-/// A decision that its actor and the readers of dumps share.
+/// A state machine that its actor shares with the readers of its state.
 ///
-/// The actor alone feeds it. Readers hold the lock only to look; so that a dump, and the check for
-/// a configuration in doubt on each lookup, need no turn in the actor's mailbox.
+/// Only the actor passes events to it. Others lock it only to read, so that a dump, and the check of
+/// each lookup for a configuration in doubt, need not wait in the actor's mailbox.
 pub type Shared<M> = Arc<Mutex<M>>;
 
-/// A decision: a state machine without I/O, joined to the shell `S` that carries its actions out.
+/// A state machine without I/O, whose actions the shell `S` performs.
 ///
-/// The shell is named so that a process's crate can join a decision of another crate to a shell of its
-/// own.
+/// The shell is a type parameter so that the crate of a process can implement this trait for a state
+/// machine of another crate with a shell of its own.
 pub trait Machine<S>: Send + 'static {
-    /// What it is told.
+    /// Its input.
     type Event: Send + 'static;
-    /// What it asks for.
+    /// Its output.
     type Action: Send + 'static;
 
-    /// Takes one event in and appends what has to be done to `out`.
+    /// Processes one event and appends the resulting actions to `out`.
     fn on(&mut self, at: EventTime<'_>, ev: Self::Event, out: &mut Vec<Self::Action>);
 
-    /// The event that says that a timer is due.
+    /// Returns the event for an expired timer.
     fn tick_event() -> Self::Event;
 
-    /// The event that says that everything that had come by now was told; `None` if that is of no use.
+    /// Returns the event that follows after all queued events were processed; `None` if the machine
+    /// does not use one.
     fn caught_up_event() -> Option<Self::Event> {
         None
     }
 }
 
-/// Carries out a decision's actions.
+/// The I/O driver of a state machine: performs its actions.
 pub trait Shell<M: Machine<Self>>: Sized + Send + 'static {
-    /// Sees an event just before the decision does.
+    /// Observes an event before the machine processes it.
     fn before_event(&mut self, now: Instant, ev: &M::Event) {
         let _ = (now, ev);
     }
 
-    /// Carries out one action; gives a duration back if it asks to be woken.
+    /// Performs one action; returns a duration if the action sets the timer.
     fn perform(&mut self, action: M::Action, feed: &Feed<M::Event>) -> Option<Duration>;
 }
 
-/// The actor around one decision.
+/// The actor that runs one state machine.
 pub struct MachineActor<M: Machine<S>, S> {
     machine: Shared<M>,
     shell: S,
@@ -76,13 +77,15 @@
     actions: Vec<M::Action>,
 }
 
-/// Events are queued.
-struct Ready;
+/// The message that events are queued.
+struct EventsQueued;
 
-/// The timer is due.
-struct Due;
+/// The message that the timer has expired.
+struct TimerExpired;
 
-/// An actor's mailbox, made before the actor, so that actors can feed each other.
+/// An actor that is not started yet.
+///
+/// Its mailbox exists already, so that actors can be given feeds to each other before any of them runs.
 pub struct UnstartedActor<M: Machine<S>, S> {
     addr: Address<MachineActor<M, S>>,
     mailbox: Mailbox<MachineActor<M, S>>,
@@ -96,13 +99,13 @@
 }
 
 impl<M: Machine<S>, S: Shell<M>> UnstartedActor<M, S> {
-    /// Makes the mailbox.
+    /// Creates the mailbox and the feed.
     #[must_use]
     pub fn new() -> Self {
         let (addr, mailbox) = Mailbox::unbounded();
         let to: Address<MachineActor<M, S>> = addr.clone();
         let feed = Feed::new(Box::new(move || {
-            drop(to.send(Ready).detach().now_or_never())
+            drop(to.send(EventsQueued).detach().now_or_never())
         }));
         Self {
             addr,
@@ -111,7 +114,7 @@
         }
     }
 
-    /// The way in; events wait until the actor starts.
+    /// Returns the feed of the actor; events queue up until it starts.
     pub fn feed(&self) -> Feed<M::Event> {
         self.feed.clone()
     }
@@ -119,8 +122,8 @@
     /// Starts the actor.
     pub fn start(self, machine: Shared<M>, shell: S, clock: Arc<dyn Clock>) {
         let to = self.addr;
-        let timer = Timer::start(move || drop(to.send(Due).detach().now_or_never()));
-        let driver = MachineActor {
+        let timer = Timer::start(move || drop(to.send(TimerExpired).detach().now_or_never()));
+        let actor = MachineActor {
             machine,
             shell,
             clock,
@@ -129,12 +132,13 @@
             batch: Vec::new(),
             actions: Vec::new(),
         };
-        tokio::spawn(xtra::run(self.mailbox, driver));
+        tokio::spawn(xtra::run(self.mailbox, actor));
     }
 }
 
 impl<M: Machine<S>, S: Shell<M>> MachineActor<M, S> {
-    fn step(&mut self, ev: M::Event) {
+    /// Processes one event and performs the resulting actions.
+    fn process(&mut self, ev: M::Event) {
         let at = EventTime {
             now: self.clock.now(),
             clock: self.clock.as_ref(),
@@ -150,16 +154,16 @@
 }
 
 impl<M: Machine<S>, S: Shell<M>> MachineActor<M, S> {
-    /// Hands over everything that is queued.
-    fn catch_up(&mut self) {
+    /// Processes all queued events.
+    fn process_queued(&mut self) {
         let mut batch = std::mem::take(&mut self.batch);
         self.feed.take(&mut batch);
         for ev in batch.drain(..) {
-            self.step(ev);
+            self.process(ev);
         }
         self.batch = batch;
         if let Some(ev) = <M as Machine<S>>::caught_up_event() {
-            self.step(ev);
+            self.process(ev);
         }
     }
 }
@@ -170,22 +174,22 @@
     async fn stopped(self) {}
 }
 
-impl<M: Machine<S>, S: Shell<M>> Handler<Ready> for MachineActor<M, S> {
+impl<M: Machine<S>, S: Shell<M>> Handler<EventsQueued> for MachineActor<M, S> {
     type Return = ();
 
-    async fn handle(&mut self, _: Ready, _: &mut Context<Self>) {
-        self.catch_up();
+    async fn handle(&mut self, _: EventsQueued, _: &mut Context<Self>) {
+        self.process_queued();
     }
 }
 
-impl<M: Machine<S>, S: Shell<M>> Handler<Due> for MachineActor<M, S> {
+impl<M: Machine<S>, S: Shell<M>> Handler<TimerExpired> for MachineActor<M, S> {
     type Return = ();
 
-    async fn handle(&mut self, _: Due, _: &mut Context<Self>) {
-        self.timer.fired();
-        // After a stand-still of the process a timer is due together with the answers that came meanwhile, which a
-        // page that leaves at its objective would lack.
-        self.catch_up();
-        self.step(<M as Machine<S>>::tick_event());
+    async fn handle(&mut self, _: TimerExpired, _: &mut Context<Self>) {
+        self.timer.clear();
+        // After a pause of the process, the timer expires together with the answers that arrived meanwhile. If the
+        // timer came first, a page sent at its objective would lack them.
+        self.process_queued();
+        self.process(<M as Machine<S>>::tick_event());
     }
 }
--- a/crates/actor/src/timer.rs
+++ b/crates/actor/src/timer.rs
@@ -1,27 +1,29 @@
-//! The one timer of an actor.
+//! The timer of an actor.
 
 use std::time::Duration;
 
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Calls back when the earliest time asked for has come.
+/// A timer that calls back at the earliest of the requested times.
 ///
-/// A later time than the one that is set is not told to the timer's task: it calls back early then,
-/// and the decision asks again. So the many wake-ups asked for under load cost nothing here.
+/// A request for a later time than the one already set is not passed to the timer's task. The call
+/// back then comes early, and the state machine sets the timer again. The many requests under load
+/// therefore cost almost nothing.
 pub struct Timer {
     armed: Option<Instant>,
     tx: mpsc::UnboundedSender<Instant>,
 }
 
 impl Timer {
-    pub fn start(due: impl Fn() + Send + 'static) -> Self {
+    /// Starts the timer's task; `on_expiry` is called each time the timer expires.
+    pub fn start(on_expiry: impl Fn() + Send + 'static) -> Self {
         let (tx, rx) = mpsc::unbounded_channel();
-        tokio::spawn(run(rx, due));
+        tokio::spawn(run(rx, on_expiry));
         Self { armed: None, tx }
     }
 
-    /// Asks for a call back after this time at the latest.
+    /// Requests a call back after this duration at the latest.
     pub fn wake_in(&mut self, after: Duration) {
         let at = Instant::now() + after;
         if self.armed.is_none_or(|armed| at < armed) {
@@ -30,13 +32,14 @@
         }
     }
 
-    /// Says that the call back has been seen.
-    pub fn fired(&mut self) {
+    /// Clears the time that is set; to be called after each call back.
+    pub fn clear(&mut self) {
         self.armed = None;
     }
 }
 
-async fn run(mut rx: mpsc::UnboundedReceiver<Instant>, due: impl Fn()) {
+/// Waits for the earliest requested time and calls `on_expiry` then, until the timer is dropped.
+async fn run(mut rx: mpsc::UnboundedReceiver<Instant>, on_expiry: impl Fn()) {
     let mut at: Option<Instant> = None;
     loop {
         let next = match at {
@@ -45,7 +48,7 @@
                 next = rx.recv() => next,
                 () = tokio::time::sleep_until(t) => {
                     at = None;
-                    due();
+                    on_expiry();
                     continue;
                 }
             },
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,4 +1,6 @@
-//! Time as an interface: decisions get `now` passed in, shells ask a [`Clock`].
+//! An interface to the clocks, so that tests and replays can set the time.
+//!
+//! State machines get `now` as an argument; code that does I/O reads a [`Clock`].
 
 mod manual;
 mod system;
@@ -9,10 +11,10 @@
 pub use manual::ManualClock;
 pub use system::SystemClock;
 
-/// Tells the time.
+/// A source of the monotonic time and of the time of day.
 ///
-/// Pass it to whatever has to ask for the time by itself: [`SystemClock`] in a process,
-/// [`ManualClock`] in a test. A decision gets `now` as an argument and needs no clock.
+/// Pass it to code that reads the time itself: a [`SystemClock`] in a process, a [`ManualClock`] in a
+/// test. A state machine gets `now` as an argument and needs no clock.
 ///
 /// ```
 /// use std::time::Duration;
@@ -26,14 +28,14 @@
 /// assert_eq!(gs_clock::unix_seconds(&clock), 2);
 /// ```
 pub trait Clock: Send + Sync {
-    /// The monotonic time, for durations and timers.
+    /// Returns the monotonic time, for durations and timers.
     fn now(&self) -> Instant;
 
-    /// The time of day, for ids and claim windows only; it may jump.
+    /// Returns the time of day, which may jump; for ids and claim windows only.
     fn wall(&self) -> SystemTime;
 }
 
-/// The time of day in seconds since the Unix epoch; 0 before it.
+/// Returns the time of day in seconds since the Unix epoch; 0 before it.
 #[must_use]
 pub fn unix_seconds(clock: &dyn Clock) -> u64 {
     clock
--- a/crates/clock/src/manual.rs
+++ b/crates/clock/src/manual.rs
@@ -1,4 +1,4 @@
-//! A clock that moves only when told, for tests and replays.
+//! A clock that advances only by explicit calls, for tests and replays.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
@@ -8,41 +8,41 @@
 
 use crate::Clock;
 
-/// A clock that moves only when told.
+/// A clock that advances only by calls of [`ManualClock::advance`].
 #[derive(Debug)]
 pub struct ManualClock {
     start: Instant,
     wall: SystemTime,
-    passed: Mutex<Duration>,
+    elapsed: Mutex<Duration>,
 }
 
 impl ManualClock {
-    /// Starts at this time of day.
+    /// Creates a clock that starts at the given time of day.
     #[must_use]
     pub fn starting_at(wall: SystemTime) -> Self {
         Self {
             start: Instant::now(),
             wall,
-            passed: Mutex::new(Duration::ZERO),
+            elapsed: Mutex::new(Duration::ZERO),
         }
     }
 
-    /// Moves both clocks forward.
+    /// Advances the monotonic time and the time of day.
     pub fn advance(&self, by: Duration) {
-        *self.passed.lock().unwrap_or_else(PoisonError::into_inner) += by;
+        *self.elapsed.lock().unwrap_or_else(PoisonError::into_inner) += by;
     }
 
-    fn passed(&self) -> Duration {
-        *self.passed.lock().unwrap_or_else(PoisonError::into_inner)
+    fn elapsed(&self) -> Duration {
+        *self.elapsed.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Clock for ManualClock {
     fn now(&self) -> Instant {
-        self.start + self.passed()
+        self.start + self.elapsed()
     }
 
     fn wall(&self) -> SystemTime {
-        self.wall + self.passed()
+        self.wall + self.elapsed()
     }
 }
--- a/crates/clock/src/system.rs
+++ b/crates/clock/src/system.rs
@@ -1,11 +1,11 @@
-//! The machine's clocks.
+//! The clocks of the operating system.
 
 use std::time::Instant;
 use std::time::SystemTime;
 
 use crate::Clock;
 
-/// The clocks of the machine.
+/// The clocks of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemClock;
 
--- a/crates/scrape/src/exporter.rs
+++ b/crates/scrape/src/exporter.rs
@@ -1,4 +1,4 @@
-//! The registry of one process and its scrape.
+//! The metrics registry of one process and its export.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -18,21 +18,23 @@
 
 use crate::series_names::SeriesNames;
 
-/// The name of the program in each scrape.
-const PROGRAM: &str = "gentiansill";
+/// The service name in each scrape.
+const SERVICE_NAME: &str = "gentiansill";
 
-/// The instruments of one process. No label follows what callers send, so that their number is bounded.
+/// The metrics of one process.
+///
+/// No label is derived from what callers send, so that the number of series is bounded.
 pub struct MetricsExporter {
     registry: Registry,
     provider: SdkMeterProvider,
     totals: Counter<u64>,
     states: Gauge<f64>,
     /// The totals as of the last scrape.
-    seen: Mutex<HashMap<&'static str, u64>>,
+    last_totals: Mutex<HashMap<&'static str, u64>>,
 }
 
 impl MetricsExporter {
-    /// Sets the registry of a VM's process up.
+    /// Creates the registry of a VM's process.
     ///
     /// # Errors
     ///
@@ -44,7 +46,7 @@
             .build()
             .map_err(|e| Error::new(ErrorKind::Io, e.to_string()).at("set up metrics"))?;
         let resource = Resource::builder()
-            .with_service_name(PROGRAM)
+            .with_service_name(SERVICE_NAME)
             .with_attribute(KeyValue::new("vm", vm.to_string()))
             .with_attribute(KeyValue::new("data_centre", data_centre.to_string()))
             .build();
@@ -52,7 +54,7 @@
             .with_reader(exporter)
             .with_resource(resource)
             .build();
-        let meter = provider.meter(PROGRAM);
+        let meter = provider.meter(SERVICE_NAME);
         let totals = meter.u64_counter(names.totals);
         let states = meter.f64_gauge(names.states);
         Ok(Self {
@@ -64,20 +66,20 @@
             states: states
                 .with_description("What the process holds now.")
                 .build(),
-            seen: Mutex::default(),
+            last_totals: Mutex::default(),
         })
     }
 
-    /// Makes further instruments.
+    /// Returns a meter to create further instruments.
     #[must_use]
     pub fn meter(&self) -> Meter {
-        self.provider.meter(PROGRAM)
+        self.provider.meter(SERVICE_NAME)
     }
 
-    /// The scrape: running totals and present states by name, beside all other instruments.
+    /// Returns the text of a scrape: the running totals and current states by name, and all other instruments.
     #[must_use]
     pub fn text(&self, totals: &[(&'static str, u64)], states: &[(&'static str, f64)]) -> String {
-        self.raise(totals);
+        self.add_totals(totals);
         for (of, value) in states {
             self.states.record(*value, &[KeyValue::new("of", *of)]);
         }
@@ -88,11 +90,14 @@
         }
     }
 
-    /// Adds what the totals have grown by since the last scrape.
-    fn raise(&self, totals: &[(&'static str, u64)]) {
-        let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Adds to the counters by how much the totals have grown since the last scrape.
+    fn add_totals(&self, totals: &[(&'static str, u64)]) {
+        let mut last_totals = self
+            .last_totals
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         for (kind, n) in totals {
-            let before = seen.insert(kind, *n).unwrap_or(0);
+            let before = last_totals.insert(kind, *n).unwrap_or(0);
             let grown = n.saturating_sub(before);
             self.totals.add(grown, &[KeyValue::new("kind", *kind)]);
         }
--- a/crates/scrape/src/lib.rs
+++ b/crates/scrape/src/lib.rs
@@ -1,7 +1,8 @@
-//! Metrics of one process by opentelemetry, in the usual scrape format.
+//! Metrics of one process, recorded with OpenTelemetry and exported in the Prometheus text format.
 //!
-//! Both kinds of process count in their decisions, without I/O. At a scrape [`MetricsExporter::text`] carries these
-//! totals and present states over, beside the instruments that a process makes of [`MetricsExporter::meter`].
+//! The state machines of both kinds of process keep their own counters, without I/O. At each scrape,
+//! [`MetricsExporter::text`] exports their totals and current states, together with the instruments that the process
+//! created with [`MetricsExporter::meter`].
 
 mod exporter;
 mod series_names;
--- a/crates/scrape/src/series_names.rs
+++ b/crates/scrape/src/series_names.rs
@@ -1,10 +1,10 @@
-//! The names of a process's two series.
+//! The names of the two metrics that export totals and states.
 
-/// The names under which a process's totals and states are scraped.
+/// The names of the two metrics under which the totals and states of a process are exported.
 #[derive(Clone, Copy, Debug)]
 pub struct SeriesNames {
-    /// Of what it counts, by kind.
+    /// The counter of totals, labelled by `kind`.
     pub totals: &'static str,
-    /// Of what it holds now.
+    /// The gauge of current states, labelled by `of`.
     pub states: &'static str,
 }
