--- a/crates/node/src/book_shell.rs
+++ b/crates/node/src/config_manager_shell.rs
@@ -1,4 +1,4 @@
-//! Carries out what the book of patches asks for.
+//! The I/O driver (shell) of the configuration manager: performs its actions.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,17 +17,17 @@
 use gs_types::prelude::*;
 use tokio::sync::oneshot;
 
-use crate::calls::Calls;
 use crate::feeds::Feeds;
 use crate::message::Message;
-use crate::spread::Spread;
+use crate::peer_sender::PeerSender;
+use crate::platform_calls::PlatformCalls;
 use gs_actor::EventTime;
 use gs_actor::Feed;
 use gs_actor::Machine;
 use gs_actor::Shell;
 use gs_actor::lock;
 
-impl Machine<BookShell> for ConfigManager {
+impl Machine<ConfigManagerShell> for ConfigManager {
     type Event = Event;
     type Action = Action;
 
@@ -40,37 +40,38 @@
     }
 }
 
-/// The operators that wait for a verdict.
+/// The operators' calls that wait for the outcome of a patch.
 #[derive(Default)]
-pub(crate) struct Asks(Mutex<HashMap<CallId, oneshot::Sender<PatchOutcome>>>);
+pub(crate) struct PendingProposals(Mutex<HashMap<CallId, oneshot::Sender<PatchOutcome>>>);
 
-impl Asks {
-    pub(crate) fn insert(&self, ask: CallId, tx: oneshot::Sender<PatchOutcome>) {
-        lock(&self.0).insert(ask, tx);
+impl PendingProposals {
+    pub(crate) fn insert(&self, call: CallId, tx: oneshot::Sender<PatchOutcome>) {
+        lock(&self.0).insert(call, tx);
     }
 
-    fn settle(&self, ask: CallId, verdict: PatchOutcome) {
-        if let Some(tx) = lock(&self.0).remove(&ask) {
-            let _ = tx.send(verdict);
+    /// Sends the outcome of a patch to the waiting call.
+    fn complete(&self, call: CallId, outcome: PatchOutcome) {
+        if let Some(tx) = lock(&self.0).remove(&call) {
+            let _ = tx.send(outcome);
         }
     }
 }
 
-/// Carries out what the book of patches asks for.
-pub(crate) struct BookShell {
-    pub(crate) calls: Calls,
+/// The I/O driver (shell) of the configuration manager: performs its actions.
+pub(crate) struct ConfigManagerShell {
+    pub(crate) calls: PlatformCalls,
     pub(crate) feeds: Feeds,
-    pub(crate) spread: Spread,
-    pub(crate) asks: Arc<Asks>,
+    pub(crate) peer_sender: PeerSender,
+    pub(crate) proposals: Arc<PendingProposals>,
 }
 
-impl Shell<ConfigManager> for BookShell {
+impl Shell<ConfigManager> for ConfigManagerShell {
     fn perform(&mut self, action: Action, feed: &Feed<Event>) -> Option<Duration> {
         match action {
             Action::Read => {
                 let feed = feed.clone();
                 self.calls.read(CURRENT_PATH.to_owned(), move |r| {
-                    feed.push(Event::Read(found(r)))
+                    feed.push(Event::Read(read_result(r)))
                 });
             }
             Action::Write {
@@ -82,28 +83,28 @@
                 let feed = feed.clone();
                 let content = content.as_bytes().to_vec();
                 self.calls.write(path, if_version, content, move |r| {
-                    feed.push(Event::Wrote(id, written(r.map(|v| v.0))));
+                    feed.push(Event::Wrote(id, write_result(r.map(|v| v.0))));
                 });
             }
             Action::Prune(path) => self.calls.prune(path),
-            Action::Send(vm, msg) => self.spread.send(&vm, &Message::Conf(msg)),
-            Action::Broadcast(msg) => self.spread.broadcast(&Message::Conf(msg)),
+            Action::Send(vm, msg) => self.peer_sender.send(&vm, &Message::Conf(msg)),
+            Action::Broadcast(msg) => self.peer_sender.broadcast(&Message::Conf(msg)),
             Action::Apply(config) => {
                 log::info!("event=config-in-force version={}", config.version);
                 self.feeds.engine.push(gs_query::Event::Config(config));
             }
-            Action::Doubt(touched) => {
-                log::info!("event=config-in-doubt lookups=\"{touched:?}\"");
+            Action::Doubt(affected) => {
+                log::info!("event=config-in-doubt lookups=\"{affected:?}\"");
             }
-            Action::Verdict(ask, verdict) => self.asks.settle(ask, verdict),
+            Action::Verdict(call, outcome) => self.proposals.complete(call, outcome),
             Action::Wake(after) => return Some(after),
         }
         None
     }
 }
 
-/// What reading the object gave, as the book takes it.
-pub(crate) fn found(r: Result<Option<Object>>) -> ReadResult {
+/// Converts the result of reading the current configuration for the configuration manager.
+pub(crate) fn read_result(r: Result<Option<Object>>) -> ReadResult {
     match r {
         Ok(Some(o)) => match std::str::from_utf8(&o.content) {
             Ok(text) => ReadResult::Found {
@@ -120,7 +121,8 @@
     }
 }
 
-fn written(r: Result<u64>) -> WriteResult {
+/// Converts the result of a write for the configuration manager.
+fn write_result(r: Result<u64>) -> WriteResult {
     match r {
         Ok(v) => WriteResult::Done(v),
         Err(e) => match e.kind() {
--- a/crates/node/src/dumps.rs
+++ b/crates/node/src/dumps.rs
@@ -1,4 +1,4 @@
-//! The state of this process, and of the whole fleet through it.
+//! Dumps of the state of this process and of all VMs, for operators.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -22,51 +22,51 @@
 use serde_json::json;
 use tokio::sync::mpsc;
 
-use crate::board::Board;
 use crate::message::Message;
-use crate::spread::Spread;
+use crate::peer_sender::PeerSender;
+use crate::shared_state::SharedState;
 use gs_actor::Shared;
 use gs_actor::lock;
 
-/// The longest that other VMs are waited for.
-const FLEET_WAIT: Duration = Duration::from_millis(800);
+/// The longest wait for the dumps of other VMs.
+const FLEET_DUMP_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Puts dumps together; they hold no keys and no secrets, as no part of the state does.
+/// Collects the state of the process. A dump contains no keys and no secrets, because no component's state does.
 pub(crate) struct Dumps {
     pub(crate) settings: Value,
     pub(crate) incarnation: Incarnation,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) engine: Shared<Engine>,
-    pub(crate) book: Shared<ConfigManager>,
-    pub(crate) member: Shared<Membership>,
+    pub(crate) config_manager: Shared<ConfigManager>,
+    pub(crate) membership: Shared<Membership>,
     pub(crate) once: Shared<Once>,
     pub(crate) pool: Arc<Pool>,
     pub(crate) callers: Arc<ServerState>,
-    pub(crate) board: Arc<Board>,
+    pub(crate) state: Arc<SharedState>,
     pub(crate) mesh: Arc<dyn Mesh<Message>>,
     pub(crate) platform: Arc<dyn Platform>,
-    pub(crate) spread: Spread,
-    pub(crate) asked: Asked,
+    pub(crate) peer_sender: PeerSender,
+    pub(crate) fleet_dump_requests: FleetDumpRequests,
 }
 
-/// The fleet dumps under way.
+/// The fleet dumps in progress, by the numbers under which peers are queried.
 #[derive(Default)]
-pub(crate) struct Asked {
+pub(crate) struct FleetDumpRequests {
     next: AtomicU64,
-    waiting: Mutex<HashMap<u64, mpsc::UnboundedSender<(VmId, Value)>>>,
+    senders: Mutex<HashMap<u64, mpsc::UnboundedSender<(VmId, Value)>>>,
 }
 
 impl Dumps {
-    /// The whole state of this process.
-    pub(crate) fn own(&self) -> Value {
+    /// Returns the complete state of this process.
+    pub(crate) fn own_state(&self) -> Value {
         let now = self.clock.now();
         json!({
             "settings": self.settings,
             "incarnation": self.incarnation,
-            "ready": self.ready(),
-            "leaving": self.board.leaving(),
-            "platform_away_for": self.away_for(),
-            "patches": lock(&self.book).dump(now),
+            "ready": self.is_ready(),
+            "leaving": self.state.is_leaving(),
+            "platform_away_for": self.unreachable_for(),
+            "patches": lock(&self.config_manager).dump(now),
             "engine": lock(&self.engine).dump(now),
             "members": self.members(),
             "claims": lock(&self.once).counts(),
@@ -77,27 +77,28 @@
         })
     }
 
-    /// How long the platform has not answered, as text; `null` while it answers.
-    fn away_for(&self) -> Option<String> {
-        let away = self.platform.away_for()?;
-        Some(humantime::format_duration(away).to_string())
+    /// Returns for how long the platform has been unreachable, as text; `None` while it is reachable.
+    fn unreachable_for(&self) -> Option<String> {
+        let duration = self.platform.away_for()?;
+        Some(humantime::format_duration(duration).to_string())
     }
 
+    /// Returns the state of the membership.
     fn members(&self) -> Value {
-        let member = lock(&self.member);
-        json!({ "view": member.view(), "seats": member.table(), "claimed": member.table_epochs() })
+        let membership = lock(&self.membership);
+        json!({ "view": membership.view(), "seats": membership.table(), "claimed": membership.table_epochs() })
     }
 
-    /// The state as text, for another VM.
-    pub(crate) fn own_text(&self) -> String {
-        self.own().to_string()
+    /// Returns the complete state as JSON text, for another VM.
+    pub(crate) fn own_state_text(&self) -> String {
+        self.own_state().to_string()
     }
 
-    /// A summary of this process.
+    /// Returns a summary of this process.
     pub(crate) fn status(&self) -> Value {
         let now = self.clock.now();
-        let config = lock(&self.book).config().map(|c| c.version);
-        let view = self.board.view();
+        let config = lock(&self.config_manager).config().map(|c| c.version);
+        let view = self.state.view();
         let vms: Vec<Value> = view
             .iter()
             .flat_map(|v| &v.vms)
@@ -107,40 +108,40 @@
             .collect();
         json!({
             "vm": self.settings.pointer("/vm/name"),
-            "ready": self.ready(),
-            "leaving": self.board.leaving(),
+            "ready": self.is_ready(),
+            "leaving": self.state.is_leaving(),
             "config": config,
-            "in_force": lock(&self.book).fleet(now),
-            "in_doubt": lock(&self.book).in_doubt_targets(now),
-            "platform_away_for": self.away_for(),
+            "in_force": lock(&self.config_manager).fleet(now),
+            "in_doubt": lock(&self.config_manager).in_doubt_targets(now),
+            "platform_away_for": self.unreachable_for(),
             "vms": vms,
             "lookups_in_flight": lock(&self.engine).in_flight(),
         })
     }
 
-    /// Whether this VM should be sent lookups.
+    /// Returns whether the load balancer should send lookups to this VM.
     ///
-    /// Guards against a fresh VM that serves by an old configuration, or refuses everything as it
-    /// knows no shard map or has no connections yet: it stays out of the balancer until it has all.
-    pub(crate) fn ready(&self) -> bool {
-        !self.board.leaving()
-            && self.board.groups_loaded()
-            && self.board.shares_given()
-            && lock(&self.book).is_ready()
+    /// A VM that has just started may have an old configuration, or refuse every lookup because it
+    /// has no shard map or no connections yet. It is not ready until it has all three.
+    pub(crate) fn is_ready(&self) -> bool {
+        !self.state.is_leaving()
+            && self.state.has_loaded_groups()
+            && self.state.has_received_shares()
+            && lock(&self.config_manager).is_ready()
     }
 
-    /// The states of all VMs; one that does not answer in time stands with its error.
-    pub(crate) async fn fleet(&self) -> Value {
+    /// Returns the states of all VMs, with an error for each VM that does not answer in time.
+    pub(crate) async fn fleet_states(&self) -> Value {
         let mut all: BTreeMap<VmId, Value> = BTreeMap::new();
-        if let Some(view) = self.board.view() {
+        if let Some(view) = self.state.view() {
             for v in &view.vms {
                 all.insert(v.entry.vm.clone(), json!({"error": "no answer in time"}));
             }
-            all.insert(view.me.clone(), self.own());
+            all.insert(view.me.clone(), self.own_state());
         }
         let wanted = all.len().saturating_sub(1);
-        let (asking, mut rx) = self.asked.begin();
-        self.spread.broadcast(&Message::WantDump(asking.id));
+        let (request, mut rx) = self.fleet_dump_requests.begin();
+        self.peer_sender.broadcast(&Message::WantDump(request.id));
         let collect = async {
             for _ in 0..wanted {
                 if let Some((vm, dump)) = rx.recv().await {
@@ -148,40 +149,41 @@
                 }
             }
         };
-        let _ = tokio::time::timeout(FLEET_WAIT, collect).await;
-        drop(asking);
+        let _ = tokio::time::timeout(FLEET_DUMP_TIMEOUT, collect).await;
+        drop(request);
         serde_json::to_value(all).unwrap_or(Value::Null)
     }
 
-    /// A dump came from another VM.
-    pub(crate) fn arrived(&self, id: u64, from: VmId, text: &str) {
+    /// Processes the dump of another VM.
+    pub(crate) fn on_dump(&self, id: u64, from: VmId, text: &str) {
         let dump = serde_json::from_str(text).unwrap_or(Value::Null);
-        if let Some(tx) = lock(&self.asked.waiting).get(&id) {
+        if let Some(tx) = lock(&self.fleet_dump_requests.senders).get(&id) {
             let _ = tx.send((from, dump));
         }
     }
 }
 
-impl Asked {
-    fn begin(&self) -> (Asking<'_>, mpsc::UnboundedReceiver<(VmId, Value)>) {
+impl FleetDumpRequests {
+    /// Registers a fleet dump; returns it with the channel on which the answers arrive.
+    fn begin(&self) -> (FleetDumpRequest<'_>, mpsc::UnboundedReceiver<(VmId, Value)>) {
         let id = self.next.fetch_add(1, Ordering::Relaxed);
         let (tx, rx) = mpsc::unbounded_channel();
-        lock(&self.waiting).insert(id, tx);
-        (Asking { asked: self, id }, rx)
+        lock(&self.senders).insert(id, tx);
+        (FleetDumpRequest { requests: self, id }, rx)
     }
 }
 
-/// A fleet dump under way; no answers to it are taken once this is dropped.
+/// A fleet dump in progress; dropping it removes its entry, and later answers to it are ignored.
 ///
-/// Guards against entries that stay for good: an operator that hangs up drops the future that waits
-/// for the answers, and each such call would leave its channel behind.
-struct Asking<'a> {
-    asked: &'a Asked,
+/// When an operator disconnects, the future that waits for the answers is dropped. Without this
+/// guard, each such call would leak its channel.
+struct FleetDumpRequest<'a> {
+    requests: &'a FleetDumpRequests,
     id: u64,
 }
 
-impl Drop for Asking<'_> {
+impl Drop for FleetDumpRequest<'_> {
     fn drop(&mut self) {
-        lock(&self.asked.waiting).remove(&self.id);
+        lock(&self.requests.senders).remove(&self.id);
     }
 }
--- a/crates/node/src/desk.rs
+++ b/crates/node/src/engine_client.rs
@@ -1,4 +1,4 @@
-//! Takes callers' lookups to the engine and its outcomes back.
+//! Submits callers' lookups to the engine, and returns their outcomes.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -22,16 +22,16 @@
 use gs_actor::Shared;
 use gs_actor::lock;
 
-/// When a lookup refused for a configuration in doubt is worth asking again.
-const DOUBT_RETRY: Duration = Duration::from_secs(1);
+/// The time after which a caller may retry a lookup that was refused because its configuration is in doubt.
+const IN_DOUBT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The callers that wait for an outcome.
+/// The lookups that wait for an outcome, by their sequence numbers.
 #[derive(Default)]
-pub(crate) struct Pending(Mutex<HashMap<LookupSeq, oneshot::Sender<Outcome>>>);
+pub(crate) struct PendingLookups(Mutex<HashMap<LookupSeq, oneshot::Sender<Outcome>>>);
 
-impl Pending {
-    /// Gives a waiting caller its outcome.
-    pub(crate) fn settle(&self, seq: LookupSeq, outcome: Outcome) {
+impl PendingLookups {
+    /// Sends the outcome of a lookup to its waiting task.
+    pub(crate) fn complete(&self, seq: LookupSeq, outcome: Outcome) {
         if let Some(tx) = self.remove(seq) {
             let _ = tx.send(outcome);
         }
@@ -46,33 +46,33 @@
     }
 }
 
-/// The desk of this process.
-pub(crate) struct NodeDesk {
+/// Submits lookups to the engine of this process.
+pub(crate) struct EngineClient {
     pub(crate) vm: VmId,
     pub(crate) incarnation: Incarnation,
-    pub(crate) next: AtomicU64,
-    pub(crate) pending: Arc<Pending>,
+    pub(crate) next_seq: AtomicU64,
+    pub(crate) pending: Arc<PendingLookups>,
     pub(crate) engine: Feed<Event>,
-    pub(crate) book: Shared<ConfigManager>,
+    pub(crate) config_manager: Shared<ConfigManager>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) clock: Arc<dyn Clock>,
 }
 
 #[async_trait]
-impl Desk for NodeDesk {
+impl Desk for EngineClient {
     async fn lookup(&self, req: LookupRequest) -> LookupReply {
         let start = self.clock.now();
         let (front, lookup) = (req.front.clone(), req.lookup.clone());
-        let seq = LookupSeq(self.next.fetch_add(1, Ordering::Relaxed));
-        let outcome = if lock(&self.book).in_doubt(start, &front, &lookup) {
-            in_doubt(&req)
+        let seq = LookupSeq(self.next_seq.fetch_add(1, Ordering::Relaxed));
+        let outcome = if lock(&self.config_manager).in_doubt(start, &front, &lookup) {
+            in_doubt_outcome(&req)
         } else {
-            self.run(seq, req).await
+            self.submit(seq, req).await
         };
         let took = self.clock.now().saturating_duration_since(start);
         let is_declared = self.is_declared(&front, &lookup);
         self.metrics
-            .lookup(&front, &lookup, is_declared, &outcome, took);
+            .record_lookup(&front, &lookup, is_declared, &outcome, took);
         let request = RequestId {
             vm: self.vm.clone(),
             incarnation: self.incarnation,
@@ -82,11 +82,11 @@
     }
 }
 
-/// The refusal of a lookup whose declaration is in doubt; it was not handed to the engine.
+/// Returns the outcome of a lookup whose declaration is in doubt; it is not submitted to the engine.
 ///
-/// With an idempotency key it cannot say `not-run`: an earlier submission may have run elsewhere.
-fn in_doubt(req: &LookupRequest) -> Outcome {
-    let refusal = Refusal::new(RefusalReason::ConfigInDoubt, Some(DOUBT_RETRY));
+/// With an idempotency key, the outcome cannot be `not-run`: an earlier submission may have run on another VM.
+fn in_doubt_outcome(req: &LookupRequest) -> Outcome {
+    let refusal = Refusal::new(RefusalReason::ConfigInDoubt, Some(IN_DOUBT_RETRY_AFTER));
     if req.idempotency_key.is_some() {
         Outcome::Unknown(refusal)
     } else {
@@ -94,17 +94,22 @@
     }
 }
 
-impl NodeDesk {
+impl EngineClient {
+    /// Returns whether the current configuration declares a lookup.
     fn is_declared(&self, front: &FrontName, lookup: &LookupName) -> bool {
-        let book = lock(&self.book);
-        book.config()
+        let config_manager = lock(&self.config_manager);
+        config_manager
+            .config()
             .is_some_and(|c| c.lookup(front, lookup).is_some())
     }
 
-    async fn run(&self, seq: LookupSeq, req: LookupRequest) -> Outcome {
+    /// Submits a lookup to the engine and waits for its outcome.
+    ///
+    /// If the future is dropped, the engine is notified that the caller disconnected.
+    async fn submit(&self, seq: LookupSeq, req: LookupRequest) -> Outcome {
         let (tx, rx) = oneshot::channel();
         self.pending.insert(seq, tx);
-        let _hang_up = HangUp {
+        let _disconnect_guard = DisconnectGuard {
             seq,
             pending: &self.pending,
             engine: &self.engine,
@@ -115,14 +120,14 @@
     }
 }
 
-/// Tells the engine that a caller is gone when the caller's future is dropped before its outcome.
-struct HangUp<'a> {
+/// Notifies the engine that a caller disconnected if the caller's future is dropped before its outcome is in.
+struct DisconnectGuard<'a> {
     seq: LookupSeq,
-    pending: &'a Pending,
+    pending: &'a PendingLookups,
     engine: &'a Feed<Event>,
 }
 
-impl Drop for HangUp<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if self.pending.remove(self.seq).is_some() {
             self.engine.push(Event::Gone(self.seq));
--- a/crates/node/src/engine_shell.rs
+++ b/crates/node/src/engine_shell.rs
@@ -1,4 +1,4 @@
-//! Carries out what the engine asks for.
+//! The I/O driver (shell) of the query engine: performs its actions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,11 +10,11 @@
 use gs_query::Engine;
 use gs_query::Event;
 
-use crate::board::Board;
-use crate::desk::Pending;
+use crate::engine_client::PendingLookups;
 use crate::feeds::Feeds;
+use crate::peer_sender::PeerSender;
 use crate::recording::Recording;
-use crate::spread::Spread;
+use crate::shared_state::SharedState;
 use gs_actor::EventTime;
 use gs_actor::Feed;
 use gs_actor::Machine;
@@ -33,7 +33,7 @@
     }
 }
 
-/// Hands what happens on connections to the engine.
+/// Passes the events of connections to backend servers to the engine.
 pub(crate) struct EngineSink(pub(crate) Feed<Event>);
 
 impl Sink for EngineSink {
@@ -42,37 +42,37 @@
     }
 }
 
-/// Carries out what the engine asks for.
+/// The I/O driver (shell) of the query engine: performs its actions.
 pub(crate) struct EngineShell {
     pub(crate) pool: Arc<Pool>,
-    pub(crate) pending: Arc<Pending>,
-    pub(crate) board: Arc<Board>,
+    pub(crate) pending: Arc<PendingLookups>,
+    pub(crate) state: Arc<SharedState>,
     pub(crate) feeds: Feeds,
-    pub(crate) spread: Spread,
+    pub(crate) peer_sender: PeerSender,
     pub(crate) recording: Arc<Recording>,
 }
 
 impl Shell<Engine> for EngineShell {
     fn before_event(&mut self, now: Instant, ev: &Event) {
-        self.recording.event(now, ev);
+        self.recording.record_event(now, ev);
     }
 
     fn perform(&mut self, action: Action, _: &Feed<Event>) -> Option<Duration> {
-        self.recording.acted(&action);
+        self.recording.record_action(&action);
         match action {
             Action::Dispatch(d) => self.pool.dispatch(d),
             Action::Cancel(id) => self.pool.cancel(&id),
             Action::Claim(ask) => self.feeds.once.push(gs_once::Event::ClaimRequested(ask)),
-            Action::Answer(seq, outcome) => self.pending.settle(seq, outcome),
+            Action::Answer(seq, outcome) => self.pending.complete(seq, outcome),
             Action::Wake(after) => return Some(after),
             Action::Warm(name, n) => {
-                if let Some(server) = self.board.server(&name) {
+                if let Some(server) = self.state.server(&name) {
                     self.pool.warm(&server, n);
                 }
             }
-            Action::Spread(sign) => {
-                log::info!("event=spread sign=\"{sign:?}\"");
-                self.spread.sign(sign);
+            Action::Spread(notice) => {
+                log::info!("event=spread sign=\"{notice:?}\"");
+                self.peer_sender.broadcast_notice(notice);
             }
         }
         None
--- a/crates/node/src/inbox.rs
+++ b/crates/node/src/inbox.rs
@@ -1,4 +1,4 @@
-//! Hands messages from other VMs to the decisions they are for.
+//! Dispatches messages of other VMs to the state machines.
 
 use std::sync::Arc;
 
@@ -9,20 +9,20 @@
 
 use crate::dumps::Dumps;
 use crate::message::Message;
-use crate::watch::Follower;
+use crate::platform_watcher::PlatformWatcher;
 
-/// Takes messages until the mesh ends.
+/// Processes messages until the mesh is closed.
 pub(crate) async fn run(
     mut rx: mpsc::Receiver<Received<Message>>,
-    follower: Follower,
+    watcher: PlatformWatcher,
     dumps: Arc<Dumps>,
 ) {
     while let Some(r) = rx.recv().await {
-        take(r, &follower, &dumps);
+        dispatch(r, &watcher, &dumps);
     }
 }
 
-fn take(r: Received<Message>, f: &Follower, dumps: &Dumps) {
+fn dispatch(r: Received<Message>, watcher: &PlatformWatcher, dumps: &Dumps) {
     let Received {
         from,
         incarnation,
@@ -30,28 +30,35 @@
     } = r;
     match msg {
         Message::Beat(heartbeat) => {
-            f.feeds.member.push(gs_member::Event::Heartbeat {
+            watcher.feeds.membership.push(gs_member::Event::Heartbeat {
                 from,
                 incarnation,
                 heartbeat,
             });
         }
-        Message::Conf(msg) => f.feeds.book.push(gs_conf::Event::Message(from, msg)),
-        Message::Claim(msg) => f.feeds.once.push(gs_once::Event::Peer(from, msg)),
-        Message::Sign(sign) => {
-            f.feeds
+        Message::Conf(msg) => watcher
+            .feeds
+            .config_manager
+            .push(gs_conf::Event::Message(from, msg)),
+        Message::Claim(msg) => watcher.feeds.once.push(gs_once::Event::Peer(from, msg)),
+        Message::Sign(notice) => {
+            watcher
+                .feeds
                 .engine
-                .push(gs_query::Event::Sign(sign, NoticeSource::Peer));
+                .push(gs_query::Event::Sign(notice, NoticeSource::Peer));
         }
-        Message::WantGroups => send_groups(f, &from),
-        Message::Group(map) => f.take_group(&map),
-        Message::WantDump(id) => f.spread.send(&from, &Message::Dump(id, dumps.own_text())),
-        Message::Dump(id, text) => dumps.arrived(id, from, &text),
+        Message::WantGroups => send_groups(watcher, &from),
+        Message::Group(map) => watcher.apply_group(&map),
+        Message::WantDump(id) => watcher
+            .peer_sender
+            .send(&from, &Message::Dump(id, dumps.own_state_text())),
+        Message::Dump(id, text) => dumps.on_dump(id, from, &text),
     }
 }
 
-fn send_groups(f: &Follower, to: &VmId) {
-    for map in f.board.groups() {
-        f.spread.send(to, &Message::Group(map));
+/// Sends all known shard maps to a peer.
+fn send_groups(watcher: &PlatformWatcher, to: &VmId) {
+    for map in watcher.state.groups() {
+        watcher.peer_sender.send(to, &Message::Group(map));
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,33 +1,33 @@
-//! One process of gentiansill: the decisions as actors, joined to sockets, the mesh and the platform.
+//! The process of a VM that serves lookups: connects the state machines to sockets, the mesh and the platform.
 //!
-//! Each decision crate runs in one `xtra` actor ([`gs_query::Engine`], [`gs_conf::ConfigManager`],
-//! [`gs_member::Membership`], [`gs_once::Once`]). This crate carries their actions out and feeds
-//! what comes of them back as events; it holds no policy of its own.
+//! Each state machine ([`gs_query::Engine`], [`gs_conf::ConfigManager`], [`gs_member::Membership`],
+//! [`gs_once::Once`]) runs in one `xtra` actor. This crate performs their actions and returns the
+//! results to them as events; it contains no policy of its own.
 //!
-//! [`serve()`] runs a process from its settings to its graceful end.
+//! [`serve()`] runs a process from its settings to its graceful shutdown.
 
-mod board;
-mod book_shell;
-mod calls;
-mod desk;
+mod config_manager_shell;
 mod dumps;
+mod engine_client;
 mod engine_shell;
 mod feeds;
-mod first_groups;
+mod group_loading;
 mod inbox;
-mod member_shell;
+mod membership_shell;
 mod message;
 mod metrics;
 mod once_shell;
-mod operators;
+mod operator_api;
 mod options;
-mod poll;
+mod peer_sender;
+mod platform_calls;
+mod platform_watcher;
 mod process;
 mod recording;
 mod serve;
+mod server_poll;
+mod shared_state;
 mod shutdown;
-mod spread;
-mod watch;
 
 pub use message::Message;
 pub use serve::serve;
--- a/crates/node/src/member_shell.rs
+++ b/crates/node/src/membership_shell.rs
@@ -1,4 +1,4 @@
-//! Carries out what the membership asks for.
+//! The I/O driver (shell) of the membership: performs its actions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,22 +12,22 @@
 use gs_mesh::Mesh;
 use gs_types::prelude::*;
 
-use crate::board::Board;
-use crate::calls::Calls;
-use crate::calls::failure;
-use crate::calls::stored;
 use crate::feeds::Feeds;
 use crate::message::Message;
-use crate::spread::Spread;
+use crate::peer_sender::PeerSender;
+use crate::platform_calls::PlatformCalls;
+use crate::platform_calls::store_error;
+use crate::platform_calls::to_stored;
+use crate::shared_state::SharedState;
 use gs_actor::EventTime;
 use gs_actor::Feed;
 use gs_actor::Machine;
 use gs_actor::Shell;
 
-/// How often it is looked whether the pool's connections are within lowered shares.
-const LOWER_PAUSE: Duration = Duration::from_millis(5);
+/// The time between two checks whether the pool's open connections are within lowered shares.
+const SHARES_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-impl Machine<MemberShell> for Membership {
+impl Machine<MembershipShell> for Membership {
     type Event = Event;
     type Action = Action;
 
@@ -40,27 +40,27 @@
     }
 }
 
-/// Carries out what the membership asks for.
-pub(crate) struct MemberShell {
-    pub(crate) calls: Calls,
+/// The I/O driver (shell) of the membership: performs its actions.
+pub(crate) struct MembershipShell {
+    pub(crate) calls: PlatformCalls,
     pub(crate) feeds: Feeds,
-    pub(crate) spread: Spread,
+    pub(crate) peer_sender: PeerSender,
     pub(crate) mesh: Arc<dyn Mesh<Message>>,
     pub(crate) pool: Arc<Pool>,
-    pub(crate) board: Arc<Board>,
+    pub(crate) state: Arc<SharedState>,
 }
 
-impl Shell<Membership> for MemberShell {
+impl Shell<Membership> for MembershipShell {
     fn perform(&mut self, action: Action, feed: &Feed<Event>) -> Option<Duration> {
         match action {
-            Action::Send(vm, beat) => self.spread.send(&vm, &Message::Beat(beat)),
+            Action::Send(vm, heartbeat) => self.peer_sender.send(&vm, &Message::Beat(heartbeat)),
             Action::Peers(peers) => self.mesh.peers(&peers),
-            Action::Shares { epoch, shares } => self.share(epoch, shares, feed.clone()),
-            Action::View(view) => self.view(view),
+            Action::Shares { epoch, shares } => self.apply_shares(epoch, shares, feed.clone()),
+            Action::View(view) => self.on_view(view),
             Action::ReadTable => {
                 let feed = feed.clone();
                 self.calls.read(SeatTable::PATH.to_owned(), move |r| {
-                    let r = r.map(|o| o.map(stored)).map_err(|e| failure(&e));
+                    let r = r.map(|o| o.map(to_stored)).map_err(|e| store_error(&e));
                     feed.push(Event::TableRead(r));
                 });
             }
@@ -71,7 +71,9 @@
                 let feed = feed.clone();
                 self.calls
                     .write(SeatTable::PATH.to_owned(), if_version, content, move |r| {
-                        feed.push(Event::TableWrote(r.map(|v| v.0).map_err(|e| failure(&e))));
+                        feed.push(Event::TableWrote(
+                            r.map(|v| v.0).map_err(|e| store_error(&e)),
+                        ));
                     });
             }
             Action::Wake(after) => return Some(after),
@@ -80,8 +82,9 @@
     }
 }
 
-impl MemberShell {
-    fn view(&self, view: Arc<View>) {
+impl MembershipShell {
+    /// Publishes a new view of the VMs.
+    fn on_view(&self, view: Arc<View>) {
         log::info!(
             "event=view live={} known={}",
             view.live().count(),
@@ -90,25 +93,25 @@
         self.feeds
             .once
             .push(gs_once::Event::Members(Arc::clone(&view)));
-        self.board.set_view(view);
+        self.state.set_view(view);
     }
 
-    /// Applies shares and says so once the open connections are within them.
-    fn share(
+    /// Applies shares, and reports to the membership once the open connections are within them.
+    fn apply_shares(
         &self,
         epoch: gs_member::Epoch,
         shares: Vec<(ServerName, Connections)>,
         feed: Feed<Event>,
     ) {
         if !shares.is_empty() {
-            self.board.set_shares_given();
+            self.state.set_shares_received();
         }
         self.pool.set_shares(&shares);
         self.feeds.engine.push(gs_query::Event::Shares(shares));
         let pool = Arc::clone(&self.pool);
         tokio::spawn(async move {
             while !pool.within_shares() {
-                tokio::time::sleep(LOWER_PAUSE).await;
+                tokio::time::sleep(SHARES_CHECK_INTERVAL).await;
             }
             feed.push(Event::Lowered(epoch));
         });
--- a/crates/node/src/message.rs
+++ b/crates/node/src/message.rs
@@ -1,4 +1,4 @@
-//! What processes tell each other over the mesh.
+//! The messages that processes send each other over the mesh.
 
 use std::sync::Arc;
 
@@ -6,23 +6,23 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// One message between two processes; any may be lost, late or doubled.
+/// A message between two processes, which may be lost, delayed or duplicated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// A heartbeat.
     Beat(gs_member::Heartbeat),
-    /// About patches.
+    /// A message between the configuration managers.
     Conf(gs_conf::Message),
-    /// About claims.
+    /// A message about claims.
     Claim(gs_once::Message),
-    /// A drain or a quarantine.
+    /// A notice of a drain or a quarantine.
     Sign(gs_query::Notice),
-    /// Asks for every shard map that the receiver holds.
+    /// A request for every shard map that the receiver knows.
     WantGroups,
     /// A shard map.
     Group(Arc<GroupMap>),
-    /// Asks for the receiver's state, under a number of the sender's.
+    /// A request for the receiver's state, with a number that the sender assigned.
     WantDump(u64),
-    /// The sender's state as JSON, under the number that asked for it.
+    /// The sender's state as JSON, with the number of the request.
     Dump(u64, String),
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -13,15 +13,15 @@
 
 use crate::dumps::Dumps;
 
-/// Upper bounds of the latency histograms, in seconds.
-const LATENCY: [f64; 14] = [
+/// The upper bounds of the latency histogram's buckets, in seconds.
+const LATENCY_BOUNDS_S: [f64; 14] = [
     0.002, 0.005, 0.01, 0.015, 0.02, 0.03, 0.05, 0.075, 0.1, 0.15, 0.25, 0.5, 1.0, 5.0,
 ];
 
-/// The label of lookups whose name was found in no configuration.
-const UNDECLARED: &str = "undeclared";
+/// The label value for lookups that the current configuration does not declare.
+const UNDECLARED_LABEL: &str = "undeclared";
 
-/// The series of totals and states.
+/// The names of the series of totals and states.
 const NAMES: SeriesNames = SeriesNames {
     totals: "gentiansill_events",
     states: "gentiansill_state",
@@ -36,16 +36,16 @@
 }
 
 impl Metrics {
-    /// Sets the instruments up.
+    /// Creates the instruments.
     ///
     /// # Errors
     ///
     /// [`ErrorKind::Io`] if the exporter cannot be registered.
-    pub(crate) fn new(vm: &Vm<'_>) -> Result<Self> {
+    pub(crate) fn new(vm: &VmLabels<'_>) -> Result<Self> {
         let scrape = MetricsExporter::new(vm.name, vm.data_centre, NAMES)?;
         let meter = scrape.meter();
         Ok(Self {
-            latency: latency(&meter),
+            latency: latency_histogram(&meter),
             outcomes: counter(
                 &meter,
                 "gentiansill_lookups",
@@ -60,8 +60,8 @@
         })
     }
 
-    /// Notes the end of a lookup.
-    pub(crate) fn lookup(
+    /// Records the latency, outcome and coverage of a finished lookup.
+    pub(crate) fn record_lookup(
         &self,
         front: &FrontName,
         lookup: &LookupName,
@@ -74,11 +74,11 @@
             Outcome::NotRun(r) => ("not-run", r.reason.into()),
             Outcome::Unknown(r) => ("unknown", r.reason.into()),
         };
-        // Names that nobody declared would let callers add series at will.
+        // Undeclared names are not used as labels: callers could otherwise create any number of series.
         let name = if is_declared {
             format!("{front}/{lookup}")
         } else {
-            UNDECLARED.to_owned()
+            UNDECLARED_LABEL.to_owned()
         };
         let by = [
             KeyValue::new("lookup", name),
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The scrape, with the decisions' own counts as they are now.
+    /// Returns the text of a scrape, with the current counters of the state machines.
     pub(crate) fn text(&self, dumps: &Dumps) -> String {
         let engine = lock(&dumps.engine);
         let c = engine.counters().clone();
@@ -129,35 +129,41 @@
             ("platform-calls", platform.total()),
         ];
         let open: u32 = pool.open.iter().map(|(_, n)| n).sum();
-        let view = dumps.board.view();
+        let view = dumps.state.view();
         let live = view.map_or(0, |v| v.live().count());
-        let version = lock(&dumps.book).config().map_or(0, |c| c.version.0);
+        let version = lock(&dumps.config_manager)
+            .config()
+            .map_or(0, |c| c.version.0);
         let states = [
             ("lookups-in-flight", in_flight as f64),
             ("connections-open", f64::from(open)),
             ("members-live", live as f64),
             ("config-version", version as f64),
-            ("ready", f64::from(u8::from(dumps.ready()))),
+            ("ready", f64::from(u8::from(dumps.is_ready()))),
         ];
         self.scrape.text(&totals, &states)
     }
 }
 
-/// Whose metrics they are.
-pub(crate) struct Vm<'a> {
+/// The VM whose metrics these are.
+pub(crate) struct VmLabels<'a> {
     pub(crate) name: &'a VmId,
     pub(crate) data_centre: &'a DataCentre,
 }
 
-fn latency(meter: &Meter) -> Histogram<f64> {
+/// Creates the histogram of lookup latencies.
+fn latency_histogram(meter: &Meter) -> Histogram<f64> {
     meter
         .f64_histogram("gentiansill_lookup_latency")
         .with_unit("s")
         .with_description("Time from a lookup's arrival to its outcome.")
-        .with_boundaries(LATENCY.to_vec())
+        .with_boundaries(LATENCY_BOUNDS_S.to_vec())
         .build()
 }
 
-fn counter(meter: &Meter, name: &'static str, about: &'static str) -> Counter<u64> {
-    meter.u64_counter(name).with_description(about).build()
+fn counter(meter: &Meter, name: &'static str, description: &'static str) -> Counter<u64> {
+    meter
+        .u64_counter(name)
+        .with_description(description)
+        .build()
 }
--- a/crates/node/src/once_shell.rs
+++ b/crates/node/src/once_shell.rs
@@ -1,4 +1,4 @@
-//! Carries out what the claims ask for.
+//! The I/O driver (shell) of the claims: performs their actions.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 use gs_once::Event;
 use gs_once::Once;
 
-use crate::calls::Calls;
-use crate::calls::failure;
-use crate::calls::stored;
 use crate::feeds::Feeds;
 use crate::message::Message;
-use crate::spread::Spread;
+use crate::peer_sender::PeerSender;
+use crate::platform_calls::PlatformCalls;
+use crate::platform_calls::store_error;
+use crate::platform_calls::to_stored;
 use gs_actor::EventTime;
 use gs_actor::Feed;
 use gs_actor::Machine;
@@ -31,11 +31,11 @@
     }
 }
 
-/// Carries out what the claims ask for.
+/// The I/O driver (shell) of the claims: performs their actions.
 pub(crate) struct OnceShell {
-    pub(crate) calls: Calls,
+    pub(crate) calls: PlatformCalls,
     pub(crate) feeds: Feeds,
-    pub(crate) spread: Spread,
+    pub(crate) peer_sender: PeerSender,
 }
 
 impl Shell<Once> for OnceShell {
@@ -43,7 +43,7 @@
         let feed = feed.clone();
         match action {
             Action::Read { path } => self.calls.read(path.clone(), move |r| {
-                let result = r.map(|o| o.map(stored)).map_err(|e| failure(&e));
+                let result = r.map(|o| o.map(to_stored)).map_err(|e| store_error(&e));
                 feed.push(Event::Read { path, result });
             }),
             Action::Write {
@@ -53,19 +53,21 @@
             } => {
                 self.calls
                     .write(path.clone(), if_version, content, move |r| {
-                        let result = r.map(|v| v.0).map_err(|e| failure(&e));
+                        let result = r.map(|v| v.0).map_err(|e| store_error(&e));
                         feed.push(Event::Wrote { path, result });
                     });
             }
             Action::Remove { path, if_version } => {
                 self.calls.delete(path.clone(), if_version, move |r| {
-                    let result = r.map(|_| ()).map_err(|e| failure(&e));
+                    let result = r.map(|_| ()).map_err(|e| store_error(&e));
                     feed.push(Event::Removed { path, result });
                 });
             }
-            Action::Send(vm, msg) => self.spread.send(&vm, &Message::Claim(msg)),
-            Action::Decision(seq, verdict) => {
-                self.feeds.engine.push(gs_query::Event::Claim(seq, verdict));
+            Action::Send(vm, msg) => self.peer_sender.send(&vm, &Message::Claim(msg)),
+            Action::Decision(seq, decision) => {
+                self.feeds
+                    .engine
+                    .push(gs_query::Event::Claim(seq, decision));
             }
             Action::Wake(after) => return Some(after),
         }
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! What the process offers to operators.
+//! The operations that a process offers to operators.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -22,19 +22,19 @@
 use serde_json::Value;
 use tokio::sync::oneshot;
 
-use crate::book_shell::Asks;
+use crate::config_manager_shell::PendingProposals;
 use crate::dumps::Dumps;
 use crate::metrics::Metrics;
 use gs_actor::Feed;
 use gs_actor::Shared;
 use gs_actor::lock;
 
-/// What the process offers to operators.
-pub(crate) struct Operators {
-    pub(crate) book: Shared<ConfigManager>,
+/// The operations of this process for operators, which the admin interface calls.
+pub(crate) struct OperatorApi {
+    pub(crate) config_manager: Shared<ConfigManager>,
     pub(crate) feed: Feed<Event>,
-    pub(crate) asks: Arc<Asks>,
-    pub(crate) next: AtomicU64,
+    pub(crate) proposals: Arc<PendingProposals>,
+    pub(crate) next_call: AtomicU64,
     pub(crate) platform: Arc<dyn Platform>,
     pub(crate) dumps: Arc<Dumps>,
     pub(crate) metrics: Arc<Metrics>,
@@ -42,24 +42,28 @@
 }
 
 #[async_trait]
-impl Fleet for Operators {
+impl Fleet for OperatorApi {
     async fn propose(&self, team: TeamName, patch: Patch, dry_run: bool) -> PatchOutcome {
-        let ask = CallId(self.next.fetch_add(1, Ordering::Relaxed));
+        let call = CallId(self.next_call.fetch_add(1, Ordering::Relaxed));
         let (tx, rx) = oneshot::channel();
-        self.asks.insert(ask, tx);
+        self.proposals.insert(call, tx);
         self.feed.push(Event::Propose {
-            ask,
+            ask: call,
             team,
             patch,
             dry_run,
         });
         rx.await.unwrap_or_else(|_| PatchOutcome::Undecided {
-            error: Error::new(ErrorKind::Unknown, "the process ended first").at("propose"),
+            error: Error::new(
+                ErrorKind::Unknown,
+                "the process exited before the outcome of the patch was known",
+            )
+            .at("propose"),
         })
     }
 
     fn config(&self) -> Option<Arc<Config>> {
-        lock(&self.book).config().cloned()
+        lock(&self.config_manager).config().cloned()
     }
 
     async fn version(&self, version: ConfVersion) -> Result<Option<Arc<Config>>> {
@@ -75,7 +79,7 @@
     }
 
     fn settled(&self) -> Vec<DecidedPatch> {
-        lock(&self.book).decided_patches().to_vec()
+        lock(&self.config_manager).decided_patches().to_vec()
     }
 
     async fn history(&self) -> Result<Vec<HistoryEntry>> {
@@ -91,7 +95,7 @@
     }
 
     fn fleet(&self) -> Vec<VmStatus> {
-        lock(&self.book).fleet(self.clock.now())
+        lock(&self.config_manager).fleet(self.clock.now())
     }
 
     fn status(&self) -> Value {
@@ -99,11 +103,11 @@
     }
 
     fn dump(&self) -> Value {
-        self.dumps.own()
+        self.dumps.own_state()
     }
 
     async fn fleet_dump(&self) -> Value {
-        self.dumps.fleet().await
+        self.dumps.fleet_states().await
     }
 
     fn metrics(&self) -> String {
@@ -111,6 +115,6 @@
     }
 
     fn ready(&self) -> bool {
-        self.dumps.ready()
+        self.dumps.is_ready()
     }
 }
--- a/crates/node/src/options.rs
+++ b/crates/node/src/options.rs
@@ -1,4 +1,4 @@
-//! What each part of the process is told of the settings.
+//! Creates the components of a process, or their options, from the settings.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,22 +29,23 @@
 use crate::message::Message;
 use crate::recording::Recording;
 
-/// The longest that a caller's kept connection may be idle.
-const CALLER_IDLE: Duration = Duration::from_secs(60);
+/// The longest time that a caller's kept-alive connection may be idle.
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Messages that arrive from other VMs.
+/// The channel of messages from other VMs.
 pub(crate) type Inbox = mpsc::Receiver<gs_mesh::Received<Message>>;
 
-/// The settings, and what is drawn once at the start.
-pub(crate) struct Start {
+/// The settings, and the values that are fixed once at the start of the process.
+pub(crate) struct StartContext {
     pub(crate) settings: Settings,
     pub(crate) incarnation: Incarnation,
     pub(crate) seed: u64,
     pub(crate) clock: Arc<dyn Clock>,
 }
 
-impl Start {
-    /// Draws the incarnation from the time of day, which no earlier run on this VM had.
+impl StartContext {
+    /// Sets the incarnation to the time of day in milliseconds, which differs from that of every earlier process on
+    /// this VM. Without a configured seed, the seed is the same number.
     pub(crate) fn new(settings: Settings, clock: Arc<dyn Clock>) -> Self {
         let since = clock
             .wall()
@@ -60,11 +61,13 @@
         }
     }
 
+    /// Returns the name of this VM.
     pub(crate) fn vm(&self) -> VmId {
         self.settings.vm.name.clone()
     }
 
-    pub(crate) fn platform(&self) -> Arc<dyn Platform> {
+    /// Creates the client of the platform.
+    pub(crate) fn new_platform(&self) -> Arc<dyn Platform> {
         let options = HttpPlatformOptions::builder()
             .addr(self.settings.platform.addr)
             .maybe_source(self.settings.source.ip)
@@ -77,7 +80,8 @@
         Arc::new(HttpPlatform::new(options))
     }
 
-    pub(crate) fn mesh(&self) -> Result<(Arc<dyn Mesh<Message>>, Inbox)> {
+    /// Starts the mesh; returns it with the channel of incoming messages.
+    pub(crate) fn start_mesh(&self) -> Result<(Arc<dyn Mesh<Message>>, Inbox)> {
         let cfg = MeshSettings::builder()
             .vm(self.settings.vm.name.clone())
             .incarnation(self.incarnation)
@@ -89,6 +93,7 @@
         Ok((Arc::new(mesh), rx))
     }
 
+    /// Returns the options of the query engine.
     fn engine_options(&self) -> EngineOptions {
         EngineOptions {
             policy: match self.settings.tuning.policy {
@@ -101,7 +106,8 @@
         }
     }
 
-    pub(crate) fn engine(&self) -> Result<Engine> {
+    /// Creates the query engine.
+    pub(crate) fn new_engine(&self) -> Result<Engine> {
         Engine::builder()
             .vm(self.settings.vm.name.clone())
             .incarnation(self.incarnation)
@@ -111,7 +117,8 @@
             .build()
     }
 
-    pub(crate) fn recording(&self) -> Result<Recording> {
+    /// Starts the recording if the settings name a file; returns an inactive one otherwise.
+    pub(crate) fn start_recording(&self) -> Result<Recording> {
         let Some(file) = &self.settings.record.file else {
             return Ok(Recording::default());
         };
@@ -125,7 +132,8 @@
         Recording::start(file, &header, self.clock.now())
     }
 
-    pub(crate) fn book(&self) -> Result<ConfigManager> {
+    /// Creates the configuration manager.
+    pub(crate) fn new_config_manager(&self) -> Result<ConfigManager> {
         let bootstrap = self
             .settings
             .bootstrap
@@ -143,7 +151,8 @@
         ConfigManager::new(options)
     }
 
-    pub(crate) fn member(&self) -> MemberSettings {
+    /// Returns the settings of the membership.
+    pub(crate) fn membership_settings(&self) -> MemberSettings {
         let me = gs_member::VmEntry {
             vm: self.settings.vm.name.clone(),
             data_centre: self.settings.vm.data_centre.clone(),
@@ -161,7 +170,8 @@
             .build()
     }
 
-    pub(crate) fn once(&self) -> OnceSettings {
+    /// Returns the settings of the claims.
+    pub(crate) fn once_settings(&self) -> OnceSettings {
         OnceSettings::builder()
             .vm(self.settings.vm.name.clone())
             .incarnation(self.incarnation)
@@ -170,16 +180,18 @@
             .build()
     }
 
+    /// Returns the limits of callers' connections.
     pub(crate) fn caller_limits(&self) -> Limits {
         Limits {
             headers: usize::try_from(self.settings.callers.headers.0).unwrap_or(usize::MAX),
             header_timeout: self.settings.callers.header_timeout,
-            idle_timeout: CALLER_IDLE,
+            idle_timeout: CALLER_IDLE_TIMEOUT,
             connections: self.settings.callers.connections.0 as usize,
         }
     }
 
-    pub(crate) fn pool(&self) -> PoolOptions {
+    /// Returns the options of the connections to backend servers.
+    pub(crate) fn pool_options(&self) -> PoolOptions {
         PoolOptions::builder()
             .maybe_source(self.settings.source.ip)
             .connect_timeout(self.settings.servers.connect_timeout)
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/platform_calls.rs
@@ -1,4 +1,4 @@
-//! Makes the decisions' calls to the platform, each in a task of its own.
+//! Calls the platform for the state machines, each call in its own task.
 
 use std::sync::Arc;
 
@@ -8,8 +8,8 @@
 use gs_store::Version;
 use gs_types::prelude::*;
 
-/// Why a call gave nothing, as decisions take it.
-pub(crate) fn failure(e: &Error) -> StoreError {
+/// Converts the error of a call to the platform for the state machines.
+pub(crate) fn store_error(e: &Error) -> StoreError {
     match e.kind() {
         ErrorKind::Conflict => StoreError::Conflict,
         ErrorKind::Unknown => StoreError::Lost,
@@ -17,19 +17,20 @@
     }
 }
 
-/// An object, as decisions take it.
-pub(crate) fn stored(o: Object) -> Stored {
+/// Converts an object of the platform for the state machines.
+pub(crate) fn to_stored(o: Object) -> Stored {
     Stored {
         version: o.version.0,
         content: o.content.to_vec(),
     }
 }
 
-/// Makes calls to the platform and hands each result to a function.
+/// Calls the platform and passes each result to a function.
 #[derive(Clone)]
-pub(crate) struct Calls(pub(crate) Arc<dyn Platform>);
+pub(crate) struct PlatformCalls(pub(crate) Arc<dyn Platform>);
 
-impl Calls {
+impl PlatformCalls {
+    /// Reads an object.
     pub(crate) fn read(
         &self,
         path: String,
@@ -39,6 +40,7 @@
         tokio::spawn(async move { done(platform.read(&path).await) });
     }
 
+    /// Writes an object if it still has the version `if_version`.
     pub(crate) fn write(
         &self,
         path: String,
@@ -56,6 +58,7 @@
         });
     }
 
+    /// Deletes an object if it still has the version `if_version`.
     pub(crate) fn delete(
         &self,
         path: String,
@@ -66,7 +69,7 @@
         tokio::spawn(async move { done(platform.delete(&path, Version(if_version)).await) });
     }
 
-    /// Deletes an object whatever its version; a failure leaves it for the next time.
+    /// Deletes an object at any version; after a failure, it stays until the next call.
     pub(crate) fn prune(&self, path: String) {
         let platform = Arc::clone(&self.0);
         tokio::spawn(async move {
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -1,4 +1,4 @@
-//! One process, put together.
+//! Assembles the components of one process.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -21,31 +21,31 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-use crate::board::Board;
-use crate::book_shell::Asks;
-use crate::book_shell::BookShell;
-use crate::calls::Calls;
-use crate::desk::NodeDesk;
-use crate::desk::Pending;
-use crate::dumps::Asked;
+use crate::config_manager_shell::ConfigManagerShell;
+use crate::config_manager_shell::PendingProposals;
 use crate::dumps::Dumps;
+use crate::dumps::FleetDumpRequests;
+use crate::engine_client::EngineClient;
+use crate::engine_client::PendingLookups;
 use crate::engine_shell::EngineShell;
 use crate::engine_shell::EngineSink;
 use crate::feeds::Feeds;
 use crate::inbox;
-use crate::member_shell::MemberShell;
+use crate::membership_shell::MembershipShell;
 use crate::message::Message;
 use crate::metrics::Metrics;
-use crate::metrics::Vm;
+use crate::metrics::VmLabels;
 use crate::once_shell::OnceShell;
-use crate::operators::Operators;
+use crate::operator_api::OperatorApi;
 use crate::options::Inbox;
-use crate::options::Start;
-use crate::poll;
+use crate::options::StartContext;
+use crate::peer_sender::PeerSender;
+use crate::platform_calls::PlatformCalls;
+use crate::platform_watcher::PlatformWatcher;
 use crate::recording::Recording;
-use crate::shutdown::Leaver;
-use crate::spread::Spread;
-use crate::watch::Follower;
+use crate::server_poll;
+use crate::shared_state::SharedState;
+use crate::shutdown::GracefulShutdown;
 use gs_actor::Shared;
 use gs_actor::UnstartedActor;
 
@@ -56,12 +56,12 @@
 }
 
 impl Listeners {
-    /// Binds both.
+    /// Binds both addresses.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Io`] with the address that is not to be had.
-    pub(crate) async fn bind(start: &Start) -> Result<Self> {
+    /// [`ErrorKind::Io`] with the address that cannot be bound.
+    pub(crate) async fn bind(start: &StartContext) -> Result<Self> {
         Ok(Self {
             callers: listen(start.settings.listen.callers, "callers").await?,
             operators: listen(start.settings.listen.admin, "operators").await?,
@@ -69,100 +69,110 @@
     }
 }
 
-/// One process: its decisions, and what they share.
+/// One process: its state machines, and what they share.
 pub(crate) struct Process {
-    start: Start,
+    start: StartContext,
     machines: Machines,
     feeds: Feeds,
-    board: Arc<Board>,
+    state: Arc<SharedState>,
     platform: Arc<dyn Platform>,
     mesh: Arc<dyn Mesh<Message>>,
-    spread: Spread,
+    peer_sender: PeerSender,
     pool: Arc<Pool>,
-    pending: Arc<Pending>,
-    asks: Arc<Asks>,
+    pending: Arc<PendingLookups>,
+    proposals: Arc<PendingProposals>,
     metrics: Arc<Metrics>,
     recording: Arc<Recording>,
 }
 
-/// The decisions, shared between their actors and the readers of dumps.
+/// The state machines, shared between their actors and the readers of their state.
 struct Machines {
     engine: Shared<Engine>,
-    book: Shared<ConfigManager>,
-    member: Shared<Membership>,
+    config_manager: Shared<ConfigManager>,
+    membership: Shared<Membership>,
     once: Shared<Once>,
 }
 
-/// The decisions' mailboxes, before their actors start.
+/// The actors of the state machines, before they start.
 struct UnstartedActors {
     engine: UnstartedActor<Engine, EngineShell>,
-    book: UnstartedActor<ConfigManager, BookShell>,
-    member: UnstartedActor<Membership, MemberShell>,
+    config_manager: UnstartedActor<ConfigManager, ConfigManagerShell>,
+    membership: UnstartedActor<Membership, MembershipShell>,
     once: UnstartedActor<Once, OnceShell>,
 }
 
 impl Process {
-    /// Starts the decisions and everything that feeds them; takes no lookups yet.
+    /// Starts the state machines and the polling of backend servers; accepts no lookups yet.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Io`] if the mesh's address is not to be had or the recording cannot be written.
-    pub(crate) fn start(start: Start) -> Result<(Self, Inbox)> {
+    /// [`ErrorKind::Io`] if the mesh's address cannot be bound or the recording cannot be written.
+    pub(crate) fn start(start: StartContext) -> Result<(Self, Inbox)> {
         let actors = UnstartedActors {
             engine: UnstartedActor::new(),
-            book: UnstartedActor::new(),
-            member: UnstartedActor::new(),
+            config_manager: UnstartedActor::new(),
+            membership: UnstartedActor::new(),
             once: UnstartedActor::new(),
         };
         let feeds = actors.feeds();
-        let board = Arc::new(Board::default());
-        let (mesh, inbox) = start.mesh()?;
+        let state = Arc::new(SharedState::default());
+        let (mesh, inbox) = start.start_mesh()?;
         let sink = EngineSink(feeds.engine.clone());
         let vm = &start.settings.vm;
-        let metrics = Metrics::new(&Vm {
+        let metrics = Metrics::new(&VmLabels {
             name: &vm.name,
             data_centre: &vm.data_centre,
         })?;
         let this = Self {
             machines: Machines::new(&start)?,
-            spread: Spread::new(Arc::clone(&mesh), Arc::clone(&board)),
-            pool: Arc::new(Pool::new(start.pool(), Arc::new(sink))),
-            platform: start.platform(),
-            recording: Arc::new(start.recording()?),
+            peer_sender: PeerSender::new(Arc::clone(&mesh), Arc::clone(&state)),
+            pool: Arc::new(Pool::new(start.pool_options(), Arc::new(sink))),
+            platform: start.new_platform(),
+            recording: Arc::new(start.start_recording()?),
             metrics: Arc::new(metrics),
             pending: Arc::default(),
-            asks: Arc::default(),
+            proposals: Arc::default(),
             start,
             feeds,
-            board,
+            state,
             mesh,
         };
-        this.run(actors);
+        this.start_actors(actors);
         Ok((this, inbox))
     }
 
-    /// Takes lookups and operators' calls; gives what ends the process.
+    /// Begins to follow the platform and to accept lookups and operators' calls.
+    ///
+    /// Returns the admin interface and the graceful shutdown of the process.
     ///
     /// # Errors
     ///
     /// [`ErrorKind::Io`] if a listener has no address.
-    pub(crate) fn open(&self, listeners: Listeners, inbox: Inbox) -> Result<(Admin, Leaver)> {
+    pub(crate) fn open(
+        &self,
+        listeners: Listeners,
+        inbox: Inbox,
+    ) -> Result<(Admin, GracefulShutdown)> {
         let settings = &self.start.settings;
         let server = Server::new(listeners.callers, self.start.caller_limits());
         let callers = server.state();
         let dumps = Arc::new(self.dumps(Arc::clone(&callers)));
-        let follower = self.follower();
-        follower.clone().start();
-        tokio::spawn(inbox::run(inbox, follower, Arc::clone(&dumps)));
+        let watcher = self.platform_watcher();
+        watcher.clone().start();
+        tokio::spawn(inbox::run(inbox, watcher, Arc::clone(&dumps)));
         let admin = self.admin(listeners.operators, dumps)?;
         let (stop, stopped) = watch::channel(false);
         let body = usize::try_from(settings.callers.body.0).unwrap_or(usize::MAX);
-        let handler = Callers::new(Arc::new(self.desk()), body, settings.callers.body_timeout);
+        let handler = Callers::new(
+            Arc::new(self.engine_client()),
+            body,
+            settings.callers.body_timeout,
+        );
         let serving = tokio::spawn(server.run(Arc::new(handler), stopped));
-        let leaver = Leaver {
+        let shutdown = GracefulShutdown {
             cfg: settings.shutdown.clone(),
             clock: Arc::clone(&self.start.clock),
-            board: Arc::clone(&self.board),
+            state: Arc::clone(&self.state),
             feeds: self.feeds.clone(),
             engine: Arc::clone(&self.machines.engine),
             pool: Arc::clone(&self.pool),
@@ -170,34 +180,37 @@
             stop,
             serving,
         };
-        Ok((admin, leaver))
+        Ok((admin, shutdown))
     }
 
     /// Ends the recording, if there is one.
-    pub(crate) fn finish(&self) {
+    pub(crate) fn finish_recording(&self) {
         self.recording.finish();
     }
 
-    fn run(&self, actors: UnstartedActors) {
+    /// Starts the actors and the polling of backend servers.
+    fn start_actors(&self, actors: UnstartedActors) {
         let clock = || Arc::clone(&self.start.clock);
         let m = &self.machines;
         actors
             .engine
             .start(Arc::clone(&m.engine), self.engine_shell(), clock());
+        actors.config_manager.start(
+            Arc::clone(&m.config_manager),
+            self.config_manager_shell(),
+            clock(),
+        );
         actors
-            .book
-            .start(Arc::clone(&m.book), self.book_shell(), clock());
-        actors
-            .member
-            .start(Arc::clone(&m.member), self.member_shell(), clock());
+            .membership
+            .start(Arc::clone(&m.membership), self.membership_shell(), clock());
         actors
             .once
             .start(Arc::clone(&m.once), self.once_shell(), clock());
-        self.feeds.book.push(gs_conf::Event::Start);
-        self.feeds.member.push(gs_member::Event::Tick);
-        tokio::spawn(poll::run(
+        self.feeds.config_manager.push(gs_conf::Event::Start);
+        self.feeds.membership.push(gs_member::Event::Tick);
+        tokio::spawn(server_poll::run(
             Arc::clone(&self.pool),
-            Arc::clone(&self.board),
+            Arc::clone(&self.state),
             self.feeds.engine.clone(),
             self.start.settings.servers.poll,
         ));
@@ -207,30 +220,30 @@
         EngineShell {
             pool: Arc::clone(&self.pool),
             pending: Arc::clone(&self.pending),
-            board: Arc::clone(&self.board),
+            state: Arc::clone(&self.state),
             feeds: self.feeds.clone(),
-            spread: self.spread.clone(),
+            peer_sender: self.peer_sender.clone(),
             recording: Arc::clone(&self.recording),
         }
     }
 
-    fn book_shell(&self) -> BookShell {
-        BookShell {
+    fn config_manager_shell(&self) -> ConfigManagerShell {
+        ConfigManagerShell {
             calls: self.calls(),
             feeds: self.feeds.clone(),
-            spread: self.spread.clone(),
-            asks: Arc::clone(&self.asks),
+            peer_sender: self.peer_sender.clone(),
+            proposals: Arc::clone(&self.proposals),
         }
     }
 
-    fn member_shell(&self) -> MemberShell {
-        MemberShell {
+    fn membership_shell(&self) -> MembershipShell {
+        MembershipShell {
             calls: self.calls(),
             feeds: self.feeds.clone(),
-            spread: self.spread.clone(),
+            peer_sender: self.peer_sender.clone(),
             mesh: Arc::clone(&self.mesh),
             pool: Arc::clone(&self.pool),
-            board: Arc::clone(&self.board),
+            state: Arc::clone(&self.state),
         }
     }
 
@@ -238,34 +251,34 @@
         OnceShell {
             calls: self.calls(),
             feeds: self.feeds.clone(),
-            spread: self.spread.clone(),
+            peer_sender: self.peer_sender.clone(),
         }
     }
 
-    fn calls(&self) -> Calls {
-        Calls(Arc::clone(&self.platform))
+    fn calls(&self) -> PlatformCalls {
+        PlatformCalls(Arc::clone(&self.platform))
     }
 
-    fn follower(&self) -> Follower {
-        Follower {
+    fn platform_watcher(&self) -> PlatformWatcher {
+        PlatformWatcher {
             platform: Arc::clone(&self.platform),
             feeds: self.feeds.clone(),
-            board: Arc::clone(&self.board),
-            spread: self.spread.clone(),
+            state: Arc::clone(&self.state),
+            peer_sender: self.peer_sender.clone(),
             seed: self.start.seed,
-            wait: self.start.settings.platform.watch_wait,
-            book: Arc::clone(&self.machines.book),
+            watch_wait: self.start.settings.platform.watch_wait,
+            config_manager: Arc::clone(&self.machines.config_manager),
         }
     }
 
-    fn desk(&self) -> NodeDesk {
-        NodeDesk {
+    fn engine_client(&self) -> EngineClient {
+        EngineClient {
             vm: self.start.vm(),
             incarnation: self.start.incarnation,
-            next: AtomicU64::new(1),
+            next_seq: AtomicU64::new(1),
             pending: Arc::clone(&self.pending),
             engine: self.feeds.engine.clone(),
-            book: Arc::clone(&self.machines.book),
+            config_manager: Arc::clone(&self.machines.config_manager),
             metrics: Arc::clone(&self.metrics),
             clock: Arc::clone(&self.start.clock),
         }
@@ -277,25 +290,25 @@
             incarnation: self.start.incarnation,
             clock: Arc::clone(&self.start.clock),
             engine: Arc::clone(&self.machines.engine),
-            book: Arc::clone(&self.machines.book),
-            member: Arc::clone(&self.machines.member),
+            config_manager: Arc::clone(&self.machines.config_manager),
+            membership: Arc::clone(&self.machines.membership),
             once: Arc::clone(&self.machines.once),
             pool: Arc::clone(&self.pool),
             callers,
-            board: Arc::clone(&self.board),
+            state: Arc::clone(&self.state),
             mesh: Arc::clone(&self.mesh),
             platform: Arc::clone(&self.platform),
-            spread: self.spread.clone(),
-            asked: Asked::default(),
+            peer_sender: self.peer_sender.clone(),
+            fleet_dump_requests: FleetDumpRequests::default(),
         }
     }
 
     fn admin(&self, listener: TcpListener, dumps: Arc<Dumps>) -> Result<Admin> {
-        let fleet = Operators {
-            book: Arc::clone(&self.machines.book),
-            feed: self.feeds.book.clone(),
-            asks: Arc::clone(&self.asks),
-            next: AtomicU64::new(1),
+        let fleet = OperatorApi {
+            config_manager: Arc::clone(&self.machines.config_manager),
+            feed: self.feeds.config_manager.clone(),
+            proposals: Arc::clone(&self.proposals),
+            next_call: AtomicU64::new(1),
             platform: Arc::clone(&self.platform),
             dumps,
             metrics: Arc::clone(&self.metrics),
@@ -310,12 +323,12 @@
 }
 
 impl Machines {
-    fn new(start: &Start) -> Result<Self> {
+    fn new(start: &StartContext) -> Result<Self> {
         Ok(Self {
-            engine: shared(start.engine()?),
-            book: shared(start.book()?),
-            member: shared(Membership::new(start.member())?),
-            once: shared(Once::new(start.once())?),
+            engine: shared(start.new_engine()?),
+            config_manager: shared(start.new_config_manager()?),
+            membership: shared(Membership::new(start.membership_settings())?),
+            once: shared(Once::new(start.once_settings())?),
         })
     }
 }
@@ -324,8 +337,8 @@
     fn feeds(&self) -> Feeds {
         Feeds {
             engine: self.engine.feed(),
-            book: self.book.feed(),
-            member: self.member.feed(),
+            config_manager: self.config_manager.feed(),
+            membership: self.membership.feed(),
             once: self.once.feed(),
         }
     }
--- a/crates/node/src/recording.rs
+++ b/crates/node/src/recording.rs
@@ -1,4 +1,4 @@
-//! Records the engine's events if the settings ask for it.
+//! Records the events and actions of the query engine if the settings enable it.
 
 use std::fs::File;
 use std::path::Path;
@@ -13,12 +13,12 @@
 
 use gs_actor::lock;
 
-/// A recording under way, or none.
+/// A recording in progress, or none.
 #[derive(Default)]
 pub(crate) struct Recording(Mutex<Option<Recorder>>);
 
 impl Recording {
-    /// Starts to record into `file`; `now` is the trace's time zero.
+    /// Starts recording to `file`; `now` is time zero of the trace.
     ///
     /// # Errors
     ///
@@ -32,21 +32,21 @@
         Ok(Self(Mutex::new(Some(Recorder::start(out, header, now)?))))
     }
 
-    /// Records one event just before the engine takes it.
-    pub(crate) fn event(&self, now: Instant, ev: &Event) {
+    /// Records one event; called just before the engine processes it.
+    pub(crate) fn record_event(&self, now: Instant, ev: &Event) {
         if let Some(recorder) = lock(&self.0).as_mut() {
             recorder.record(now, ev);
         }
     }
 
-    /// Records what the engine did about it.
-    pub(crate) fn acted(&self, action: &Action) {
+    /// Records one action of the engine.
+    pub(crate) fn record_action(&self, action: &Action) {
         if let Some(recorder) = lock(&self.0).as_mut() {
             recorder.acted(action);
         }
     }
 
-    /// Ends the recording and waits until all is written.
+    /// Ends the recording and waits until it is written completely.
     pub(crate) fn finish(&self) {
         let Some(recorder) = lock(&self.0).take() else {
             return;
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -1,4 +1,4 @@
-//! Runs a process from its settings to its graceful end.
+//! Runs a process from its settings to its graceful shutdown.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,36 +7,36 @@
 use gs_settings::Settings;
 use gs_types::prelude::*;
 
-use crate::options::Start;
+use crate::options::StartContext;
 use crate::process::Listeners;
 use crate::process::Process;
 use crate::shutdown;
 
-/// The longest that the operators' interface may take to finish its calls.
-const ADMIN_STOP_MAX: Duration = Duration::from_secs(1);
+/// The longest time that the operators' interface may take to finish its calls.
+const ADMIN_STOP_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Runs a process until it is told to leave by SIGTERM or SIGINT and has finished its work.
+/// Runs a process until it has received SIGTERM or SIGINT and has shut down gracefully.
 ///
 /// # Errors
 ///
-/// [`ErrorKind::Io`] if an address cannot be listened on; [`ErrorKind::BadInput`] if a setting does
-/// not fit another. Each names the step and the address.
+/// [`ErrorKind::Io`] if an address cannot be bound; [`ErrorKind::BadInput`] if two settings contradict each other.
+/// Each error names the step and the address.
 pub async fn serve(settings: Settings) -> Result<()> {
-    let start = Start::new(settings, Arc::new(SystemClock));
+    let start = StartContext::new(settings, Arc::new(SystemClock));
     let (vm, incarnation) = (start.vm(), start.incarnation);
     log::info!(
         "event=start vm={vm} incarnation={incarnation} seed={}",
         start.seed
     );
-    let told = shutdown::Signals::install()?;
+    let stop_signals = shutdown::StopSignals::install()?;
     let listeners = Listeners::bind(&start).await?;
     let (process, inbox) = Process::start(start)?;
-    let (admin, leaver) = process.open(listeners, inbox)?;
-    told.first().await;
-    leaver.leave().await;
-    // An operator's client that never reads its answer must not keep the process.
-    let _ = tokio::time::timeout(ADMIN_STOP_MAX, admin.stop()).await;
-    process.finish();
+    let (admin, shutdown) = process.open(listeners, inbox)?;
+    stop_signals.recv().await;
+    shutdown.run().await;
+    // An operator's client that never reads its response must not keep the process from exiting.
+    let _ = tokio::time::timeout(ADMIN_STOP_TIMEOUT, admin.stop()).await;
+    process.finish_recording();
     log::info!("event=exit vm={vm} incarnation={incarnation}");
     Ok(())
 }
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The graceful end of a process: no request cut, no share kept.
+//! Graceful shutdown of a process: finishes the lookups in flight and releases its shares of connections.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,22 +15,22 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use crate::board::Board;
 use crate::feeds::Feeds;
+use crate::shared_state::SharedState;
 use gs_actor::Shared;
 use gs_actor::lock;
 
-/// How often it is looked whether everything has finished.
-const LOOK: Duration = Duration::from_millis(10);
+/// The time between two checks whether lookups are in flight or connections are open.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The longest that giving shares back may take, once nothing is in flight.
-const RELEASE_MAX: Duration = Duration::from_millis(700);
+/// The longest time that releasing the shares of connections may take, once no lookup is in flight.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Ends a process.
-pub(crate) struct Leaver {
+/// The graceful shutdown of a process.
+pub(crate) struct GracefulShutdown {
     pub(crate) cfg: Shutdown,
     pub(crate) clock: Arc<dyn Clock>,
-    pub(crate) board: Arc<Board>,
+    pub(crate) state: Arc<SharedState>,
     pub(crate) feeds: Feeds,
     pub(crate) engine: Shared<Engine>,
     pub(crate) pool: Arc<Pool>,
@@ -39,17 +39,17 @@
     pub(crate) serving: JoinHandle<()>,
 }
 
-/// The signals that tell a process to leave: SIGTERM and SIGINT.
+/// The signals that request a shutdown: SIGTERM and SIGINT.
 ///
-/// They are installed before the process listens. A signal that comes earlier would otherwise end it
-/// at once, and one that comes again while it leaves must change nothing: only the deadline cuts.
-pub(crate) struct Signals {
+/// The handlers are installed before the process listens, because an earlier signal would kill it at
+/// once. Further signals during the shutdown have no effect: only the deadline ends it early.
+pub(crate) struct StopSignals {
     term: Signal,
     int: Signal,
 }
 
-impl Signals {
-    /// Begins to receive them.
+impl StopSignals {
+    /// Installs the signal handlers.
     ///
     /// # Errors
     ///
@@ -63,8 +63,8 @@
         })
     }
 
-    /// Waits for the first.
-    pub(crate) async fn first(mut self) {
+    /// Waits for the first signal.
+    pub(crate) async fn recv(mut self) {
         tokio::select! {
             _ = self.term.recv() => {}
             _ = self.int.recv() => {}
@@ -72,14 +72,15 @@
     }
 }
 
-impl Leaver {
-    /// Leaves: unready first, then a lag, then no new lookups, then the rest finished.
-    pub(crate) async fn leave(self) {
+impl GracefulShutdown {
+    /// Shuts down: first reports not ready, after a lag stops accepting connections, then waits for the lookups in
+    /// flight and releases the shares, until the deadline at the latest.
+    pub(crate) async fn run(self) {
         let start = self.clock.now();
         log::info!("event=leaving step=unready");
-        self.board.set_leaving();
+        self.state.set_leaving();
         self.callers.announce_close();
-        self.feeds.member.push(gs_member::Event::Leave);
+        self.feeds.membership.push(gs_member::Event::Leave);
         tokio::time::sleep(self.cfg.lag).await;
         log::info!("event=leaving step=stop-accepting");
         let _ = self.stop.send(true);
@@ -90,22 +91,25 @@
         }
     }
 
+    /// Waits for the lookups in flight, then releases the shares.
     async fn finish(self) {
         let _ = self.serving.await;
         self.feeds.engine.push(gs_query::Event::Leave);
         while lock(&self.engine).in_flight() > 0 {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        let _ = tokio::time::timeout(RELEASE_MAX, release(&self.pool, &self.feeds)).await;
+        let _ = tokio::time::timeout(RELEASE_TIMEOUT, release(&self.pool, &self.feeds)).await;
     }
 }
 
-/// Closes every connection to backend servers, then says so, for others to take the shares.
+/// Closes all connections to backend servers, then reports it, so that other VMs can use the shares.
+///
+/// The final wait leaves time to send the report; the caller's timeout of [`RELEASE_TIMEOUT`] ends it.
 async fn release(pool: &Pool, feeds: &Feeds) {
     pool.close();
     while !pool.within_shares() {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    feeds.member.push(gs_member::Event::Released);
-    tokio::time::sleep(RELEASE_MAX).await;
+    feeds.membership.push(gs_member::Event::Released);
+    tokio::time::sleep(RELEASE_TIMEOUT).await;
 }
