--- a/crates/actor/src/timer.rs
+++ b/crates/actor/src/timer.rs
@@ -7,8 +7,8 @@
 
 /// A timer that calls back at the earliest of the requested times.
 ///
-/// A request for a later time than the one already set is not passed to the timer's task. The call
-/// back then comes early, and the state machine sets the timer again. The many requests under load
+/// A request for a later time than the one already set is not passed to the timer's task. The
+/// callback then comes early, and the state machine sets the timer again. The many requests under load
 /// therefore cost almost nothing.
 pub struct Timer {
     armed: Option<Instant>,
@@ -23,7 +23,7 @@
         Self { armed: None, tx }
     }
 
-    /// Requests a call back after this duration at the latest.
+    /// Requests a callback after this duration at the latest.
     pub fn wake_in(&mut self, after: Duration) {
         let at = Instant::now() + after;
         if self.armed.is_none_or(|armed| at < armed) {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Clears the time that is set; to be called after each call back.
+    /// Clears the time that is set; to be called after each callback.
     pub fn clear(&mut self) {
         self.armed = None;
     }
--- a/crates/node/src/engine_shell.rs
+++ b/crates/node/src/engine_shell.rs
@@ -62,7 +62,7 @@
         match action {
             Action::Dispatch(d) => self.pool.dispatch(d),
             Action::Cancel(id) => self.pool.cancel(&id),
-            Action::Claim(ask) => self.feeds.once.push(gs_once::Event::ClaimRequested(ask)),
+            Action::Claim(claim) => self.feeds.once.push(gs_once::Event::ClaimRequested(claim)),
             Action::Answer(seq, outcome) => self.pending.complete(seq, outcome),
             Action::Wake(after) => return Some(after),
             Action::Warm(name, n) => {
--- a/crates/node/src/group_loading.rs
+++ b/crates/node/src/group_loading.rs
@@ -14,10 +14,11 @@
 
 /// Waits until this VM knows the shard maps, then records that in the shared state.
 ///
-/// If the platform is unreachable, the maps known to peers are sufficient. Otherwise, every listed map
-/// must be known. A single map that never becomes known must not keep the VM from serving. Such a map
-/// may have been removed since it was listed, so the list is read again. Or it may be unreadable, so
-/// peers are queried for the last valid one; after that, it is enough that its object was read.
+/// While the platform is unreachable and has not listed the maps, peers are queried for those that they
+/// know, and one received map is sufficient. Once the maps are listed, each of them must be known.
+/// A single map that never becomes known must not keep the VM from serving. Such a map may have been
+/// removed since it was listed, so the list is read again. Or it may be unreadable, so peers are
+/// queried for the last valid one; after that, it is enough that its object was read.
 pub(crate) async fn wait_for_groups(watcher: PlatformWatcher) {
     let mut listed: Option<Vec<String>> = None;
     let mut checks: u32 = 0;
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -29,7 +29,7 @@
 
 /// The instruments of one process.
 pub(crate) struct Metrics {
-    scrape: MetricsExporter,
+    exporter: MetricsExporter,
     latency: Histogram<f64>,
     outcomes: Counter<u64>,
     shards: Counter<u64>,
@@ -42,8 +42,8 @@
     ///
     /// [`ErrorKind::Io`] if the exporter cannot be registered.
     pub(crate) fn new(vm: &VmLabels<'_>) -> Result<Self> {
-        let scrape = MetricsExporter::new(vm.name, vm.data_centre, NAMES)?;
-        let meter = scrape.meter();
+        let exporter = MetricsExporter::new(vm.name, vm.data_centre, NAMES)?;
+        let meter = exporter.meter();
         Ok(Self {
             latency: latency_histogram(&meter),
             outcomes: counter(
@@ -56,7 +56,7 @@
                 "gentiansill_lookup_shards",
                 "Shards of answered lookups, by state.",
             ),
-            scrape,
+            exporter,
         })
     }
 
@@ -141,11 +141,11 @@
             ("config-version", version as f64),
             ("ready", f64::from(u8::from(dumps.is_ready()))),
         ];
-        self.scrape.text(&totals, &states)
+        self.exporter.text(&totals, &states)
     }
 }
 
-/// The VM whose metrics these are.
+/// The labels of the VM whose metrics are exported.
 pub(crate) struct VmLabels<'a> {
     pub(crate) name: &'a VmId,
     pub(crate) data_centre: &'a DataCentre,
@@ -161,6 +161,7 @@
         .build()
 }
 
+/// Creates a counter.
 fn counter(meter: &Meter, name: &'static str, description: &'static str) -> Counter<u64> {
     meter
         .u64_counter(name)
--- a/crates/node/src/server_poll.rs
+++ b/crates/node/src/server_poll.rs
@@ -11,10 +11,10 @@
 use gs_actor::Feed;
 
 /// The largest number of status calls in flight at the same time.
-const CONCURRENT_POLLS_MAX: usize = 32;
+const CONCURRENT_STATUS_CALLS_MAX: usize = 32;
 
 /// The timeout of one status call.
-const POLL_TIMEOUT: Duration = Duration::from_millis(300);
+const STATUS_CALL_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Polls all declared servers, again `interval` after each round, and closes the connections to servers that are no
 /// longer declared.
@@ -28,10 +28,10 @@
         let servers = state.servers();
         pool.retain(&|name| state.server(name).is_some());
         futures_util::stream::iter(servers)
-            .for_each_concurrent(CONCURRENT_POLLS_MAX, |s| {
+            .for_each_concurrent(CONCURRENT_STATUS_CALLS_MAX, |s| {
                 let (pool, engine) = (&pool, &engine);
                 async move {
-                    if let Some(report) = pool.report(&s, POLL_TIMEOUT).await {
+                    if let Some(report) = pool.report(&s, STATUS_CALL_TIMEOUT).await {
                         engine.push(Event::Report(report));
                     }
                 }
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -21,9 +21,10 @@
 use gs_actor::lock;
 
 /// The time between two checks whether lookups are in flight or connections are open.
-const POLL_INTERVAL: Duration = Duration::from_millis(10);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The longest time that releasing the shares of connections may take, once no lookup is in flight.
+/// The time for releasing the shares of connections, once no lookup is in flight. It is always used in full, so that the
+/// report of the release can be sent.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// The graceful shutdown of a process.
@@ -96,7 +97,7 @@
         let _ = self.serving.await;
         self.feeds.engine.push(gs_query::Event::Leave);
         while lock(&self.engine).in_flight() > 0 {
-            tokio::time::sleep(POLL_INTERVAL).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         let _ = tokio::time::timeout(RELEASE_TIMEOUT, release(&self.pool, &self.feeds)).await;
     }
@@ -104,11 +105,11 @@
 
 /// Closes all connections to backend servers, then reports it, so that other VMs can use the shares.
 ///
-/// The final wait leaves time to send the report; the caller's timeout of [`RELEASE_TIMEOUT`] ends it.
+/// Afterwards it waits until the timeout of [`RELEASE_TIMEOUT`] cancels it, so that the report can be sent.
 async fn release(pool: &Pool, feeds: &Feeds) {
     pool.close();
     while !pool.within_shares() {
-        tokio::time::sleep(POLL_INTERVAL).await;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     feeds.membership.push(gs_member::Event::Released);
     tokio::time::sleep(RELEASE_TIMEOUT).await;
--- a/crates/scrape/tests/scrape.rs
+++ b/crates/scrape/tests/scrape.rs
@@ -32,8 +32,8 @@
     );
 }
 
-/// Guards against a total that falls between scrapes, which makes computed rates jump: a state machine that is
-/// replaced counts from zero again.
+/// A state machine that is replaced counts from zero again. The exported total must not fall then, which would make
+/// computed rates jump.
 #[test]
 fn a_total_that_begins_anew_does_not_fall() {
     let exporter = exporter();
