--- a/crates/node/src/dumps.rs
+++ b/crates/node/src/dumps.rs
@@ -52,7 +52,7 @@
 /// The fleet dumps in progress, by the numbers under which peers are queried.
 #[derive(Default)]
 pub(crate) struct FleetDumpRequests {
-    next: AtomicU64,
+    next_id: AtomicU64,
     senders: Mutex<HashMap<u64, mpsc::UnboundedSender<(VmId, Value)>>>,
 }
 
@@ -166,7 +166,7 @@
 impl FleetDumpRequests {
     /// Registers a fleet dump; returns it with the channel on which the answers arrive.
     fn begin(&self) -> (FleetDumpRequest<'_>, mpsc::UnboundedReceiver<(VmId, Value)>) {
-        let id = self.next.fetch_add(1, Ordering::Relaxed);
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let (tx, rx) = mpsc::unbounded_channel();
         lock(&self.senders).insert(id, tx);
         (FleetDumpRequest { requests: self, id }, rx)
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -80,12 +80,12 @@
         } else {
             UNDECLARED_LABEL.to_owned()
         };
-        let by = [
+        let labels = [
             KeyValue::new("lookup", name),
             KeyValue::new("outcome", kind),
         ];
-        self.latency.record(took.as_secs_f64(), &by);
-        let [lookup, outcome_kind] = by;
+        self.latency.record(took.as_secs_f64(), &labels);
+        let [lookup, outcome_kind] = labels;
         self.outcomes.add(
             1,
             &[
