--- a/crates/actor/src/lib.rs
+++ b/crates/actor/src/lib.rs
@@ -1,24 +1,24 @@
-//! Runs a decision as an actor: events queue up in a [`Feed`], a driver hands them over.
+//! Runs a state machine as an actor that processes the events queued in a [`Feed`].
 //!
-//! A [`Machine`] is a state machine without I/O; a [`Shell`] carries its actions out. One `xtra`
-//! actor, made by a [`Slot`], joins them.
+//! A [`Machine`] is a state machine without I/O; a [`Shell`] (the I/O driver) performs its actions.
+//! One `xtra` actor, started from an [`UnstartedActor`], connects the two.
 
-mod driver;
 mod feed;
+mod machine_actor;
 mod timer;
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
 use std::sync::PoisonError;
 
-pub use driver::Machine;
-pub use driver::Shared;
-pub use driver::Shell;
-pub use driver::Slot;
-pub use driver::Times;
 pub use feed::Feed;
+pub use machine_actor::EventTime;
+pub use machine_actor::Machine;
+pub use machine_actor::Shared;
+pub use machine_actor::Shell;
+pub use machine_actor::UnstartedActor;
 
-/// Locks, also after a holder's panic: what is behind the lock is whole between two events.
+/// Locks a mutex, even a poisoned one: the data behind it is consistent between two events.
 pub fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
     m.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use gs_actor::lock;
-use gs_scrape::Names;
-use gs_scrape::Scrape;
+use gs_scrape::MetricsExporter;
+use gs_scrape::SeriesNames;
 use gs_types::prelude::*;
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::Counter;
@@ -13,39 +13,39 @@
 
 use crate::dumps::Dumps;
 
-/// Upper bounds of the latency histograms, in seconds.
-const LATENCY: [f64; 14] = [
+/// The upper bounds of the latency histogram's buckets, in seconds.
+const LATENCY_BOUNDS_S: [f64; 14] = [
     0.002, 0.005, 0.01, 0.015, 0.02, 0.03, 0.05, 0.075, 0.1, 0.15, 0.25, 0.5, 1.0, 5.0,
 ];
 
-/// The label of lookups whose name was found in no configuration.
-const UNDECLARED: &str = "undeclared";
+/// The label value for lookups that the current configuration does not declare.
+const UNDECLARED_LABEL: &str = "undeclared";
 
-/// The series of totals and states.
-const NAMES: Names = Names {
+/// The names of the series of totals and states.
+const NAMES: SeriesNames = SeriesNames {
     totals: "gentiansill_events",
     states: "gentiansill_state",
 };
 
 /// The instruments of one process.
 pub(crate) struct Metrics {
-    scrape: Scrape,
+    exporter: MetricsExporter,
     latency: Histogram<f64>,
     outcomes: Counter<u64>,
     shards: Counter<u64>,
 }
 
 impl Metrics {
-    /// Sets the instruments up.
+    /// Creates the instruments.
     ///
     /// # Errors
     ///
     /// [`ErrorKind::Io`] if the exporter cannot be registered.
-    pub(crate) fn new(vm: &Vm<'_>) -> Result<Self> {
-        let scrape = Scrape::new(vm.name, vm.data_centre, NAMES)?;
-        let meter = scrape.meter();
+    pub(crate) fn new(vm: &VmLabels<'_>) -> Result<Self> {
+        let exporter = MetricsExporter::new(vm.name, vm.data_centre, NAMES)?;
+        let meter = exporter.meter();
         Ok(Self {
-            latency: latency(&meter),
+            latency: latency_histogram(&meter),
             outcomes: counter(
                 &meter,
                 "gentiansill_lookups",
@@ -56,12 +56,12 @@
                 "gentiansill_lookup_shards",
                 "Shards of answered lookups, by state.",
             ),
-            scrape,
+            exporter,
         })
     }
 
-    /// Notes the end of a lookup.
-    pub(crate) fn lookup(
+    /// Records the latency, outcome and coverage of a finished lookup.
+    pub(crate) fn record_lookup(
         &self,
         front: &FrontName,
         lookup: &LookupName,
@@ -74,18 +74,18 @@
             Outcome::NotRun(r) => ("not-run", r.reason.into()),
             Outcome::Unknown(r) => ("unknown", r.reason.into()),
         };
-        // Names that nobody declared would let callers add series at will.
+        // Undeclared names are not used as labels: callers could otherwise create any number of series.
         let name = if is_declared {
             format!("{front}/{lookup}")
         } else {
-            UNDECLARED.to_owned()
+            UNDECLARED_LABEL.to_owned()
         };
-        let by = [
+        let labels = [
             KeyValue::new("lookup", name),
             KeyValue::new("outcome", kind),
         ];
-        self.latency.record(took.as_secs_f64(), &by);
-        let [lookup, outcome_kind] = by;
+        self.latency.record(took.as_secs_f64(), &labels);
+        let [lookup, outcome_kind] = labels;
         self.outcomes.add(
             1,
             &[
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The scrape, with the decisions' own counts as they are now.
+    /// Returns the text of a scrape, with the current counters of the state machines.
     pub(crate) fn text(&self, dumps: &Dumps) -> String {
         let engine = lock(&dumps.engine);
         let c = engine.counters().clone();
@@ -129,35 +129,42 @@
             ("platform-calls", platform.total()),
         ];
         let open: u32 = pool.open.iter().map(|(_, n)| n).sum();
-        let view = dumps.board.view();
+        let view = dumps.state.view();
         let live = view.map_or(0, |v| v.live().count());
-        let version = lock(&dumps.book).config().map_or(0, |c| c.version.0);
+        let version = lock(&dumps.config_manager)
+            .config()
+            .map_or(0, |c| c.version.0);
         let states = [
             ("lookups-in-flight", in_flight as f64),
             ("connections-open", f64::from(open)),
             ("members-live", live as f64),
             ("config-version", version as f64),
-            ("ready", f64::from(u8::from(dumps.ready()))),
+            ("ready", f64::from(u8::from(dumps.is_ready()))),
         ];
-        self.scrape.text(&totals, &states)
+        self.exporter.text(&totals, &states)
     }
 }
 
-/// Whose metrics they are.
-pub(crate) struct Vm<'a> {
+/// The labels of the VM whose metrics are exported.
+pub(crate) struct VmLabels<'a> {
     pub(crate) name: &'a VmId,
     pub(crate) data_centre: &'a DataCentre,
 }
 
-fn latency(meter: &Meter) -> Histogram<f64> {
+/// Creates the histogram of lookup latencies.
+fn latency_histogram(meter: &Meter) -> Histogram<f64> {
     meter
         .f64_histogram("gentiansill_lookup_latency")
         .with_unit("s")
         .with_description("Time from a lookup's arrival to its outcome.")
-        .with_boundaries(LATENCY.to_vec())
+        .with_boundaries(LATENCY_BOUNDS_S.to_vec())
         .build()
 }
 
-fn counter(meter: &Meter, name: &'static str, about: &'static str) -> Counter<u64> {
-    meter.u64_counter(name).with_description(about).build()
+/// Creates a counter.
+fn counter(meter: &Meter, name: &'static str, description: &'static str) -> Counter<u64> {
+    meter
+        .u64_counter(name)
+        .with_description(description)
+        .build()
 }
--- a/crates/scrape/src/lib.rs
+++ b/crates/scrape/src/lib.rs
@@ -1,10 +1,11 @@
-//! Metrics of one process by opentelemetry, in the usual scrape format.
+//! Metrics of one process, recorded with OpenTelemetry and exported in the Prometheus text format.
 //!
-//! Both kinds of process count in their decisions, without I/O. At a scrape [`Scrape::text`] carries these
-//! totals and present states over, beside the instruments that a process makes of [`Scrape::meter`].
+//! The state machines of both kinds of process keep their own counters, without I/O. At each scrape,
+//! [`MetricsExporter::text`] exports their totals and current states, together with the instruments that the process
+//! created with [`MetricsExporter::meter`].
 
-mod names;
-mod scrape;
+mod exporter;
+mod series_names;
 
-pub use names::Names;
-pub use scrape::Scrape;
+pub use exporter::MetricsExporter;
+pub use series_names::SeriesNames;
