--- a/crates/admin/src/answer.rs
+++ b/crates/admin/src/answer.rs
@@ -19,8 +19,8 @@
 use serde::Serialize;
 
 use crate::auth;
-use crate::fleet::Fleet;
-use crate::fleet::HistoryEntry;
+use crate::operator_api::HistoryEntry;
+use crate::operator_api::OperatorApi;
 use crate::reply;
 use crate::reply::Reply;
 use crate::route;
@@ -54,7 +54,7 @@
 
 /// Answers a request.
 pub(crate) async fn answer(
-    fleet: &dyn Fleet,
+    api: &dyn OperatorApi,
     bounds: Bounds,
     peer: SocketAddr,
     req: Request<Incoming>,
@@ -64,17 +64,17 @@
         Ok(call) => call,
         Err(e) => return no_call(&e),
     };
-    if let Some(reply) = open_answer(fleet, &call) {
+    if let Some(reply) = open_answer(api, &call) {
         return reply;
     }
-    let cfg = fleet.config();
+    let cfg = api.config();
     let team = match auth::team(cfg.as_deref(), req.headers()) {
         Ok(team) => team,
         Err(e) => return turn_away(&e, peer, req.headers()),
     };
     let result = match call {
-        Call::Propose { dry_run } => propose(fleet, bounds, peer, &team, dry_run, req).await,
-        call => read(fleet, &team, call).await,
+        Call::Propose { dry_run } => propose(api, bounds, peer, &team, dry_run, req).await,
+        call => read(api, &team, call).await,
     };
     result.unwrap_or_else(|e| reply::error(&e))
 }
@@ -96,13 +96,13 @@
 
 /// Calls that need no key: what the balancer and the scraper ask, and the status of a VM that holds
 /// no configuration yet, by which no key could be checked. None of them shows a secret.
-fn open_answer(fleet: &dyn Fleet, call: &Call) -> Option<Reply> {
+fn open_answer(api: &dyn OperatorApi, call: &Call) -> Option<Reply> {
     Some(match call {
         Call::Health => reply::text(StatusCode::OK, "ok\n"),
-        Call::Ready if fleet.ready() => reply::text(StatusCode::OK, "ready\n"),
+        Call::Ready if api.is_ready() => reply::text(StatusCode::OK, "ready\n"),
         Call::Ready => reply::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-        Call::Metrics => reply::text(StatusCode::OK, fleet.metrics()),
-        Call::Status if fleet.config().is_none() => reply::json(StatusCode::OK, &fleet.status()),
+        Call::Metrics => reply::text(StatusCode::OK, api.metrics()),
+        Call::Status if api.config().is_none() => reply::json(StatusCode::OK, &api.status()),
         _ => return None,
     })
 }
@@ -119,39 +119,39 @@
     reply
 }
 
-async fn read(fleet: &dyn Fleet, team: &Team, call: Call) -> Result<Reply> {
-    let cfg = fleet
+async fn read(api: &dyn OperatorApi, team: &Team, call: Call) -> Result<Reply> {
+    let cfg = api
         .config()
         .ok_or_else(|| Error::new(ErrorKind::Unavailable, "no configuration is held"))?;
     let ok = StatusCode::OK;
     Ok(match call {
-        Call::Status => reply::json(ok, &fleet.status()),
+        Call::Status => reply::json(ok, &api.status()),
         Call::Dump | Call::FleetDump if !team.admin => {
             let text = format!("team `{}` may not see the whole state", team.name);
             let e = Error::new(ErrorKind::Forbidden, text).at("dump");
             return Err(e.with_hint("ask an admin team; `status` is for every team"));
         }
-        Call::Dump => reply::json(ok, &fleet.dump()),
-        Call::FleetDump => reply::json(ok, &fleet.fleet_dump().await),
+        Call::Dump => reply::json(ok, &api.dump()),
+        Call::FleetDump => reply::json(ok, &api.fleet_dump().await),
         Call::Config => reply::json(ok, &view::config(&cfg, team)),
         Call::Version(v) => {
             let text = || format!("version {v} is not kept");
-            let found = fleet.version(v).await?;
+            let found = api.version(v).await?;
             let found = found.ok_or_else(|| view::not_found(text()))?;
             reply::json(ok, &view::config(&found, team))
         }
         Call::History => {
             let history = History {
-                versions: fleet.history().await?,
-                settled: view::settled(fleet.settled(), team),
+                versions: api.history().await?,
+                settled: view::settled(api.decided_patches(), team),
             };
             reply::json(ok, &history)
         }
         Call::Fronts => reply::json(ok, &view::config(&cfg, team).fronts),
         Call::Front(f) => reply::json(ok, view::front(&cfg, team, &f)?),
         Call::Lookup(f, l) => reply::json(ok, view::lookup(view::front(&cfg, team, &f)?, &l)?),
-        Call::Patch(id) => reply::json(ok, &patch(fleet, team, id)?),
-        Call::Fleet => reply::json(ok, &fleet.fleet()),
+        Call::Patch(id) => reply::json(ok, &patch(api, team, id)?),
+        Call::Fleet => reply::json(ok, &api.fleet()),
         Call::Health | Call::Ready | Call::Metrics | Call::Propose { .. } => {
             let e = Error::new(ErrorKind::NotFound, "answered elsewhere");
             reply::error(&e)
@@ -159,12 +159,12 @@
     })
 }
 
-fn patch(fleet: &dyn Fleet, team: &Team, id: PatchId) -> Result<PatchView> {
-    let settled = view::settled(fleet.settled(), team);
+fn patch(api: &dyn OperatorApi, team: &Team, id: PatchId) -> Result<PatchView> {
+    let settled = view::settled(api.decided_patches(), team);
     if let Some(s) = settled.into_iter().rev().find(|s| s.id == id) {
         return Ok(PatchView::Settled(s));
     }
-    if fleet.pending().as_ref() == Some(&id) {
+    if api.pending_patch().as_ref() == Some(&id) {
         return Ok(PatchView::Pending { id });
     }
     let e = Error::new(ErrorKind::NotFound, format!("no word on patch `{id}` here"));
@@ -175,7 +175,7 @@
 }
 
 async fn propose(
-    fleet: &dyn Fleet,
+    api: &dyn OperatorApi,
     bounds: Bounds,
     peer: SocketAddr,
     team: &Team,
@@ -204,7 +204,7 @@
         .with_hint("see docs/OPERATIONS.md for the form of a patch")
     })?;
     let (name, id, against) = (team.name.clone(), patch.id.clone(), patch.against);
-    let verdict = fleet.propose(name.clone(), patch, dry_run).await;
+    let verdict = api.propose(name.clone(), patch, dry_run).await;
     log::info!(
         "event=patch team={name} id={id} against={against} dry_run={dry_run} verdict={} peer={peer}",
         word(&verdict)
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,6 +1,6 @@
 //! The operators' HTTP interface: many teams, patches, history, and what each VM has in force.
 //!
-//! [`Admin`] takes connections and answers through an object of [`Fleet`], which the process
+//! [`AdminServer`] takes connections and answers through an object of [`OperatorApi`], which the process
 //! implements. `docs/OPERATIONS.md` lists the calls and what an operator does with them.
 //!
 //! Every answer but `/healthz`, `/ready` and `/metrics` needs `authorization: Bearer TEAM:KEY`. A
@@ -8,13 +8,13 @@
 
 mod answer;
 mod auth;
-mod fleet;
+mod operator_api;
 mod reply;
 mod route;
 mod server;
 mod view;
 
-pub use fleet::Fleet;
-pub use fleet::HistoryEntry;
-pub use server::Admin;
+pub use operator_api::HistoryEntry;
+pub use operator_api::OperatorApi;
 pub use server::AdminOptions;
+pub use server::AdminServer;
--- a/crates/admin/src/fleet.rs
+++ b/crates/admin/src/operator_api.rs
@@ -13,7 +13,7 @@
 
 /// What the process offers to operators. Values handed out hold no keys and no secrets.
 #[async_trait]
-pub trait Fleet: Send + Sync {
+pub trait OperatorApi: Send + Sync {
     /// Takes a patch from a team whose key was checked to its verdict.
     async fn propose(&self, team: TeamName, patch: Patch, dry_run: bool) -> PatchOutcome;
 
@@ -28,10 +28,10 @@
     async fn version(&self, version: ConfVersion) -> Result<Option<Arc<Config>>>;
 
     /// The last patches settled, oldest first.
-    fn settled(&self) -> Vec<DecidedPatch>;
+    fn decided_patches(&self) -> Vec<DecidedPatch>;
 
     /// The patch that is being decided, as far as this VM knows.
-    fn pending(&self) -> Option<PatchId> {
+    fn pending_patch(&self) -> Option<PatchId> {
         None
     }
 
@@ -58,7 +58,7 @@
     fn metrics(&self) -> String;
 
     /// Whether this VM takes lookups.
-    fn ready(&self) -> bool;
+    fn is_ready(&self) -> bool;
 }
 
 /// A version that the platform keeps.
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -18,7 +18,7 @@
 
 use crate::answer::Bounds;
 use crate::answer::answer;
-use crate::fleet::Fleet;
+use crate::operator_api::OperatorApi;
 use crate::reply::Reply;
 
 /// How the interface is served.
@@ -27,7 +27,7 @@
     /// Where it listens.
     pub addr: SocketAddr,
     /// What answers.
-    pub fleet: Arc<dyn Fleet>,
+    pub api: Arc<dyn OperatorApi>,
     /// The largest body, in bytes.
     #[builder(default = 256 << 10)]
     pub body_max: usize,
@@ -39,17 +39,17 @@
     pub read_timeout: Duration,
     /// Connections at a time; more wait to be accepted.
     #[builder(default = 64)]
-    pub connections: usize,
+    pub connections_max: usize,
 }
 
 /// The running interface; it stops when this is dropped.
-pub struct Admin {
+pub struct AdminServer {
     addr: SocketAddr,
     stop: watch::Sender<bool>,
     task: JoinHandle<()>,
 }
 
-impl Admin {
+impl AdminServer {
     /// Starts to listen.
     ///
     /// # Errors
@@ -63,7 +63,7 @@
                 .with_hint("is the address this VM's, and no other process on the port?")
         };
         let listener = TcpListener::bind(options.addr).await.map_err(io)?;
-        Self::on(listener, options)
+        Self::from_listener(listener, options)
     }
 
     /// Starts on a listener that was bound before; `options.addr` is only for errors.
@@ -71,7 +71,7 @@
     /// # Errors
     ///
     /// [`ErrorKind::Io`] if the listener has no address.
-    pub fn on(listener: TcpListener, options: AdminOptions) -> Result<Self> {
+    pub fn from_listener(listener: TcpListener, options: AdminOptions) -> Result<Self> {
         let addr = listener.local_addr().map_err(|e| {
             Error::new(ErrorKind::Io, e.to_string())
                 .at("listen for operators")
@@ -95,7 +95,7 @@
     }
 }
 
-impl Drop for Admin {
+impl Drop for AdminServer {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -103,7 +103,7 @@
 
 /// Answers operators' calls on every connection.
 struct Interface {
-    fleet: Arc<dyn Fleet>,
+    api: Arc<dyn OperatorApi>,
     bounds: Bounds,
 }
 
@@ -113,7 +113,7 @@
         peer: SocketAddr,
         req: Request<Incoming>,
     ) -> Pin<Box<dyn Future<Output = Reply> + Send>> {
-        Box::pin(async move { answer(&*self.fleet, self.bounds, peer, req).await })
+        Box::pin(async move { answer(&*self.api, self.bounds, peer, req).await })
     }
 }
 
@@ -126,14 +126,14 @@
         headers: options.head_max,
         header_timeout: options.read_timeout,
         idle_timeout: options.read_timeout,
-        connections: options.connections,
+        connections: options.connections_max,
     };
     let bounds = Bounds {
         body: options.body_max,
         body_time: options.read_timeout,
     };
     let interface = Interface {
-        fleet: options.fleet,
+        api: options.api,
         bounds,
     };
     tokio::spawn(Server::new(listener, limits).run(Arc::new(interface), stopped))
--- a/crates/admin/tests/admin/common/mod.rs
+++ b/crates/admin/tests/admin/common/mod.rs
@@ -7,10 +7,10 @@
 
 use async_trait::async_trait;
 use bytes::Bytes;
-use gs_admin::Admin;
 use gs_admin::AdminOptions;
-use gs_admin::Fleet;
+use gs_admin::AdminServer;
 use gs_admin::HistoryEntry;
+use gs_admin::OperatorApi;
 use gs_conf::DecidedPatch;
 use gs_conf::Patch;
 use gs_conf::PatchOutcome;
@@ -108,7 +108,7 @@
 }
 
 #[async_trait]
-impl Fleet for Process {
+impl OperatorApi for Process {
     async fn propose(&self, team: TeamName, patch: Patch, dry_run: bool) -> PatchOutcome {
         self.proposed
             .lock()
@@ -126,7 +126,7 @@
         Ok(self.config().filter(|c| c.version == version))
     }
 
-    fn settled(&self) -> Vec<DecidedPatch> {
+    fn decided_patches(&self) -> Vec<DecidedPatch> {
         let one = |id: &str, team: &str| DecidedPatch {
             id: id.parse().expect("a name"),
             digest: 1,
@@ -168,22 +168,22 @@
         "gs_up 1\n".into()
     }
 
-    fn ready(&self) -> bool {
+    fn is_ready(&self) -> bool {
         self.config().is_some()
     }
 }
 
 /// The interface with short bounds, on a free port.
-pub async fn serve(process: Arc<Process>) -> Admin {
+pub async fn serve(process: Arc<Process>) -> AdminServer {
     let options = AdminOptions::builder()
         .addr(([127, 0, 0, 1], 0).into())
-        .fleet(process)
+        .api(process)
         .body_max(4_096)
         .head_max(8_192)
         .read_timeout(Duration::from_millis(200))
-        .connections(4)
+        .connections_max(4)
         .build();
-    Admin::start(options).await.expect("a free port")
+    AdminServer::start(options).await.expect("a free port")
 }
 
 /// An answer: its status and its body as JSON, or as text if it is none.
--- a/crates/edge/src/announcer.rs
+++ b/crates/edge/src/announcer.rs
@@ -166,7 +166,7 @@
         let mut backoff = Backoff::new(BACKOFF_MIN, BACKOFF_MAX, self.seed);
         while let Err(e) = self.directory.announce(&self.me, renewal).await {
             self.reachability.on_failure("announcement", &e);
-            tokio::time::sleep(backoff.wait()).await;
+            tokio::time::sleep(backoff.next_delay()).await;
         }
         self.reachability.on_success("announcement");
         state.announced_at = Some(Instant::now());
--- a/crates/edge/src/directory_watcher.rs
+++ b/crates/edge/src/directory_watcher.rs
@@ -92,7 +92,7 @@
                 }
                 Err(e) => {
                     self.reachability.on_failure(KINDS[self.kind as usize], &e);
-                    tokio::time::sleep(backoff.wait()).await;
+                    tokio::time::sleep(backoff.next_delay()).await;
                 }
             }
         }
--- a/crates/edge/src/seed.rs
+++ b/crates/edge/src/seed.rs
@@ -53,7 +53,7 @@
                     return;
                 }
             }
-            tokio::time::sleep(backoff.wait()).await;
+            tokio::time::sleep(backoff.next_delay()).await;
         }
     }
 
--- a/crates/node/src/dumps.rs
+++ b/crates/node/src/dumps.rs
@@ -73,13 +73,13 @@
             "pool": self.pool.state(),
             "callers": { "open": self.callers.open(), "accepted": self.callers.accepted() },
             "mesh": self.mesh.counts(),
-            "platform_calls": self.platform.calls(),
+            "platform_calls": self.platform.call_counts(),
         })
     }
 
     /// How long the platform has not answered, as text; `null` while it answers.
     fn away_for(&self) -> Option<String> {
-        let away = self.platform.away_for()?;
+        let away = self.platform.unreachable_for()?;
         Some(humantime::format_duration(away).to_string())
     }
 
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -112,7 +112,7 @@
         let in_flight = engine.in_flight();
         drop(engine);
         let pool = dumps.pool.state();
-        let platform = dumps.platform.calls();
+        let platform = dumps.platform.call_counts();
         let totals = [
             ("attempts", c.attempts),
             ("hedges", c.hedges),
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -5,8 +5,8 @@
 use std::sync::atomic::Ordering;
 
 use async_trait::async_trait;
-use gs_admin::Fleet;
 use gs_admin::HistoryEntry;
+use gs_admin::OperatorApi;
 use gs_clock::Clock;
 use gs_conf::CallId;
 use gs_conf::ConfigManager;
@@ -42,7 +42,7 @@
 }
 
 #[async_trait]
-impl Fleet for Operators {
+impl OperatorApi for Operators {
     async fn propose(&self, team: TeamName, patch: Patch, dry_run: bool) -> PatchOutcome {
         let ask = CallId(self.next.fetch_add(1, Ordering::Relaxed));
         let (tx, rx) = oneshot::channel();
@@ -74,7 +74,7 @@
         Ok(Some(Arc::new(config)))
     }
 
-    fn settled(&self) -> Vec<DecidedPatch> {
+    fn decided_patches(&self) -> Vec<DecidedPatch> {
         lock(&self.book).decided_patches().to_vec()
     }
 
@@ -110,7 +110,7 @@
         self.metrics.text(&self.dumps)
     }
 
-    fn ready(&self) -> bool {
+    fn is_ready(&self) -> bool {
         self.dumps.ready()
     }
 }
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -4,8 +4,8 @@
 use std::sync::Mutex;
 use std::sync::atomic::AtomicU64;
 
-use gs_admin::Admin;
 use gs_admin::AdminOptions;
+use gs_admin::AdminServer;
 use gs_conf::ConfigManager;
 use gs_http::Callers;
 use gs_http::Pool;
@@ -146,7 +146,7 @@
     /// # Errors
     ///
     /// [`ErrorKind::Io`] if a listener has no address.
-    pub(crate) fn open(&self, listeners: Listeners, inbox: Inbox) -> Result<(Admin, Leaver)> {
+    pub(crate) fn open(&self, listeners: Listeners, inbox: Inbox) -> Result<(AdminServer, Leaver)> {
         let settings = &self.start.settings;
         let server = Server::new(listeners.callers, self.start.caller_limits());
         let callers = server.state();
@@ -290,7 +290,7 @@
         }
     }
 
-    fn admin(&self, listener: TcpListener, dumps: Arc<Dumps>) -> Result<Admin> {
+    fn admin(&self, listener: TcpListener, dumps: Arc<Dumps>) -> Result<AdminServer> {
         let fleet = Operators {
             book: Arc::clone(&self.machines.book),
             feed: self.feeds.book.clone(),
@@ -303,9 +303,9 @@
         };
         let options = AdminOptions::builder()
             .addr(self.start.settings.listen.admin)
-            .fleet(Arc::new(fleet))
+            .api(Arc::new(fleet))
             .build();
-        Admin::on(listener, options)
+        AdminServer::from_listener(listener, options)
     }
 }
 
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -6,7 +6,7 @@
 use gs_conf::CURRENT_PATH;
 use gs_conf::ConfigManager;
 use gs_member::SeatTable;
-use gs_store::Holds;
+use gs_store::HeldPredicate;
 use gs_store::Platform;
 use gs_store::Update;
 use gs_store::WatchOptions;
@@ -50,7 +50,8 @@
     /// Starts every task that follows the platform.
     pub(crate) fn start(self) {
         let book = Arc::clone(&self.book);
-        let held: Holds = Arc::new(move |_, version| lock(&book).summary().object >= version.0);
+        let held: HeldPredicate =
+            Arc::new(move |_, version| lock(&book).summary().object >= version.0);
         self.watch(CURRENT_PATH, Some(held), |f, u| {
             f.feeds.book.push(gs_conf::Event::Read(found(Ok(u.object))));
         });
@@ -67,7 +68,7 @@
     fn watch(
         &self,
         prefix: &'static str,
-        holds: Option<Holds>,
+        holds: Option<HeldPredicate>,
         on: impl Fn(&Self, Update) + Send + 'static,
     ) {
         let this = self.clone();
@@ -75,12 +76,12 @@
             .prefix(prefix)
             .seed(self.seed)
             .wait(self.wait)
-            .settle(if holds.is_some() {
+            .read_delay(if holds.is_some() {
                 PEERS_FIRST
             } else {
                 Duration::ZERO
             })
-            .maybe_holds(holds)
+            .maybe_is_held(holds)
             .build();
         tokio::spawn(async move {
             let (_watcher, mut rx) = Watcher::start(Arc::clone(&this.platform), options);
--- a/crates/store/src/backoff.rs
+++ b/crates/store/src/backoff.rs
@@ -31,7 +31,7 @@
     }
 
     /// The wait before the next try; never zero.
-    pub fn wait(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         let ceiling = self
             .base
             .saturating_mul(1 << self.tries.min(16))
--- a/crates/store/src/budget.rs
+++ b/crates/store/src/budget.rs
@@ -11,7 +11,7 @@
 
 /// Calls made to the platform by this process, by kind. A waiting watch is one call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Calls {
+pub struct CallCounts {
     /// Objects read.
     pub reads: u64,
     /// Objects written.
@@ -32,7 +32,7 @@
     pub failed: u64,
 }
 
-impl Calls {
+impl CallCounts {
     /// All calls that reached out.
     #[must_use]
     pub fn total(&self) -> u64 {
@@ -73,7 +73,7 @@
 
 #[derive(Debug)]
 struct State {
-    calls: Calls,
+    calls: CallCounts,
     reads: Bucket,
     writes: Bucket,
     away_since: Option<Instant>,
@@ -113,7 +113,7 @@
     pub(crate) fn new(reads: PerSecond, writes: PerSecond, now: Instant) -> Self {
         Self {
             state: Mutex::new(State {
-                calls: Calls::default(),
+                calls: CallCounts::default(),
                 reads: Bucket::new(reads, now),
                 writes: Bucket::new(writes, now),
                 away_since: None,
@@ -158,11 +158,11 @@
         }
     }
 
-    pub(crate) fn calls(&self) -> Calls {
+    pub(crate) fn call_counts(&self) -> CallCounts {
         self.lock().calls
     }
 
-    pub(crate) fn away_for(&self, now: Instant) -> Option<Duration> {
+    pub(crate) fn unreachable_for(&self, now: Instant) -> Option<Duration> {
         let since = self.lock().away_since?;
         Some(now.saturating_duration_since(since))
     }
--- a/crates/store/src/http/mod.rs
+++ b/crates/store/src/http_platform.rs
@@ -25,11 +25,11 @@
 
 use crate::backoff::Backoff;
 use crate::budget::Budget;
-use crate::budget::Calls;
+use crate::budget::CallCounts;
 use crate::budget::Ended;
 use crate::budget::Kind;
 use crate::object::Listing;
-use crate::object::OBJECT_MAX;
+use crate::object::OBJECT_MAX_BYTES;
 use crate::object::Object;
 use crate::object::Version;
 use crate::object::WatchReply;
@@ -139,7 +139,7 @@
             if tries == 0 {
                 return Err(e);
             }
-            tokio::time::sleep(backoff.wait()).await;
+            tokio::time::sleep(backoff.next_delay()).await;
         }
     }
 
@@ -310,7 +310,7 @@
         const STEP: &str = "write object";
         check_path(path)?;
         let mut call = self.call(STEP, Kind::Write, path, format!("/v1/objects/{path}"));
-        if content.len() > OBJECT_MAX {
+        if content.len() > OBJECT_MAX_BYTES {
             let text = format!("{} bytes is over the size of an object", content.len());
             return Err(self.error(&call, ErrorKind::TooMuch, &text));
         }
@@ -383,11 +383,11 @@
         self.json(STEP, "vms", &reply)
     }
 
-    fn calls(&self) -> Calls {
-        self.budget.calls()
+    fn call_counts(&self) -> CallCounts {
+        self.budget.call_counts()
     }
 
-    fn away_for(&self) -> Option<Duration> {
-        self.budget.away_for(self.options.clock.now())
+    fn unreachable_for(&self) -> Option<Duration> {
+        self.budget.unreachable_for(self.options.clock.now())
     }
 }
--- a/crates/store/src/object.rs
+++ b/crates/store/src/object.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 /// The largest content that the platform takes, in bytes.
-pub const OBJECT_MAX: usize = 1_000_000;
+pub const OBJECT_MAX_BYTES: usize = 1_000_000;
 
 /// A version of an object: the store's revision at its last write. Versions never repeat.
 #[derive(
@@ -56,7 +56,7 @@
 
 /// An object that changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Changed {
+pub struct ChangedObject {
     /// Its path.
     pub path: String,
     /// Its version now.
@@ -72,5 +72,5 @@
     /// The store's revision, to watch on from.
     pub revision: u64,
     /// What changed; empty if the wait was over first.
-    pub changed: Vec<Changed>,
+    pub changed: Vec<ChangedObject>,
 }
--- a/crates/store/src/platform.rs
+++ b/crates/store/src/platform.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use gs_types::prelude::*;
 
-use crate::budget::Calls;
+use crate::budget::CallCounts;
 use crate::object::Listing;
 use crate::object::Object;
 use crate::object::Version;
@@ -29,13 +29,13 @@
     /// Writes an object if it has this version ([`Version::ABSENT`]: if there is none).
     ///
     /// It is sent once: whether a resend is right only the writer can know. See
-    /// [`crate::write_identified`].
+    /// [`crate::write_with_read_back`].
     ///
     /// # Errors
     ///
     /// [`ErrorKind::Conflict`] if it has another version, [`ErrorKind::Unknown`] if the answer was
     /// lost and it may have taken effect or may yet, [`ErrorKind::Unavailable`] if it was not made,
-    /// [`ErrorKind::TooMuch`] if the content is over [`crate::OBJECT_MAX`] or a rate was passed.
+    /// [`ErrorKind::TooMuch`] if the content is over [`crate::OBJECT_MAX_BYTES`] or a rate was passed.
     async fn write(&self, path: &str, if_version: Version, content: Bytes) -> Result<Version>;
 
     /// Deletes an object if it has this version; `false` if there is none.
@@ -68,8 +68,8 @@
     async fn vms(&self) -> Result<Vec<VmEntry>>;
 
     /// The calls made so far.
-    fn calls(&self) -> Calls;
+    fn call_counts(&self) -> CallCounts;
 
     /// How long every call has failed; `None` if the last one was answered.
-    fn away_for(&self) -> Option<Duration>;
+    fn unreachable_for(&self) -> Option<Duration>;
 }
--- a/crates/store/src/watcher.rs
+++ b/crates/store/src/watcher.rs
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc;
 
 use crate::backoff::Backoff;
-use crate::object::Changed;
+use crate::object::ChangedObject;
 use crate::object::Object;
 use crate::object::Version;
 use crate::platform::Platform;
@@ -18,7 +18,7 @@
 const QUEUE: usize = 64;
 
 /// Whether this process already holds an object at this version or a later one.
-pub type Holds = Arc<dyn Fn(&str, Version) -> bool + Send + Sync>;
+pub type HeldPredicate = Arc<dyn Fn(&str, Version) -> bool + Send + Sync>;
 
 /// How a prefix is watched.
 #[derive(Builder, Clone)]
@@ -41,10 +41,10 @@
     /// Tells what need not be read, as a peer brought it; it is not delivered either.
     ///
     /// The platform counts every call, and each VM would read each change.
-    pub holds: Option<Holds>,
-    /// How long a change that is not held is left to peers before it is read; of use with `holds`.
+    pub is_held: Option<HeldPredicate>,
+    /// How long a change that is not held is left to peers before it is read; of use with `is_held`.
     #[builder(default)]
-    pub settle: Duration,
+    pub read_delay: Duration,
 }
 
 /// An object under a watched prefix, as it is now.
@@ -130,7 +130,7 @@
         }
         let prefix = &self.options.prefix;
         log::debug!("event=watch-failed prefix={prefix} error=\"{e}\"");
-        let wait = self.backoff.wait();
+        let wait = self.backoff.next_delay();
         tokio::select! {
             () = tokio::time::sleep(wait) => {}
             () = self.tx.closed() => {}
@@ -173,7 +173,7 @@
             () = self.tx.closed() => return Ok(Err(Closed)),
         };
         if !self.settled(&reply.changed) {
-            tokio::time::sleep(self.options.settle).await;
+            tokio::time::sleep(self.options.read_delay).await;
         }
         for c in reply.changed {
             let done = match c.deleted {
@@ -205,15 +205,15 @@
     }
 
     /// Whether there is nothing to leave to peers for a while.
-    fn settled(&self, changed: &[Changed]) -> bool {
-        let open = |c: &Changed| !c.deleted && !self.is_held(&c.path, c.version);
-        let waits = self.options.holds.is_some() && !self.options.settle.is_zero();
+    fn settled(&self, changed: &[ChangedObject]) -> bool {
+        let open = |c: &ChangedObject| !c.deleted && !self.is_held(&c.path, c.version);
+        let waits = self.options.is_held.is_some() && !self.options.read_delay.is_zero();
         !waits || !changed.iter().any(open)
     }
 
     fn is_held(&self, path: &str, version: Version) -> bool {
-        let holds = self.options.holds.as_ref();
-        holds.is_some_and(|holds| holds(path, version))
+        let is_held = self.options.is_held.as_ref();
+        is_held.is_some_and(|is_held| is_held(path, version))
     }
 
     async fn gone(&mut self, path: String) -> Result<(), Closed> {
--- a/crates/store/src/identified.rs
+++ b/crates/store/src/write_with_read_back.rs
@@ -30,7 +30,7 @@
 /// [`ErrorKind::Conflict`] if it did not and will not take effect. [`ErrorKind::Unknown`] if the
 /// platform could not be asked within `tries`; call again with the same arguments to decide it.
 /// [`ErrorKind::Unavailable`] or [`ErrorKind::TooMuch`] if no try took effect or can.
-pub async fn write_identified(
+pub async fn write_with_read_back(
     platform: &dyn Platform,
     path: &str,
     if_version: Version,
@@ -67,7 +67,7 @@
         if tries == 0 {
             return Err(doubt.unwrap_or(e));
         }
-        tokio::time::sleep(backoff.wait()).await;
+        tokio::time::sleep(backoff.next_delay()).await;
     }
 }
 
--- a/crates/store/tests/store/lost_answer.rs
+++ b/crates/store/tests/store/lost_answer.rs
@@ -5,7 +5,7 @@
 use gs_rig::platform::Lose;
 use gs_store::Platform;
 use gs_store::Version;
-use gs_store::write_identified;
+use gs_store::write_with_read_back;
 use gs_types::prelude::*;
 
 use crate::common::pair;
@@ -44,7 +44,7 @@
     let (rig, p) = pair().await;
     rig.control(lose(1));
     let content = Bytes::from("nonce-1");
-    let v = write_identified(&*p, "claims/a", Version::ABSENT, content, 3, &has_nonce_1)
+    let v = write_with_read_back(&*p, "claims/a", Version::ABSENT, content, 3, &has_nonce_1)
         .await
         .expect("decided by reading back");
     assert_eq!(rig.get("claims/a").map(|(v, _)| v), Some(v.0));
@@ -57,7 +57,7 @@
 async fn reading_back_finds_another_write() {
     let (rig, p) = pair().await;
     rig.put("claims/a", "nonce-2");
-    let e = write_identified(
+    let e = write_with_read_back(
         &*p,
         "claims/a",
         Version::ABSENT,
@@ -76,7 +76,7 @@
 async fn reading_back_finds_our_write_under_a_later_one() {
     let (rig, p) = pair().await;
     rig.put("claims/a", "nonce-1 nonce-2");
-    let v = write_identified(
+    let v = write_with_read_back(
         &*p,
         "claims/a",
         Version::ABSENT,
@@ -98,7 +98,7 @@
         ..Control::default()
     });
     let write = || {
-        write_identified(
+        write_with_read_back(
             &*p,
             "claims/a",
             Version::ABSENT,
@@ -128,7 +128,7 @@
         down: Some(true),
         ..Control::default()
     });
-    let e = write_identified(
+    let e = write_with_read_back(
         &*p,
         "claims/a",
         Version::ABSENT,
@@ -139,5 +139,5 @@
     .await
     .expect_err("away");
     assert_eq!(e.kind(), ErrorKind::Unavailable);
-    assert!(p.away_for().is_some());
+    assert!(p.unreachable_for().is_some());
 }
--- a/crates/store/tests/store/objects.rs
+++ b/crates/store/tests/store/objects.rs
@@ -93,7 +93,7 @@
         kinds.push(result.map_err(|e| e.kind()).err());
     }
     assert!(kinds.contains(&Some(ErrorKind::TooMuch)), "{kinds:?}");
-    assert_eq!(rig.counts().limited, p.calls().limited);
+    assert_eq!(rig.counts().limited, p.call_counts().limited);
 }
 
 #[tokio::test]
@@ -109,7 +109,7 @@
         Err(ErrorKind::TooMuch),
         "one write a second is the budget"
     );
-    assert_eq!((rig.counts().deletes, p.calls().over_budget), (1, 1));
+    assert_eq!((rig.counts().deletes, p.call_counts().over_budget), (1, 1));
     clock.advance(Duration::from_secs(1));
     assert_eq!(p.delete("claims/a", Version(1)).await, Ok(false));
 }
@@ -118,5 +118,5 @@
 async fn the_vm_list_is_read() {
     let (_rig, p) = pair().await;
     assert_eq!(p.vms().await, Ok(Vec::new()));
-    assert_eq!(p.calls().total(), 1);
+    assert_eq!(p.call_counts().total(), 1);
 }
--- a/crates/store/tests/store/watch.rs
+++ b/crates/store/tests/store/watch.rs
@@ -161,10 +161,10 @@
     let options = WatchOptions::builder()
         .prefix("config/")
         .seed(7)
-        .holds(Arc::new(move |_: &str, v| {
+        .is_held(Arc::new(move |_: &str, v| {
             v.0 <= seen.load(Ordering::SeqCst)
         }))
-        .settle(Duration::from_millis(5))
+        .read_delay(Duration::from_millis(5))
         .build();
     let (_w, mut rx) = Watcher::start(p.clone(), options);
     waiting(&rig).await;
