--- a/crates/store/src/backoff.rs
+++ b/crates/store/src/backoff.rs
@@ -1,4 +1,4 @@
-//! Jittered exponential back-off.
+//! Exponential backoff with jitter.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Jittered exponential back-off between tries.
+/// Exponential backoff with jitter between tries.
 ///
-/// Full jitter, so that VMs which lost the platform at the same moment do not all come back at the
-/// same moment.
+/// Each delay is random between half its upper bound and the bound, so that VMs which lost the platform at the same
+/// moment do not all retry at the same moment.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     base: Duration,
@@ -19,7 +19,8 @@
 }
 
 impl Backoff {
-    /// Starts; the first wait is up to `base`, and each later one up to twice the one before.
+    /// Creates a backoff whose first delay is at most `base`. The bound doubles with each try, up to `max`; equal seeds
+    /// give equal delays.
     #[must_use]
     pub fn new(base: Duration, max: Duration, seed: u64) -> Self {
         Self {
@@ -30,18 +31,18 @@
         }
     }
 
-    /// The wait before the next try; never zero.
+    /// Returns the delay before the next try, which is at least half the bound and so never zero.
     pub fn next_delay(&mut self) -> Duration {
-        let ceiling = self
+        let bound = self
             .base
             .saturating_mul(1 << self.tries.min(16))
             .min(self.max);
         self.tries += 1;
-        let half = ceiling / 2;
+        let half = bound / 2;
         half + half.mul_f64(self.rng.random::<f64>())
     }
 
-    /// Starts from the base again, after a success.
+    /// Starts again from the base; to be called after a success.
     pub fn reset(&mut self) {
         self.tries = 0;
     }
--- a/crates/store/src/http_platform.rs
+++ b/crates/store/src/http_platform.rs
@@ -1,4 +1,4 @@
-//! The object service over HTTP.
+//! HTTP client of the platform's object service.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
@@ -24,10 +24,10 @@
 use serde::de::DeserializeOwned;
 
 use crate::backoff::Backoff;
-use crate::budget::Budget;
+use crate::budget::CallBudget;
 use crate::budget::CallCounts;
-use crate::budget::Ended;
-use crate::budget::Kind;
+use crate::budget::CallEnd;
+use crate::budget::CallKind;
 use crate::object::Listing;
 use crate::object::OBJECT_MAX_BYTES;
 use crate::object::Object;
@@ -35,65 +35,65 @@
 use crate::object::WatchReply;
 use crate::platform::Platform;
 
-/// The largest answer that is read: a list of many objects, or one object, in bytes.
-const ANSWER_MAX: usize = 8 << 20;
-/// Idle connections kept.
-const IDLE_MAX: usize = 4;
-/// How long an idle connection is kept.
-const IDLE_FOR: Duration = Duration::from_secs(20);
-/// The longest wait between two tries of a read.
+/// Maximum size of a reply's body, which holds a list of many objects or one object.
+const REPLY_MAX_BYTES: usize = 8 << 20;
+/// Maximum number of idle connections.
+const IDLE_CONNECTIONS_MAX: usize = 4;
+/// Time after which an idle connection is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Maximum delay between two tries of a read.
 const BACKOFF_MAX: Duration = Duration::from_secs(2);
 
-/// How to reach the platform.
+/// Options of an [`HttpPlatform`].
 #[derive(Builder, Clone)]
 pub struct HttpPlatformOptions {
-    /// Where the platform listens.
+    /// Address at which the platform listens.
     pub addr: SocketAddr,
-    /// The address to call from; the machine's choice unless given.
+    /// Local address to call from; the operating system chooses it if not given.
     pub source: Option<IpAddr>,
-    /// Seeds the jitter; different on every VM.
+    /// Seed of the backoff's jitter; it must differ between VMs.
     pub seed: u64,
-    /// Tells the time.
+    /// Source of the time for the call budget.
     pub clock: Arc<dyn Clock>,
-    /// How long one call may take, beside the wait of a watch.
+    /// Timeout of a call, to which a watch adds its own wait.
     #[builder(default = Duration::from_secs(2))]
     pub timeout: Duration,
-    /// How often a read is tried.
+    /// Maximum number of tries of a read.
     #[builder(default = 3)]
-    pub tries: u32,
-    /// The wait before the second try; doubled, with jitter, for each later one.
+    pub tries_max: u32,
+    /// Upper bound of the delay before the second try; doubled for each later one, with jitter.
     #[builder(default = Duration::from_millis(50))]
     pub backoff: Duration,
-    /// This VM's share of the platform's reads, lists and watches.
+    /// This VM's share of the platform's rate of reads, lists and watches.
     #[builder(default = PerSecond(200.0))]
     pub reads: PerSecond,
-    /// This VM's share of the platform's writes and deletes.
+    /// This VM's share of the platform's rate of writes and deletes.
     #[builder(default = PerSecond(30.0))]
     pub writes: PerSecond,
 }
 
-/// The platform's object service over HTTP.
+/// Client of the platform's object service over HTTP.
 pub struct HttpPlatform {
     options: HttpPlatformOptions,
     client: Client<HttpConnector, Full<Bytes>>,
-    budget: Budget,
+    budget: CallBudget,
 }
 
-/// One call.
+/// Call to make.
 struct Call<'a> {
     step: &'static str,
-    kind: Kind,
+    kind: CallKind,
     method: Method,
     uri: String,
     if_version: Option<Version>,
     content: Bytes,
     timeout: Duration,
-    /// What is read or written, for errors.
-    what: &'a str,
+    /// What is read or written, for error messages.
+    subject: &'a str,
 }
 
 impl HttpPlatform {
-    /// Sets the client up; nothing is connected yet.
+    /// Creates the client without connecting.
     #[must_use]
     pub fn new(options: HttpPlatformOptions) -> Self {
         let mut connector = HttpConnector::new();
@@ -102,10 +102,10 @@
         connector.set_connect_timeout(Some(options.timeout));
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE_FOR)
-            .pool_max_idle_per_host(IDLE_MAX)
+            .pool_idle_timeout(IDLE_TIMEOUT)
+            .pool_max_idle_per_host(IDLE_CONNECTIONS_MAX)
             .build(connector);
-        let budget = Budget::new(options.reads, options.writes, options.clock.now());
+        let budget = CallBudget::new(options.reads, options.writes, options.clock.now());
         Self {
             options,
             client,
@@ -113,7 +113,14 @@
         }
     }
 
-    fn call<'a>(&self, step: &'static str, kind: Kind, what: &'a str, uri: String) -> Call<'a> {
+    /// Returns a GET call with the usual timeout.
+    fn new_call<'a>(
+        &self,
+        step: &'static str,
+        kind: CallKind,
+        subject: &'a str,
+        uri: String,
+    ) -> Call<'a> {
         Call {
             step,
             kind,
@@ -122,46 +129,52 @@
             if_version: None,
             content: Bytes::new(),
             timeout: self.options.timeout,
-            what,
+            subject,
         }
     }
 
-    /// Tries a call that changes nothing until it is answered or the tries are used up.
-    async fn ask(&self, call: Call<'_>) -> Result<Response<Bytes>> {
-        let mut backoff = Backoff::new(self.options.backoff, BACKOFF_MAX, self.seed_of(call.what));
-        let mut tries = self.options.tries.max(1);
+    /// Makes a call that changes nothing, with retries until it is answered or the tries are used up.
+    async fn call_with_retries(&self, call: Call<'_>) -> Result<Response<Bytes>> {
+        let mut backoff = Backoff::new(
+            self.options.backoff,
+            BACKOFF_MAX,
+            self.backoff_seed(call.subject),
+        );
+        let mut tries_left = self.options.tries_max.max(1);
         loop {
-            tries -= 1;
-            let e = match self.once(&call).await {
+            tries_left -= 1;
+            let e = match self.call_once(&call).await {
                 Ok(reply) => return Ok(reply),
                 Err(e) => e,
             };
-            if tries == 0 {
+            if tries_left == 0 {
                 return Err(e);
             }
             tokio::time::sleep(backoff.next_delay()).await;
         }
     }
 
-    /// Makes a call once. An answer of 429 or 5xx is an error; other statuses are the caller's.
-    async fn once(&self, call: &Call<'_>) -> Result<Response<Bytes>> {
+    /// Makes a call once. A status of 429 or 5xx is an error; other statuses are left to the caller.
+    async fn call_once(&self, call: &Call<'_>) -> Result<Response<Bytes>> {
         let clock = &self.options.clock;
-        if !self.budget.take(call.kind, clock.now()) {
-            let hint = "raise the VM's share of the platform's calls, or find what calls so often";
+        if !self.budget.try_take(call.kind, clock.now()) {
+            let hint =
+                "raise the VM's share of the platform's calls, or find out what makes so many";
             return Err(self
-                .error(call, ErrorKind::TooMuch, "the call budget is used up")
+                .error(call, ErrorKind::TooMuch, "this VM's call budget is used up")
                 .with_hint(hint));
         }
         let result = self.exchange(call).await;
-        let ended = match &result {
-            Ok(_) => Ended::Answered,
-            Err(e) if e.kind() == ErrorKind::TooMuch => Ended::Limited,
-            Err(_) => Ended::Failed,
+        let end = match &result {
+            Ok(_) => CallEnd::Answered,
+            Err(e) if e.kind() == ErrorKind::TooMuch => CallEnd::Limited,
+            Err(_) => CallEnd::Failed,
         };
-        self.budget.ended(ended, clock.now());
+        self.budget.on_call_end(end, clock.now());
         result
     }
 
+    /// Sends a call and reads the reply within the timeout and the size limit.
     async fn exchange(&self, call: &Call<'_>) -> Result<Response<Bytes>> {
         let req = self.request(call)?;
         let exchange = async {
@@ -169,29 +182,36 @@
                 .client
                 .request(req)
                 .await
-                .map_err(|e| self.lost(call, &e))?;
+                .map_err(|e| self.transport_error(call, &e))?;
             let (parts, body) = reply.into_parts();
-            let body = Limited::new(body, ANSWER_MAX).collect().await;
-            let body = body.map_err(|e| self.error(call, self.lost_kind(call), &e.to_string()))?;
+            let body = Limited::new(body, REPLY_MAX_BYTES).collect().await;
+            let body =
+                body.map_err(|e| self.error(call, self.no_reply_kind(call), &e.to_string()))?;
             Ok(Response::from_parts(parts, body.to_bytes()))
         };
         let reply = match tokio::time::timeout(call.timeout, exchange).await {
             Ok(reply) => reply?,
             Err(_) => {
                 let text = format!("no answer within {:?}", call.timeout);
-                return Err(self.error(call, self.lost_kind(call), &text));
+                return Err(self.error(call, self.no_reply_kind(call), &text));
             }
         };
         match reply.status() {
-            StatusCode::TOO_MANY_REQUESTS => {
-                Err(self.error(call, ErrorKind::TooMuch, "over the platform's rate"))
-            }
-            StatusCode::SERVICE_UNAVAILABLE => {
-                Err(self.error(call, ErrorKind::Unavailable, "the platform is away"))
-            }
-            s if s.is_server_error() => {
-                Err(self.error(call, self.lost_kind(call), &format!("answered {s}")))
-            }
+            StatusCode::TOO_MANY_REQUESTS => Err(self.error(
+                call,
+                ErrorKind::TooMuch,
+                "over the platform's rate limit (429)",
+            )),
+            StatusCode::SERVICE_UNAVAILABLE => Err(self.error(
+                call,
+                ErrorKind::Unavailable,
+                "the platform is unavailable (503)",
+            )),
+            s if s.is_server_error() => Err(self.error(
+                call,
+                self.no_reply_kind(call),
+                &format!("unexpected status {s}"),
+            )),
             _ => Ok(reply),
         }
     }
@@ -206,72 +226,87 @@
             .map_err(|e| self.error(call, ErrorKind::BadInput, &e.to_string()))
     }
 
-    /// A call without an answer. Only one that never had a connection surely did nothing.
-    fn lost(&self, call: &Call<'_>, e: &hyper_util::client::legacy::Error) -> Error {
+    /// Returns the error of a call without a complete reply. Only a call that never had a connection certainly had no
+    /// effect.
+    fn transport_error(&self, call: &Call<'_>, e: &hyper_util::client::legacy::Error) -> Error {
         let kind = match e.is_connect() {
             true => ErrorKind::Unavailable,
-            false => self.lost_kind(call),
+            false => self.no_reply_kind(call),
         };
         let cause = std::error::Error::source(e).map_or_else(String::new, |c| format!(": {c}"));
         self.error(call, kind, &format!("{e}{cause}"))
     }
 
-    fn lost_kind(&self, call: &Call<'_>) -> ErrorKind {
+    /// Returns the kind of error if a call that was sent gets no valid reply: a write or delete may have taken effect.
+    fn no_reply_kind(&self, call: &Call<'_>) -> ErrorKind {
         match call.kind {
-            Kind::Write | Kind::Delete => ErrorKind::Unknown,
+            CallKind::Write | CallKind::Delete => ErrorKind::Unknown,
             _ => ErrorKind::Unavailable,
         }
     }
 
     fn error(&self, call: &Call<'_>, kind: ErrorKind, text: &str) -> Error {
-        Error::new(kind, format!("{}: {text}", call.what))
+        Error::new(kind, format!("{}: {text}", call.subject))
             .at(call.step)
             .from_peer(self.options.addr.to_string())
     }
 
-    fn unexpected(&self, call_step: &'static str, what: &str, status: StatusCode) -> Error {
+    fn unexpected_status(&self, step: &'static str, subject: &str, status: StatusCode) -> Error {
         Error::new(
             ErrorKind::BadInput,
-            format!("{what}: unexpected answer {status}"),
+            format!("{subject}: unexpected status {status}"),
         )
-        .at(call_step)
+        .at(step)
         .from_peer(self.options.addr.to_string())
     }
 
-    fn json<T: DeserializeOwned>(
+    /// Parses the body of a successful reply.
+    fn parse_json<T: DeserializeOwned>(
         &self,
         step: &'static str,
-        what: &str,
-        r: &Response<Bytes>,
+        subject: &str,
+        reply: &Response<Bytes>,
     ) -> Result<T> {
-        if r.status() != StatusCode::OK {
-            return Err(self.unexpected(step, what, r.status()));
+        if reply.status() != StatusCode::OK {
+            return Err(self.unexpected_status(step, subject, reply.status()));
         }
-        serde_json::from_slice(r.body()).map_err(|e| {
-            Error::new(ErrorKind::BadInput, format!("{what}: {e}"))
-                .at(step)
-                .from_peer(self.options.addr.to_string())
+        serde_json::from_slice(reply.body()).map_err(|e| {
+            Error::new(
+                ErrorKind::BadInput,
+                format!("{subject}: malformed reply: {e}"),
+            )
+            .at(step)
+            .from_peer(self.options.addr.to_string())
         })
     }
 
-    fn version(&self, step: &'static str, what: &str, reply: &Response<Bytes>) -> Result<Version> {
+    /// Returns the version from the header of a reply.
+    fn parse_version(
+        &self,
+        step: &'static str,
+        subject: &str,
+        reply: &Response<Bytes>,
+    ) -> Result<Version> {
         let header = reply.headers().get("x-version");
         header
             .and_then(|v| v.to_str().ok()?.parse().ok())
             .map(Version)
             .ok_or_else(|| {
-                Error::new(ErrorKind::BadInput, format!("{what}: no `x-version`"))
-                    .at(step)
-                    .from_peer(self.options.addr.to_string())
+                Error::new(
+                    ErrorKind::BadInput,
+                    format!("{subject}: the header `x-version` is missing or not a number"),
+                )
+                .at(step)
+                .from_peer(self.options.addr.to_string())
             })
     }
 
-    fn seed_of(&self, what: &str) -> u64 {
-        self.options.seed ^ Fingerprint::of(&[what]).0
+    fn backoff_seed(&self, subject: &str) -> u64 {
+        self.options.seed ^ Fingerprint::of(&[subject]).0
     }
 }
 
-/// Checks that a path can stand in a URI as it is, and so cannot name another call.
+/// Checks that a path needs no escaping in a URI, so that it cannot change which call is made.
 fn check_path(path: &str) -> Result<()> {
     let ok = !path.is_empty()
         && path.len() <= 512
@@ -294,59 +329,64 @@
     async fn read(&self, path: &str) -> Result<Option<Object>> {
         const STEP: &str = "read object";
         check_path(path)?;
-        let call = self.call(STEP, Kind::Read, path, format!("/v1/objects/{path}"));
-        let reply = self.ask(call).await?;
+        let call = self.new_call(STEP, CallKind::Read, path, format!("/v1/objects/{path}"));
+        let reply = self.call_with_retries(call).await?;
         match reply.status() {
             StatusCode::OK => Ok(Some(Object {
-                version: self.version(STEP, path, &reply)?,
+                version: self.parse_version(STEP, path, &reply)?,
                 content: reply.into_body(),
             })),
             StatusCode::NOT_FOUND => Ok(None),
-            s => Err(self.unexpected(STEP, path, s)),
+            s => Err(self.unexpected_status(STEP, path, s)),
         }
     }
 
     async fn write(&self, path: &str, if_version: Version, content: Bytes) -> Result<Version> {
         const STEP: &str = "write object";
         check_path(path)?;
-        let mut call = self.call(STEP, Kind::Write, path, format!("/v1/objects/{path}"));
+        let mut call = self.new_call(STEP, CallKind::Write, path, format!("/v1/objects/{path}"));
         if content.len() > OBJECT_MAX_BYTES {
-            let text = format!("{} bytes is over the size of an object", content.len());
+            let text = format!(
+                "{} bytes exceed the maximum of {OBJECT_MAX_BYTES} bytes",
+                content.len()
+            );
             return Err(self.error(&call, ErrorKind::TooMuch, &text));
         }
         call.method = Method::PUT;
         call.if_version = Some(if_version);
         call.content = content;
-        let reply = self.once(&call).await?;
+        let reply = self.call_once(&call).await?;
         match reply.status() {
-            // It took effect, but without a version it must be read back.
+            // The write took effect, but the object must be read back to learn its version.
             StatusCode::OK => self
-                .version(STEP, path, &reply)
+                .parse_version(STEP, path, &reply)
                 .map_err(|e| Error::new(ErrorKind::Unknown, e.to_string())),
             StatusCode::CONFLICT => {
-                Err(self.error(&call, ErrorKind::Conflict, "another write was first"))
-            }
-            StatusCode::PAYLOAD_TOO_LARGE => {
-                Err(self.error(&call, ErrorKind::TooMuch, "too large for the platform"))
+                Err(self.error(&call, ErrorKind::Conflict, "the object has another version"))
             }
-            s => Err(self.unexpected(STEP, path, s)),
+            StatusCode::PAYLOAD_TOO_LARGE => Err(self.error(
+                &call,
+                ErrorKind::TooMuch,
+                "too large for the platform (413)",
+            )),
+            s => Err(self.unexpected_status(STEP, path, s)),
         }
     }
 
     async fn delete(&self, path: &str, if_version: Version) -> Result<bool> {
         const STEP: &str = "delete object";
         check_path(path)?;
-        let mut call = self.call(STEP, Kind::Delete, path, format!("/v1/objects/{path}"));
+        let mut call = self.new_call(STEP, CallKind::Delete, path, format!("/v1/objects/{path}"));
         call.method = Method::DELETE;
         call.if_version = Some(if_version);
-        let reply = self.once(&call).await?;
+        let reply = self.call_once(&call).await?;
         match reply.status() {
             StatusCode::OK => Ok(true),
             StatusCode::NOT_FOUND => Ok(false),
             StatusCode::CONFLICT => {
-                Err(self.error(&call, ErrorKind::Conflict, "another write was first"))
+                Err(self.error(&call, ErrorKind::Conflict, "the object has another version"))
             }
-            s => Err(self.unexpected(STEP, path, s)),
+            s => Err(self.unexpected_status(STEP, path, s)),
         }
     }
 
@@ -354,8 +394,10 @@
         const STEP: &str = "list objects";
         check_path(prefix)?;
         let uri = format!("/v1/list?prefix={prefix}");
-        let reply = self.ask(self.call(STEP, Kind::List, prefix, uri)).await?;
-        self.json(STEP, prefix, &reply)
+        let reply = self
+            .call_with_retries(self.new_call(STEP, CallKind::List, prefix, uri))
+            .await?;
+        self.parse_json(STEP, prefix, &reply)
     }
 
     async fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Result<WatchReply> {
@@ -363,24 +405,24 @@
         check_path(prefix)?;
         let wait_ms = wait.as_millis();
         let uri = format!("/v1/watch?prefix={prefix}&after={after}&wait_ms={wait_ms}");
-        let mut call = self.call(STEP, Kind::Watch, prefix, uri);
+        let mut call = self.new_call(STEP, CallKind::Watch, prefix, uri);
         call.timeout = wait + self.options.timeout;
-        // Not tried again here: whoever watches must know how long it saw nothing.
-        let reply = self.once(&call).await?;
+        // No retries here: the watcher must know how long it has seen nothing.
+        let reply = self.call_once(&call).await?;
         if reply.status() == StatusCode::GONE {
-            let text = format!("revision {after} is forgotten");
+            let text = format!("the changes after revision {after} are no longer kept");
             return Err(self
                 .error(&call, ErrorKind::NotFound, &text)
-                .with_hint("list again"));
+                .with_hint("list the prefix again"));
         }
-        self.json(STEP, prefix, &reply)
+        self.parse_json(STEP, prefix, &reply)
     }
 
     async fn vms(&self) -> Result<Vec<VmEntry>> {
         const STEP: &str = "read VM list";
-        let call = self.call(STEP, Kind::Vms, "vms", "/v1/vms".into());
-        let reply = self.ask(call).await?;
-        self.json(STEP, "vms", &reply)
+        let call = self.new_call(STEP, CallKind::Vms, "vms", "/v1/vms".into());
+        let reply = self.call_with_retries(call).await?;
+        self.parse_json(STEP, "vms", &reply)
     }
 
     fn call_counts(&self) -> CallCounts {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,9 +1,9 @@
-//! The client of the platform's object service.
+//! Client of the platform's object service.
 //!
-//! [`Platform`] is what the rest of the process sees; [`HttpPlatform`] speaks the protocol of
-//! `docs/PROTOCOLS.md` by hyper, with timeouts, jittered back-off and a counted call budget.
-//! [`Watcher`] keeps a prefix mirrored through outages, and [`write_with_read_back`] decides a write
-//! whose answer was lost by reading back.
+//! [`Platform`] is the interface that the rest of the process uses; [`HttpPlatform`] implements it over HTTP as
+//! described in `docs/PROTOCOLS.md`, with timeouts, jittered backoff and a call budget. [`Watcher`] mirrors the objects
+//! under a prefix through outages, and [`write_with_read_back`] resolves a write whose answer was lost by reading the
+//! object back.
 
 mod backoff;
 mod budget;
--- a/crates/store/src/object.rs
+++ b/crates/store/src/object.rs
@@ -1,4 +1,4 @@
-//! What the platform's object service answers.
+//! Objects, lists and changes as the platform's object service returns them.
 
 use std::fmt;
 
@@ -6,10 +6,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The largest content that the platform takes, in bytes.
+/// Maximum size of an object's content that the platform accepts, in bytes.
 pub const OBJECT_MAX_BYTES: usize = 1_000_000;
 
-/// A version of an object: the store's revision at its last write. Versions never repeat.
+/// Version of an object: the store's revision at its last write. Versions never repeat.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -17,7 +17,7 @@
 pub struct Version(pub u64);
 
 impl Version {
-    /// As a condition: the object must not exist.
+    /// As the condition of a write or delete: the object must not exist.
     pub const ABSENT: Self = Self(0);
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// An object as read.
+/// Object that was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Object {
     /// Its version.
@@ -36,7 +36,7 @@
     pub content: Bytes,
 }
 
-/// An object as listed, without its content.
+/// Object in a list, without its content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// Its path.
@@ -45,32 +45,32 @@
     pub version: Version,
 }
 
-/// The objects under a prefix.
+/// Objects under a prefix.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
-    /// The store's revision, to watch from.
+    /// The store's revision when they were listed, from which to watch.
     pub revision: u64,
-    /// The objects.
+    /// The objects under the prefix.
     pub objects: Vec<Entry>,
 }
 
-/// An object that changed.
+/// Object that changed or was deleted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangedObject {
     /// Its path.
     pub path: String,
-    /// Its version now.
+    /// Its present version.
     pub version: Version,
-    /// Whether it is gone.
+    /// Whether it was deleted.
     #[serde(default)]
     pub deleted: bool,
 }
 
-/// What a watch brought.
+/// Reply to a watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchReply {
-    /// The store's revision, to watch on from.
+    /// The store's revision, from which to continue the watch.
     pub revision: u64,
-    /// What changed; empty if the wait was over first.
+    /// The objects that changed; empty if the wait ended first.
     pub changed: Vec<ChangedObject>,
 }
--- a/crates/store/src/platform.rs
+++ b/crates/store/src/platform.rs
@@ -12,33 +12,34 @@
 use crate::object::Version;
 use crate::object::WatchReply;
 
-/// The platform's object service.
+/// Object service of the platform.
 ///
-/// Every error names its step and the peer. [`ErrorKind::Unavailable`] means that nothing happened;
-/// [`ErrorKind::TooMuch`] that the call is over a rate, the call budget or the size bound, and did
-/// nothing either.
+/// Every error names its step and the peer. [`ErrorKind::Unavailable`] means that the call had no effect;
+/// [`ErrorKind::TooMuch`] that it exceeds the platform's rate limit, the call budget or the size limit, and had no
+/// effect either.
 #[async_trait]
 pub trait Platform: Send + Sync {
-    /// Reads an object; `None` if there is none.
+    /// Reads an object; `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Unavailable`] after the retries, [`ErrorKind::TooMuch`] over the call budget.
+    /// [`ErrorKind::Unavailable`] after the retries, [`ErrorKind::TooMuch`] over the rate limit or the call
+    /// budget.
     async fn read(&self, path: &str) -> Result<Option<Object>>;
 
-    /// Writes an object if it has this version ([`Version::ABSENT`]: if there is none).
+    /// Writes an object if it has the given version ([`Version::ABSENT`]: if it does not exist).
     ///
-    /// It is sent once: whether a resend is right only the writer can know. See
+    /// The write is sent once, as only the writer can know whether a resend is correct. See
     /// [`crate::write_with_read_back`].
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Conflict`] if it has another version, [`ErrorKind::Unknown`] if the answer was
-    /// lost and it may have taken effect or may yet, [`ErrorKind::Unavailable`] if it was not made,
-    /// [`ErrorKind::TooMuch`] if the content is over [`crate::OBJECT_MAX_BYTES`] or a rate was passed.
+    /// [`ErrorKind::Conflict`] if the object has another version, [`ErrorKind::Unknown`] if the answer was lost, so
+    /// that the write may have taken effect or may still do so, [`ErrorKind::Unavailable`] if it was not made,
+    /// [`ErrorKind::TooMuch`] if the content is over [`crate::OBJECT_MAX_BYTES`] or a rate limit was exceeded.
     async fn write(&self, path: &str, if_version: Version, content: Bytes) -> Result<Version>;
 
-    /// Deletes an object if it has this version; `false` if there is none.
+    /// Deletes an object if it has the given version; returns `false` if it does not exist.
     ///
     /// # Errors
     ///
@@ -52,24 +53,24 @@
     /// As for [`Platform::read`].
     async fn list(&self, prefix: &str) -> Result<Listing>;
 
-    /// Waits until something under the prefix changed after a revision, or until `wait` is over.
+    /// Waits until an object under the prefix changes after the given revision, or until `wait` has passed.
     ///
     /// # Errors
     ///
-    /// As for [`Platform::read`], and [`ErrorKind::NotFound`] if the platform has forgotten the
-    /// revision: list again.
+    /// As for [`Platform::read`], but without retries; and [`ErrorKind::NotFound`] if the platform no longer keeps the
+    /// changes after the revision, so that the prefix must be listed again.
     async fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Result<WatchReply>;
 
-    /// The VMs by the platform's lagging list.
+    /// Returns the VMs from the platform's list, which lags behind.
     ///
     /// # Errors
     ///
     /// As for [`Platform::read`].
     async fn vms(&self) -> Result<Vec<VmEntry>>;
 
-    /// The calls made so far.
+    /// Returns the number of calls made so far.
     fn call_counts(&self) -> CallCounts;
 
-    /// How long every call has failed; `None` if the last one was answered.
+    /// Returns the time since the first failed call after the last answered one; `None` if none failed since.
     fn unreachable_for(&self) -> Option<Duration>;
 }
--- a/crates/store/tests/store/common/mod.rs
+++ b/crates/store/tests/store/common/mod.rs
@@ -27,7 +27,7 @@
         .seed(7)
         .clock(clock)
         .timeout(Duration::from_millis(300))
-        .tries(2)
+        .tries_max(2)
         .backoff(Duration::from_millis(5))
         .reads(budget)
         .writes(budget)
--- a/crates/store/tests/store/garbage.rs
+++ b/crates/store/tests/store/garbage.rs
@@ -26,7 +26,7 @@
         .addr(addr)
         .seed(1)
         .clock(crate::common::clock())
-        .tries(1)
+        .tries_max(1)
         .build();
     HttpPlatform::new(options)
 }
