--- a/crates/admin/src/answer.rs
+++ b/crates/admin/src/handler.rs
@@ -1,4 +1,4 @@
-//! Answering calls.
+//! Authenticates, executes and answers operators' calls.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,32 +19,32 @@
 use serde::Serialize;
 
 use crate::auth;
+use crate::call::Call;
+use crate::call::CallError;
+use crate::call::parse_call;
 use crate::operator_api::HistoryEntry;
 use crate::operator_api::OperatorApi;
 use crate::reply;
 use crate::reply::Reply;
-use crate::route;
-use crate::route::Call;
-use crate::route::NoCall;
 use crate::view;
 
-/// Bounds on what a caller may send.
+/// Limits on the body of a request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Bounds {
-    /// The largest body, in bytes.
-    pub(crate) body: usize,
-    /// How long a body may take to arrive.
-    pub(crate) body_time: Duration,
+pub(crate) struct BodyLimits {
+    /// Maximum size, in bytes.
+    pub(crate) max_bytes: usize,
+    /// Time within which the body must arrive.
+    pub(crate) timeout: Duration,
 }
 
-/// The versions kept and the patches settled, as `GET /admin/v1/history` shows them.
+/// Response to `GET /admin/v1/history`: the versions kept and the patches decided.
 #[derive(Serialize)]
 struct History {
     versions: Vec<HistoryEntry>,
     settled: Vec<DecidedPatch>,
 }
 
-/// Where a patch stands, as `GET /admin/v1/patches/{id}` shows it.
+/// Response to `GET /admin/v1/patches/{id}`: the state of a patch.
 #[derive(Serialize)]
 #[serde(tag = "state", rename_all = "kebab-case")]
 enum PatchView {
@@ -52,41 +52,42 @@
     Settled(DecidedPatch),
 }
 
-/// Answers a request.
-pub(crate) async fn answer(
+/// Handles a request and returns the reply.
+pub(crate) async fn handle(
     api: &dyn OperatorApi,
-    bounds: Bounds,
+    body_limits: BodyLimits,
     peer: SocketAddr,
     req: Request<Incoming>,
 ) -> Reply {
     let uri = req.uri();
-    let call = match route::call(req.method(), uri.path(), uri.query()) {
+    let call = match parse_call(req.method(), uri.path(), uri.query()) {
         Ok(call) => call,
-        Err(e) => return no_call(&e),
+        Err(e) => return call_error_reply(&e),
     };
-    if let Some(reply) = open_answer(api, &call) {
+    if let Some(reply) = unauthenticated_reply(api, &call) {
         return reply;
     }
     let cfg = api.config();
-    let team = match auth::team(cfg.as_deref(), req.headers()) {
+    let team = match auth::authenticated_team(cfg.as_deref(), req.headers()) {
         Ok(team) => team,
-        Err(e) => return turn_away(&e, peer, req.headers()),
+        Err(e) => return auth_error_reply(&e, peer, req.headers()),
     };
     let result = match call {
-        Call::Propose { dry_run } => propose(api, bounds, peer, &team, dry_run, req).await,
+        Call::Propose { dry_run } => propose(api, body_limits, peer, &team, dry_run, req).await,
         call => read(api, &team, call).await,
     };
     result.unwrap_or_else(|e| reply::error(&e))
 }
 
-fn no_call(e: &NoCall) -> Reply {
+/// Returns the reply to a request that makes no call.
+fn call_error_reply(e: &CallError) -> Reply {
     match e {
-        NoCall::Path(e) | NoCall::Bad(e) => reply::error(e),
-        NoCall::Method(allowed) => {
-            let e = Error::new(ErrorKind::BadInput, "the path takes another method")
+        CallError::UnknownPath(e) | CallError::BadInput(e) => reply::error(e),
+        CallError::WrongMethod(allowed) => {
+            let e = Error::new(ErrorKind::BadInput, "the path does not accept this method")
                 .at("read request")
                 .with_hint(format!("use {allowed}"));
-            let mut reply = reply::error_as(StatusCode::METHOD_NOT_ALLOWED, &e);
+            let mut reply = reply::error_with_status(StatusCode::METHOD_NOT_ALLOWED, &e);
             let allow = header::HeaderValue::from_static(allowed);
             reply.headers_mut().insert(header::ALLOW, allow);
             reply
@@ -94,9 +95,11 @@
     }
 }
 
-/// Calls that need no key: what the balancer and the scraper ask, and the status of a VM that holds
-/// no configuration yet, by which no key could be checked. None of them shows a secret.
-fn open_answer(api: &dyn OperatorApi, call: &Call) -> Option<Reply> {
+/// Returns the reply to a call that needs no key; `None` for the other calls.
+///
+/// These are the calls of the balancer and the scraper, and the status of a VM that has no configuration yet and so
+/// cannot check keys. None of them shows a secret.
+fn unauthenticated_reply(api: &dyn OperatorApi, call: &Call) -> Option<Reply> {
     Some(match call {
         Call::Health => reply::text(StatusCode::OK, "ok\n"),
         Call::Ready if api.is_ready() => reply::text(StatusCode::OK, "ready\n"),
@@ -107,29 +110,31 @@
     })
 }
 
-fn turn_away(e: &Error, peer: SocketAddr, headers: &HeaderMap) -> Reply {
+/// Returns the reply to a request that cannot be authenticated, and logs a wrong key.
+fn auth_error_reply(e: &Error, peer: SocketAddr, headers: &HeaderMap) -> Reply {
     if e.kind() != ErrorKind::Forbidden {
         return reply::error(e);
     }
-    let team = auth::claimed(headers).map_or_else(|| "?".to_owned(), |t| t.to_string());
+    let team = auth::claimed_team(headers).map_or_else(|| "?".to_owned(), |t| t.to_string());
     log::warn!("event=admin-denied peer={peer} team={team}");
-    let mut reply = reply::error_as(StatusCode::UNAUTHORIZED, e);
+    let mut reply = reply::error_with_status(StatusCode::UNAUTHORIZED, e);
     let scheme = header::HeaderValue::from_static("Bearer");
     reply.headers_mut().insert(header::WWW_AUTHENTICATE, scheme);
     reply
 }
 
+/// Handles the calls that change nothing.
 async fn read(api: &dyn OperatorApi, team: &Team, call: Call) -> Result<Reply> {
     let cfg = api
         .config()
-        .ok_or_else(|| Error::new(ErrorKind::Unavailable, "no configuration is held"))?;
+        .ok_or_else(|| Error::new(ErrorKind::Unavailable, "this VM holds no configuration yet"))?;
     let ok = StatusCode::OK;
     Ok(match call {
         Call::Status => reply::json(ok, &api.status()),
         Call::Dump | Call::FleetDump if !team.admin => {
-            let text = format!("team `{}` may not see the whole state", team.name);
+            let text = format!("team `{}` may not see the complete state", team.name);
             let e = Error::new(ErrorKind::Forbidden, text).at("dump");
-            return Err(e.with_hint("ask an admin team; `status` is for every team"));
+            return Err(e.with_hint("ask an admin team; every team may read `status`"));
         }
         Call::Dump => reply::json(ok, &api.dump()),
         Call::FleetDump => reply::json(ok, &api.fleet_dump().await),
@@ -143,40 +148,45 @@
         Call::History => {
             let history = History {
                 versions: api.history().await?,
-                settled: view::settled(api.decided_patches(), team),
+                settled: view::decided_patches(api.decided_patches(), team),
             };
             reply::json(ok, &history)
         }
         Call::Fronts => reply::json(ok, &view::config(&cfg, team).fronts),
         Call::Front(f) => reply::json(ok, view::front(&cfg, team, &f)?),
         Call::Lookup(f, l) => reply::json(ok, view::lookup(view::front(&cfg, team, &f)?, &l)?),
-        Call::Patch(id) => reply::json(ok, &patch(api, team, id)?),
+        Call::Patch(id) => reply::json(ok, &patch_view(api, team, id)?),
         Call::Fleet => reply::json(ok, &api.fleet()),
         Call::Health | Call::Ready | Call::Metrics | Call::Propose { .. } => {
-            let e = Error::new(ErrorKind::NotFound, "answered elsewhere");
+            let e = Error::new(ErrorKind::NotFound, "this call is not a read");
             reply::error(&e)
         }
     })
 }
 
-fn patch(api: &dyn OperatorApi, team: &Team, id: PatchId) -> Result<PatchView> {
-    let settled = view::settled(api.decided_patches(), team);
-    if let Some(s) = settled.into_iter().rev().find(|s| s.id == id) {
-        return Ok(PatchView::Settled(s));
+/// Returns the state of a patch that the team may see.
+fn patch_view(api: &dyn OperatorApi, team: &Team, id: PatchId) -> Result<PatchView> {
+    let decided = view::decided_patches(api.decided_patches(), team);
+    if let Some(p) = decided.into_iter().rev().find(|p| p.id == id) {
+        return Ok(PatchView::Settled(p));
     }
     if api.pending_patch().as_ref() == Some(&id) {
         return Ok(PatchView::Pending { id });
     }
-    let e = Error::new(ErrorKind::NotFound, format!("no word on patch `{id}` here"));
+    let e = Error::new(
+        ErrorKind::NotFound,
+        format!("patch `{id}` is not known on this VM"),
+    );
     Err(e.at("find patch").with_hint(
-        "it was never prepared, is another team's, or is no longer remembered; \
+        "it was never prepared, belongs to another team, or is no longer kept; \
          sending it again with the same id is safe",
     ))
 }
 
+/// Handles the proposal of a patch, and logs its outcome.
 async fn propose(
     api: &dyn OperatorApi,
-    bounds: Bounds,
+    body_limits: BodyLimits,
     peer: SocketAddr,
     team: &Team,
     dry_run: bool,
@@ -186,14 +196,17 @@
         let e = Error::new(ErrorKind::BadInput, "the body is not declared as JSON")
             .at("read patch")
             .with_hint("send `content-type: application/json`");
-        return Ok(reply::error_as(StatusCode::UNSUPPORTED_MEDIA_TYPE, &e));
+        return Ok(reply::error_with_status(
+            StatusCode::UNSUPPORTED_MEDIA_TYPE,
+            &e,
+        ));
     }
-    let body = match body(bounds, req).await {
+    let body = match read_body(body_limits, req).await {
         Ok(body) => body,
         Err(e) if e.kind() == ErrorKind::TooMuch => {
-            return Ok(reply::error_as(StatusCode::PAYLOAD_TOO_LARGE, &e));
+            return Ok(reply::error_with_status(StatusCode::PAYLOAD_TOO_LARGE, &e));
         }
-        Err(e) => return Ok(reply::error_as(StatusCode::REQUEST_TIMEOUT, &e)),
+        Err(e) => return Ok(reply::error_with_status(StatusCode::REQUEST_TIMEOUT, &e)),
     };
     let patch: Patch = serde_json::from_slice(&body).map_err(|e| {
         Error::new(
@@ -204,17 +217,17 @@
         .with_hint("see docs/OPERATIONS.md for the form of a patch")
     })?;
     let (name, id, against) = (team.name.clone(), patch.id.clone(), patch.against);
-    let verdict = api.propose(name.clone(), patch, dry_run).await;
+    let outcome = api.propose(name.clone(), patch, dry_run).await;
     log::info!(
         "event=patch team={name} id={id} against={against} dry_run={dry_run} verdict={} peer={peer}",
-        word(&verdict)
+        outcome_text(&outcome)
     );
-    Ok(reply::verdict(&verdict))
+    Ok(reply::patch_outcome(&outcome))
 }
 
-/// The verdict in one word, for the audit log.
-fn word(verdict: &PatchOutcome) -> String {
-    match verdict {
+/// Returns the outcome of a patch as it appears in the audit log.
+fn outcome_text(outcome: &PatchOutcome) -> String {
+    match outcome {
         PatchOutcome::Accepted { version, .. } => format!("accepted version={version}"),
         PatchOutcome::Checked { .. } => "checked".to_owned(),
         PatchOutcome::Refused { error, .. } => format!("refused kind={}", error.kind()),
@@ -222,24 +235,29 @@
     }
 }
 
+/// Returns whether the body is declared as JSON.
 fn is_json(headers: &HeaderMap) -> bool {
-    let kind = headers.get(header::CONTENT_TYPE);
-    let kind = kind.and_then(|v| v.to_str().ok()).unwrap_or_default();
-    let kind = kind.split(';').next().unwrap_or_default().trim();
-    kind.eq_ignore_ascii_case("application/json")
+    let content_type = headers.get(header::CONTENT_TYPE);
+    let content_type = content_type
+        .and_then(|v| v.to_str().ok())
+        .unwrap_or_default();
+    let media_type = content_type.split(';').next().unwrap_or_default().trim();
+    media_type.eq_ignore_ascii_case("application/json")
 }
 
-/// Reads a body within its bounds of size and time.
-async fn body(bounds: Bounds, req: Request<Incoming>) -> Result<Bytes> {
-    let limited = Limited::new(req.into_body(), bounds.body);
-    let Ok(read) = tokio::time::timeout(bounds.body_time, limited.collect()).await else {
+/// Reads a body within its limits of size and time.
+async fn read_body(limits: BodyLimits, req: Request<Incoming>) -> Result<Bytes> {
+    let limited = Limited::new(req.into_body(), limits.max_bytes);
+    let Ok(read) = tokio::time::timeout(limits.timeout, limited.collect()).await else {
         let e = Error::new(ErrorKind::Unavailable, "the body did not arrive in time");
-        return Err(e.at("read body").with_hint("send it in one go"));
+        return Err(e
+            .at("read body")
+            .with_hint("send the complete body without pauses"));
     };
     match read {
         Ok(body) => Ok(body.to_bytes()),
         Err(e) if e.is::<LengthLimitError>() => {
-            let text = format!("the body is over {} bytes", bounds.body);
+            let text = format!("the body is over {} bytes", limits.max_bytes);
             let e = Error::new(ErrorKind::TooMuch, text).at("read body");
             Err(e.with_hint("split the patch"))
         }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,16 +1,18 @@
-//! The operators' HTTP interface: many teams, patches, history, and what each VM has in force.
+//! HTTP interface for operators: configuration patches, their history, the state of the process, and the configuration
+//! that each VM has in force.
 //!
-//! [`AdminServer`] takes connections and answers through an object of [`OperatorApi`], which the process
-//! implements. `docs/OPERATIONS.md` lists the calls and what an operator does with them.
+//! [`AdminServer`] accepts connections and answers calls through [`OperatorApi`], which the process implements.
+//! `docs/OPERATIONS.md` lists the calls and what operators use them for.
 //!
-//! Every answer but `/healthz`, `/ready` and `/metrics` needs `authorization: Bearer TEAM:KEY`. A
-//! team sees and changes its own fronts; an admin team sees and changes all, and the teams.
+//! Every call except `/healthz`, `/ready` and `/metrics` needs `authorization: Bearer TEAM:KEY`; `/status` needs no key
+//! while the VM has no configuration. A team sees and changes its own fronts; an admin team sees and changes all fronts
+//! and the teams.
 
-mod answer;
 mod auth;
+mod call;
+mod handler;
 mod operator_api;
 mod reply;
-mod route;
 mod server;
 mod view;
 
--- a/crates/admin/src/operator_api.rs
+++ b/crates/admin/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! What the process offers to operators.
+//! Interface by which the process answers operators.
 
 use std::sync::Arc;
 
@@ -11,59 +11,59 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What the process offers to operators. Values handed out hold no keys and no secrets.
+/// Operations that the process offers to operators. Returned values contain no keys and no secrets.
 #[async_trait]
 pub trait OperatorApi: Send + Sync {
-    /// Takes a patch from a team whose key was checked to its verdict.
+    /// Proposes a patch of an authenticated team and waits for its outcome.
     async fn propose(&self, team: TeamName, patch: Patch, dry_run: bool) -> PatchOutcome;
 
-    /// The configuration in force here; `None` if this VM holds none yet.
+    /// Returns the configuration in force on this VM; `None` if it has none yet.
     fn config(&self) -> Option<Arc<Config>>;
 
-    /// A version by number, from the platform's history; `None` if it is not kept.
+    /// Returns a version of the configuration from the platform's history; `None` if it is not kept.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Unavailable`] if the platform is away and the version is not held here.
+    /// [`ErrorKind::Unavailable`] if the platform is unreachable and the version is not the one in force here.
     async fn version(&self, version: ConfVersion) -> Result<Option<Arc<Config>>>;
 
-    /// The last patches settled, oldest first.
+    /// Returns the most recently decided patches, oldest first.
     fn decided_patches(&self) -> Vec<DecidedPatch>;
 
-    /// The patch that is being decided, as far as this VM knows.
+    /// Returns the patch that is being decided, as far as this VM knows.
     fn pending_patch(&self) -> Option<PatchId> {
         None
     }
 
-    /// The versions that the platform keeps, oldest first.
+    /// Returns the versions that the platform keeps, oldest first.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Unavailable`] if the platform is away.
+    /// [`ErrorKind::Unavailable`] if the platform is unreachable.
     async fn history(&self) -> Result<Vec<HistoryEntry>>;
 
-    /// What each VM has in force.
+    /// Returns the version that each VM has in force.
     fn fleet(&self) -> Vec<VmStatus>;
 
-    /// A summary of this process.
+    /// Returns a summary of this process's state.
     fn status(&self) -> serde_json::Value;
 
-    /// The whole state of this process.
+    /// Returns the complete state of this process.
     fn dump(&self) -> serde_json::Value;
 
-    /// The dumps of all VMs, through this one; a VM that does not answer stands with its error.
+    /// Returns the dumps of all VMs, collected by this one; an error in place of the dump of a VM that does not answer.
     async fn fleet_dump(&self) -> serde_json::Value;
 
-    /// The metrics in the usual scrape format.
+    /// Returns the metrics in the Prometheus text format.
     fn metrics(&self) -> String;
 
-    /// Whether this VM takes lookups.
+    /// Returns whether this VM accepts lookups.
     fn is_ready(&self) -> bool;
 }
 
-/// A version that the platform keeps.
+/// Version of the configuration that the platform keeps.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryEntry {
-    /// The version.
+    /// Its number.
     pub version: ConfVersion,
 }
--- a/crates/admin/src/reply.rs
+++ b/crates/admin/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers as JSON, and errors with their status.
+//! Builds replies: JSON, plain text, errors and outcomes of patches, with their statuses.
 
 use bytes::Bytes;
 use gs_conf::PatchOutcome;
@@ -9,13 +9,13 @@
 use hyper::header;
 use serde::Serialize;
 
-/// What is sent back.
+/// Reply to a request.
 pub(crate) type Reply = Response<Full<Bytes>>;
 
-/// When an undecided patch is worth sending again, in seconds.
-const RETRY_AFTER: u64 = 2;
+/// Time after which to send an undecided patch again.
+const RETRY_AFTER_SECONDS: u64 = 2;
 
-/// An error as programs read it.
+/// Serialised form of an error.
 #[derive(Serialize)]
 struct ErrorBody<'a> {
     kind: ErrorKind,
@@ -37,43 +37,49 @@
     }
 }
 
-/// A JSON answer.
+/// Returns a reply with a JSON body.
 pub(crate) fn json<T: Serialize>(status: StatusCode, body: &T) -> Reply {
     match serde_json::to_vec(body) {
-        Ok(body) => with_type(status, "application/json", body),
+        Ok(body) => with_content_type(status, "application/json", body),
         Err(e) => text(StatusCode::INTERNAL_SERVER_ERROR, e.to_string()),
     }
 }
 
-/// A plain text answer.
+/// Returns a reply with a plain text body.
 pub(crate) fn text(status: StatusCode, body: impl Into<Bytes>) -> Reply {
-    with_type(status, "text/plain; version=0.0.4; charset=utf-8", body)
+    with_content_type(status, "text/plain; version=0.0.4; charset=utf-8", body)
 }
 
-fn with_type(status: StatusCode, kind: &'static str, body: impl Into<Bytes>) -> Reply {
+fn with_content_type(
+    status: StatusCode,
+    content_type: &'static str,
+    body: impl Into<Bytes>,
+) -> Reply {
     let mut reply = Response::new(Full::new(body.into()));
     *reply.status_mut() = status;
-    let kind = header::HeaderValue::from_static(kind);
-    reply.headers_mut().insert(header::CONTENT_TYPE, kind);
+    let content_type = header::HeaderValue::from_static(content_type);
+    reply
+        .headers_mut()
+        .insert(header::CONTENT_TYPE, content_type);
     reply
 }
 
-/// An error answer.
+/// Returns an error reply with the status of its kind.
 pub(crate) fn error(e: &Error) -> Reply {
     json(status_of(e.kind()), &ErrorBody::new(e))
 }
 
-/// An error answer with another status than its kind's.
-pub(crate) fn error_as(status: StatusCode, e: &Error) -> Reply {
+/// Returns an error reply with the given status instead of that of its kind.
+pub(crate) fn error_with_status(status: StatusCode, e: &Error) -> Reply {
     json(status, &ErrorBody::new(e))
 }
 
-/// The word on a patch, as a verdict with any status.
+/// Returns the reply that carries the outcome of a patch.
 ///
-/// A refusal is final and never 5xx, so that no client sends it again in vain. An undecided patch is
-/// 503 where sending it again with the same id helps.
-pub(crate) fn verdict(v: &PatchOutcome) -> Reply {
-    let status = match v {
+/// A refusal is final and never has a 5xx status, so that no client retries it without success. An undecided patch has
+/// status 503 if sending it again with the same id helps.
+pub(crate) fn patch_outcome(outcome: &PatchOutcome) -> Reply {
+    let status = match outcome {
         PatchOutcome::Accepted { .. } | PatchOutcome::Checked { .. } => StatusCode::OK,
         PatchOutcome::Refused { error, .. } => match status_of(error.kind()) {
             s if s.is_server_error() => StatusCode::CONFLICT,
@@ -81,10 +87,10 @@
         },
         PatchOutcome::Undecided { error } => status_of(error.kind()),
     };
-    let mut reply = json(status, v);
+    let mut reply = json(status, outcome);
     if status.is_server_error() {
-        let after = RETRY_AFTER.into();
-        reply.headers_mut().insert(header::RETRY_AFTER, after);
+        let retry_after = RETRY_AFTER_SECONDS.into();
+        reply.headers_mut().insert(header::RETRY_AFTER, retry_after);
     }
     reply
 }
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -1,4 +1,4 @@
-//! Taking connections.
+//! Accepts operators' connections and serves them.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -16,33 +16,34 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use crate::answer::Bounds;
-use crate::answer::answer;
+use crate::handler::BodyLimits;
+use crate::handler::handle;
 use crate::operator_api::OperatorApi;
 use crate::reply::Reply;
 
-/// How the interface is served.
+/// Options of an [`AdminServer`].
 #[derive(Builder, Clone)]
 pub struct AdminOptions {
-    /// Where it listens.
+    /// Address to listen at.
     pub addr: SocketAddr,
-    /// What answers.
+    /// Operations of the process that answer the calls.
     pub api: Arc<dyn OperatorApi>,
-    /// The largest body, in bytes.
+    /// Maximum size of a request's body, in bytes.
     #[builder(default = 256 << 10)]
     pub body_max: usize,
-    /// The largest head of a request, in bytes.
+    /// Maximum size of a request's head, in bytes.
     #[builder(default = 16 << 10)]
     pub head_max: usize,
-    /// How long a connection may be idle, and a head, and then a body, may take to arrive.
+    /// Time for which a connection may be idle; also the time within which a request's head, and then its body, must
+    /// arrive.
     #[builder(default = Duration::from_secs(5))]
     pub read_timeout: Duration,
-    /// Connections at a time; more wait to be accepted.
+    /// Maximum number of concurrent connections; further ones wait to be accepted.
     #[builder(default = 64)]
     pub connections_max: usize,
 }
 
-/// The running interface; it stops when this is dropped.
+/// Running server of the operators' interface; it is aborted when this is dropped.
 pub struct AdminServer {
     addr: SocketAddr,
     stop: watch::Sender<bool>,
@@ -50,23 +51,23 @@
 }
 
 impl AdminServer {
-    /// Starts to listen.
+    /// Binds a listener and starts the server.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Io`] if the address is not to be had.
+    /// [`ErrorKind::Io`] if the address cannot be bound.
     pub async fn start(options: AdminOptions) -> Result<Self> {
         let io = |e: std::io::Error| {
             Error::new(ErrorKind::Io, e.to_string())
                 .at("listen for operators")
                 .from_peer(options.addr.to_string())
-                .with_hint("is the address this VM's, and no other process on the port?")
+                .with_hint("check that the address is this VM's and that no other process uses it")
         };
         let listener = TcpListener::bind(options.addr).await.map_err(io)?;
         Self::from_listener(listener, options)
     }
 
-    /// Starts on a listener that was bound before; `options.addr` is only for errors.
+    /// Starts the server on a bound listener; `options.addr` is only used in errors.
     ///
     /// # Errors
     ///
@@ -82,13 +83,13 @@
         Ok(Self { addr, stop, task })
     }
 
-    /// Where it listens.
+    /// Returns the address at which it listens.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Takes no more requests, finishes those it has, and ends.
+    /// Stops accepting requests, finishes those in progress, and ends.
     pub async fn stop(mut self) {
         let _ = self.stop.send(true);
         let _ = (&mut self.task).await;
@@ -101,19 +102,19 @@
     }
 }
 
-/// Answers operators' calls on every connection.
-struct Interface {
+/// Answers the calls of operators on every connection.
+struct AdminHandler {
     api: Arc<dyn OperatorApi>,
-    bounds: Bounds,
+    body_limits: BodyLimits,
 }
 
-impl Handler for Interface {
+impl Handler for AdminHandler {
     fn handle(
         self: Arc<Self>,
         peer: SocketAddr,
         req: Request<Incoming>,
     ) -> Pin<Box<dyn Future<Output = Reply> + Send>> {
-        Box::pin(async move { answer(&*self.api, self.bounds, peer, req).await })
+        Box::pin(async move { handle(&*self.api, self.body_limits, peer, req).await })
     }
 }
 
@@ -128,13 +129,13 @@
         idle_timeout: options.read_timeout,
         connections: options.connections_max,
     };
-    let bounds = Bounds {
-        body: options.body_max,
-        body_time: options.read_timeout,
+    let body_limits = BodyLimits {
+        max_bytes: options.body_max,
+        timeout: options.read_timeout,
     };
-    let interface = Interface {
+    let handler = AdminHandler {
         api: options.api,
-        bounds,
+        body_limits,
     };
-    tokio::spawn(Server::new(listener, limits).run(Arc::new(interface), stopped))
+    tokio::spawn(Server::new(listener, limits).run(Arc::new(handler), stopped))
 }
--- a/crates/admin/src/view.rs
+++ b/crates/admin/src/view.rs
@@ -1,11 +1,11 @@
-//! What a team may see.
+//! Restricts configurations, patches and fronts to what a team may see.
 
 use gs_conf::DecidedPatch;
 use gs_conf::redacted;
 use gs_types::prelude::*;
 
-/// The configuration as a team may see it: its own fronts, or everything for an admin team; never
-/// the hash of a key.
+/// Returns the part of a configuration that a team may see: its own fronts and itself, or everything for an admin team;
+/// never the hash of a key.
 pub(crate) fn config(cfg: &Config, team: &Team) -> Config {
     let mut shown = redacted(cfg);
     if !team.admin {
@@ -15,17 +15,18 @@
     shown
 }
 
-/// The settled patches as a team may see them: its own, or all for an admin team.
-pub(crate) fn settled(mut all: Vec<DecidedPatch>, team: &Team) -> Vec<DecidedPatch> {
-    all.retain(|s| team.admin || s.team == team.name);
+/// Returns the decided patches that a team may see: its own, or all for an admin team.
+pub(crate) fn decided_patches(mut all: Vec<DecidedPatch>, team: &Team) -> Vec<DecidedPatch> {
+    all.retain(|p| team.admin || p.team == team.name);
     all
 }
 
-/// A front that the team may see.
+/// Returns a front by name, if the team may see it.
 ///
 /// # Errors
 ///
-/// [`ErrorKind::Forbidden`] if it is another team's, declared or not; [`ErrorKind::NotFound`].
+/// [`ErrorKind::Forbidden`] if it is not the team's own, whether or not it is declared; [`ErrorKind::NotFound`] if it
+/// is not declared.
 pub(crate) fn front<'a>(cfg: &'a Config, team: &Team, name: &FrontName) -> Result<&'a Front> {
     if !team.admin && !team.fronts.contains(name) {
         let text = format!("team `{}` may not see front `{name}`", team.name);
@@ -37,18 +38,18 @@
     found.ok_or_else(|| not_found(format!("front `{name}` is not declared")))
 }
 
-/// A lookup of a front.
+/// Returns a lookup of a front by name.
 ///
 /// # Errors
 ///
-/// [`ErrorKind::NotFound`].
+/// [`ErrorKind::NotFound`] if the front does not declare it.
 pub(crate) fn lookup<'a>(front: &'a Front, name: &LookupName) -> Result<&'a Lookup> {
     let found = front.lookups.iter().find(|l| l.name == *name);
     let text = || format!("front `{}` declares no lookup `{name}`", front.name);
     found.ok_or_else(|| not_found(text()))
 }
 
-/// The error for something that is not there.
+/// Returns the error for a front, lookup or version that does not exist.
 pub(crate) fn not_found(text: String) -> Error {
     Error::new(ErrorKind::NotFound, text)
         .at("find")
--- a/crates/admin/tests/admin/common/mod.rs
+++ b/crates/admin/tests/admin/common/mod.rs
@@ -1,4 +1,4 @@
-//! A process that answers operators, and a client.
+//! A stand-in for the process behind the interface, and an HTTP client.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,15 +31,15 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::sync::Semaphore;
 
-/// The keys of the three teams.
+/// The `authorization` headers of the three teams.
 pub const OPS: &str = "Bearer ops:key-of-ops";
 pub const QUILL: &str = "Bearer quill:key-of-quill";
 pub const LEDGER: &str = "Bearer ledger:key-of-ledger";
 
-/// A process with two fronts, two teams and an admin team.
+/// Process with two fronts, two teams and an admin team.
 pub struct Process {
     pub config: Mutex<Option<Arc<Config>>>,
-    pub verdict: Mutex<PatchOutcome>,
+    pub outcome: Mutex<PatchOutcome>,
     pub proposed: Mutex<Vec<(TeamName, Patch, bool)>>,
     gate: Arc<Semaphore>,
 }
@@ -92,18 +92,18 @@
         };
         Arc::new(Self {
             config: Mutex::new(Some(Arc::new(config))),
-            verdict: Mutex::new(accepted()),
+            outcome: Mutex::new(accepted()),
             proposed: Mutex::new(Vec::new()),
             gate: Arc::new(Semaphore::new(1)),
         })
     }
 
-    /// Gives no verdict until what comes back is dropped.
+    /// Makes proposals wait for their outcome until the returned permit is dropped.
     pub fn hold(&self) -> OwnedSemaphorePermit {
         self.gate
             .clone()
             .try_acquire_owned()
-            .expect("nobody else holds it")
+            .expect("no other permit is held")
     }
 }
 
@@ -112,14 +112,14 @@
     async fn propose(&self, team: TeamName, patch: Patch, dry_run: bool) -> PatchOutcome {
         self.proposed
             .lock()
-            .expect("whole")
+            .expect("not poisoned")
             .push((team, patch, dry_run));
-        let _open = self.gate.acquire().await.expect("never closed");
-        self.verdict.lock().expect("whole").clone()
+        let _permit = self.gate.acquire().await.expect("never closed");
+        self.outcome.lock().expect("not poisoned").clone()
     }
 
     fn config(&self) -> Option<Arc<Config>> {
-        self.config.lock().expect("whole").clone()
+        self.config.lock().expect("not poisoned").clone()
     }
 
     async fn version(&self, version: ConfVersion) -> Result<Option<Arc<Config>>> {
@@ -173,7 +173,7 @@
     }
 }
 
-/// The interface with short bounds, on a free port.
+/// Serves the interface with short limits on a free port.
 pub async fn serve(process: Arc<Process>) -> AdminServer {
     let options = AdminOptions::builder()
         .addr(([127, 0, 0, 1], 0).into())
@@ -186,7 +186,7 @@
     AdminServer::start(options).await.expect("a free port")
 }
 
-/// An answer: its status and its body as JSON, or as text if it is none.
+/// Answer: its status and its body as JSON, or as text if it is not JSON.
 pub type Answer = (u16, Value);
 
 async fn read(reply: Response<hyper::body::Incoming>) -> Answer {
@@ -203,7 +203,7 @@
     read(client.request(req).await.expect("an answer")).await
 }
 
-/// GETs a path.
+/// Sends a GET request.
 pub async fn get(addr: SocketAddr, path: &str, key: Option<&str>) -> Answer {
     let mut req = Request::get(format!("http://{addr}{path}"));
     if let Some(key) = key {
@@ -212,7 +212,7 @@
     send(req.body(Full::default()).expect("a request")).await
 }
 
-/// POSTs a patch.
+/// Sends a POST request with a JSON body.
 pub async fn post(addr: SocketAddr, path: &str, key: &str, body: impl Into<Bytes>) -> Answer {
     let req = Request::post(format!("http://{addr}{path}"))
         .header("authorization", key)
--- a/crates/admin/tests/admin/hostile.rs
+++ b/crates/admin/tests/admin/hostile.rs
@@ -1,4 +1,4 @@
-//! What a hostile or broken caller sends.
+//! Malformed, oversized and slow requests, and what is logged of failed authentication.
 
 use std::sync::Mutex;
 
@@ -28,7 +28,7 @@
     let (status, json) = post(admin.addr(), "/admin/v1/patches", OPS, body).await;
     assert_eq!((status, &json["kind"]), (400, &"bad-input".into()));
     assert_eq!(json["step"], "read patch");
-    assert_eq!(process.proposed.lock().expect("whole").len(), 0);
+    assert_eq!(process.proposed.lock().expect("not poisoned").len(), 0);
 }
 
 #[tokio::test]
@@ -85,7 +85,7 @@
     assert!(answer.contains("allow: GET\r\n"), "{answer}");
 }
 
-/// A caller promises a body and never sends it. Its connection must end by the server's clock.
+/// A caller declares a body and never sends it: the server must end the request at its timeout.
 #[tokio::test]
 async fn half_a_request_is_ended() {
     let admin = serve(Process::new()).await;
@@ -97,8 +97,8 @@
     assert!(answer.starts_with("HTTP/1.1 408 "), "{answer}");
 }
 
-/// More callers than connections are allowed open one each and send half a head. Operators would be
-/// locked out, unless the server ends those connections by itself.
+/// More callers than there are connections allowed open one each and send half a request head. The server must close
+/// these connections at its timeout, or operators could not connect.
 #[tokio::test]
 async fn slow_callers_lock_nobody_out() {
     let admin = serve(Process::new()).await;
@@ -111,7 +111,7 @@
     assert_eq!(get(admin.addr(), "/ready", None).await.0, 200);
 }
 
-/// Lines that were logged.
+/// The lines logged so far.
 static LINES: Mutex<Vec<String>> = Mutex::new(Vec::new());
 
 struct Lines;
@@ -123,14 +123,14 @@
 
     fn log(&self, record: &log::Record<'_>) {
         let line = record.args().to_string();
-        LINES.lock().expect("whole").push(line);
+        LINES.lock().expect("not poisoned").push(line);
     }
 
     fn flush(&self) {}
 }
 
-/// An operator mistypes the team in front of the right key, and another's patch goes through. The log
-/// must show who did what, and neither the key nor any piece of the header.
+/// An operator gives the wrong team with a correct key, and another operator's patch is accepted. The log must show
+/// which team did what, and neither the key nor any other part of the header.
 #[tokio::test]
 async fn the_log_names_the_team_and_never_the_key() {
     log::set_logger(&Lines).expect("the only logger");
@@ -140,7 +140,7 @@
     post(admin.addr(), "/admin/v1/patches", OPS, patch).await;
     get(admin.addr(), "/dump", Some("Bearer quill:key-of-ops")).await;
     get(admin.addr(), "/dump", Some("Bearer a team=ops:key-of-ops")).await;
-    let lines = LINES.lock().expect("whole").clone();
+    let lines = LINES.lock().expect("not poisoned").clone();
     let has = |s: &str| lines.iter().any(|l| l.contains(s));
     assert!(has(
         "event=patch team=ops id=p-log against=7 dry_run=false verdict=accepted version=8"
--- a/crates/admin/tests/admin/interface.rs
+++ b/crates/admin/tests/admin/interface.rs
@@ -1,4 +1,4 @@
-//! What operators and programs read and change.
+//! Calls by which operators and programs read and change the configuration.
 
 use gs_conf::Objection;
 use gs_conf::PatchOutcome;
@@ -65,7 +65,7 @@
 #[tokio::test]
 async fn a_vm_without_a_configuration_shows_its_status_and_nothing_else() {
     let process = Process::new();
-    *process.config.lock().expect("whole") = None;
+    *process.config.lock().expect("not poisoned") = None;
     let admin = serve(process).await;
     assert_eq!(get(admin.addr(), "/ready", None).await.0, 503);
     assert_eq!(get(admin.addr(), "/status", None).await.0, 200);
@@ -107,7 +107,7 @@
     let (got, body) = get(admin.addr(), path, Some(QUILL)).await;
     assert_eq!(got, status, "{body}");
     if status >= 400 {
-        assert!(body["hint"].is_string(), "an error says how to mend it");
+        assert!(body["hint"].is_string(), "an error has a hint");
     }
 }
 
@@ -120,7 +120,7 @@
     assert_eq!(body["version"], 8);
     let path = "/admin/v1/patches?dry-run=true";
     post(admin.addr(), path, OPS, PATCH).await;
-    let proposed = process.proposed.lock().expect("whole").clone();
+    let proposed = process.proposed.lock().expect("not poisoned").clone();
     let seen: Vec<_> = proposed
         .iter()
         .map(|(team, p, dry)| (team.as_str(), p.against, *dry))
@@ -140,8 +140,8 @@
     #[case] status: u16,
 ) {
     let process = Process::new();
-    *process.verdict.lock().expect("whole") = PatchOutcome::Refused {
-        error: Error::new(kind, "no").at("ask VMs").with_hint("mend it"),
+    *process.outcome.lock().expect("not poisoned") = PatchOutcome::Refused {
+        error: Error::new(kind, "no").at("ask VMs").with_hint("fix it"),
         against: vec![Objection {
             vm: "vm-3".parse().expect("a name"),
             reason: "silent".into(),
@@ -152,14 +152,14 @@
     assert_eq!(got, status);
     assert_eq!(body["verdict"], "refused");
     assert_eq!(body["error"]["step"], "ask VMs");
-    assert_eq!(body["error"]["hint"], "mend it");
+    assert_eq!(body["error"]["hint"], "fix it");
     assert_eq!(body["against"], json!([{"vm": "vm-3", "reason": "silent"}]));
 }
 
 #[tokio::test]
 async fn an_undecided_patch_says_when_to_send_it_again() {
     let process = Process::new();
-    *process.verdict.lock().expect("whole") = PatchOutcome::Undecided {
+    *process.outcome.lock().expect("not poisoned") = PatchOutcome::Undecided {
         error: Error::new(ErrorKind::Unavailable, "the platform is away"),
     };
     let admin = serve(process).await;
@@ -174,8 +174,8 @@
     assert!(answer.contains(r#""verdict":"undecided""#), "{answer}");
 }
 
-/// A VM is shut down while an operator waits for a verdict. The answer must still come, and no new
-/// connection be taken.
+/// Shutdown while an operator waits for the outcome of a patch: the request must still be answered, and no new
+/// connection be accepted.
 #[tokio::test]
 async fn a_shutdown_finishes_the_request_that_runs() {
     let process = Process::new();
@@ -183,14 +183,14 @@
     let admin = serve(process.clone()).await;
     let addr = admin.addr();
     let waits = tokio::spawn(post(addr, "/admin/v1/patches", OPS, PATCH));
-    while process.proposed.lock().expect("whole").is_empty() {
+    while process.proposed.lock().expect("not poisoned").is_empty() {
         tokio::task::yield_now().await;
     }
     let stopping = tokio::spawn(admin.stop());
     while tokio::net::TcpStream::connect(addr).await.is_ok() {
         tokio::task::yield_now().await;
     }
-    assert!(!stopping.is_finished(), "it waits for the verdict");
+    assert!(!stopping.is_finished(), "it waits for the outcome");
     drop(held);
     assert_eq!(waits.await.expect("an answer").0, 200);
     stopping.await.expect("stopped");
--- a/crates/admin/tests/admin/main.rs
+++ b/crates/admin/tests/admin/main.rs
@@ -1,4 +1,4 @@
-//! The operators' interface over loopback.
+//! Tests of the operators' interface over loopback connections.
 
 mod common;
 mod hostile;
