--- a/crates/store/tests/store/common/mod.rs
+++ b/crates/store/tests/store/common/mod.rs
@@ -1,4 +1,4 @@
-//! A client and the stand-in that it talks to.
+//! A client, and the stand-in for the platform that it calls.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,7 +20,7 @@
     (rig, client)
 }
 
-/// A client with this budget of reads and of writes.
+/// Returns a client with the given budget of reads and of writes.
 pub fn client(rig: &Rig, budget: PerSecond, clock: Arc<dyn Clock>) -> Arc<HttpPlatform> {
     let options = HttpPlatformOptions::builder()
         .addr(rig.addr())
@@ -35,7 +35,7 @@
     Arc::new(HttpPlatform::new(options))
 }
 
-/// The machine's clock.
+/// Returns the system clock.
 pub fn clock() -> Arc<dyn Clock> {
     Arc::new(SystemClock)
 }
--- a/crates/store/tests/store/lost_answer.rs
+++ b/crates/store/tests/store/lost_answer.rs
@@ -1,4 +1,4 @@
-//! Writes whose answer was lost.
+//! Writes whose answer is lost.
 
 use bytes::Bytes;
 use gs_rig::platform::Control;
@@ -24,8 +24,8 @@
     content.windows(7).any(|w| w == b"nonce-1")
 }
 
-/// The platform makes a write and its connection breaks before the answer. Whoever wrote cannot
-/// know, and must not be told that nothing happened.
+/// The platform makes a write and the connection breaks before the answer. The writer cannot know the result, and the
+/// error must not say that the write had no effect.
 #[tokio::test]
 async fn a_write_without_an_answer_is_unknown() {
     let (rig, p) = pair().await;
@@ -38,7 +38,8 @@
     assert!(rig.get("claims/a").is_some());
 }
 
-/// As above, and the writer reads back: its nonce is there, so the write is done, once.
+/// As above, and the writer reads the object back: its nonce is there, so that the write took effect and is not
+/// repeated.
 #[tokio::test]
 async fn reading_back_finds_our_write() {
     let (rig, p) = pair().await;
@@ -46,13 +47,13 @@
     let content = Bytes::from("nonce-1");
     let v = write_with_read_back(&*p, "claims/a", Version::ABSENT, content, 3, &has_nonce_1)
         .await
-        .expect("decided by reading back");
+        .expect("resolved by reading back");
     assert_eq!(rig.get("claims/a").map(|(v, _)| v), Some(v.0));
     assert_eq!(rig.counts().writes, 1);
 }
 
-/// Two VMs write under the same condition and the slower one's answer is a conflict: it must learn
-/// that its write never will take effect.
+/// Two VMs write under the same condition, and the second one gets a conflict: it must learn that its write will never
+/// take effect.
 #[tokio::test]
 async fn reading_back_finds_another_write() {
     let (rig, p) = pair().await;
@@ -70,8 +71,8 @@
     assert_eq!(e.kind(), ErrorKind::Conflict);
 }
 
-/// The answer is lost, another VM writes on top and carries our nonce on; only then can the
-/// first writer read back. It must still learn that its write was made.
+/// The answer is lost, and another VM writes the object, keeping our nonce, before the first writer reads it back. The
+/// first writer must still learn that its write took effect.
 #[tokio::test]
 async fn reading_back_finds_our_write_under_a_later_one() {
     let (rig, p) = pair().await;
@@ -88,8 +89,8 @@
     assert!(v.is_ok(), "{v:?}");
 }
 
-/// The platform takes a write, breaks the connection, and the write lands only later. Reading back
-/// in between shows nothing, which must not count as refused.
+/// The platform accepts a write, breaks the connection, and the write takes effect only later. Reading the object back
+/// before shows no write, which must not count as a conflict.
 #[tokio::test]
 async fn a_write_that_may_yet_land_stays_unknown() {
     let (rig, p) = pair().await;
@@ -107,20 +108,20 @@
             &has_nonce_1,
         )
     };
-    let e = write().await.expect_err("nothing landed");
+    let e = write().await.expect_err("nothing has taken effect yet");
     assert_eq!(e.kind(), ErrorKind::Unknown);
     rig.control(Control {
         stall_writes: Some(false),
         ..Control::default()
     });
-    assert!(write().await.is_ok(), "the same call decides it");
+    assert!(write().await.is_ok(), "the same call resolves it");
     assert_eq!(
         rig.get("claims/a").map(|(_, c)| c),
         Some(Bytes::from("nonce-1"))
     );
 }
 
-/// The platform is away and refuses: nothing can land later, and the writer is told so.
+/// The platform rejects the write while it is down: it cannot take effect later, and the error must say so.
 #[tokio::test]
 async fn a_refused_write_is_not_unknown() {
     let (rig, p) = pair().await;
@@ -137,7 +138,7 @@
         &has_nonce_1,
     )
     .await
-    .expect_err("away");
+    .expect_err("the platform is down");
     assert_eq!(e.kind(), ErrorKind::Unavailable);
     assert!(p.unreachable_for().is_some());
 }
--- a/crates/store/tests/store/main.rs
+++ b/crates/store/tests/store/main.rs
@@ -1,7 +1,7 @@
-//! The platform client against the stand-in.
+//! Tests of the platform client against the test rig's stand-in for the platform.
 
 mod common;
-mod garbage;
 mod lost_answer;
+mod malformed_replies;
 mod objects;
 mod watch;
--- a/crates/store/tests/store/malformed_replies.rs
+++ b/crates/store/tests/store/malformed_replies.rs
@@ -1,4 +1,4 @@
-//! Answers that are not the platform's.
+//! Malformed replies and error statuses, and which error kind they give.
 
 use bytes::Bytes;
 use gs_store::HttpPlatform;
@@ -11,8 +11,8 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 
-/// A server that answers every connection with these bytes and closes it.
-async fn answering(bytes: &'static [u8]) -> HttpPlatform {
+/// Returns a client of a server that answers every connection with the given bytes and closes it.
+async fn client_of_server_answering(bytes: &'static [u8]) -> HttpPlatform {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = listener.local_addr().expect("an address");
     tokio::spawn(async move {
@@ -53,12 +53,15 @@
 )]
 #[tokio::test]
 async fn a_read_fails_with_its_kind(#[case] answer: &'static [u8], #[case] kind: ErrorKind) {
-    let p = answering(answer).await;
-    let e = p.read("config/current").await.expect_err("garbage");
+    let p = client_of_server_answering(answer).await;
+    let e = p
+        .read("config/current")
+        .await
+        .expect_err("a malformed reply");
     assert_eq!((e.kind(), e.step()), (kind, Some("read object")), "{e}");
 }
 
-/// Whatever comes back, a write that left may have taken effect.
+/// A write that was sent may have taken effect, whatever malformed reply comes back.
 #[rstest]
 #[case::nothing(b"")]
 #[case::no_http(b"\x00\xff\x13 garbage\r\n\r\n")]
@@ -67,9 +70,9 @@
 #[case::server_error(b"HTTP/1.1 500 No\r\ncontent-length: 0\r\n\r\n")]
 #[tokio::test]
 async fn a_write_without_a_clear_answer_is_unknown(#[case] answer: &'static [u8]) {
-    let p = answering(answer).await;
+    let p = client_of_server_answering(answer).await;
     let write = p.write("claims/a", Version::ABSENT, Bytes::from("x"));
-    let e = write.await.expect_err("garbage");
+    let e = write.await.expect_err("a malformed reply");
     assert_eq!(e.kind(), ErrorKind::Unknown, "{e}");
 }
 
@@ -78,12 +81,12 @@
 #[case::other_json(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n[]")]
 #[tokio::test]
 async fn a_list_that_is_none_is_refused(#[case] answer: &'static [u8]) {
-    let p = answering(answer).await;
-    let e = p.list("groups/").await.expect_err("garbage");
+    let p = client_of_server_answering(answer).await;
+    let e = p.list("groups/").await.expect_err("a malformed reply");
     assert_eq!(e.kind(), ErrorKind::BadInput, "{e}");
 }
 
-/// Nobody listens: nothing can have taken effect, so the write is not in doubt.
+/// Nothing listens at the address, so that the write cannot have taken effect and its result is not unknown.
 #[tokio::test]
 async fn a_write_without_a_connection_was_not_made() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
--- a/crates/store/tests/store/objects.rs
+++ b/crates/store/tests/store/objects.rs
@@ -1,4 +1,4 @@
-//! Objects with versions, through the client and the stand-in.
+//! Reads, conditional writes and deletes, and the limits on calls.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -107,7 +107,7 @@
     assert_eq!(
         second.map_err(|e| e.kind()),
         Err(ErrorKind::TooMuch),
-        "one write a second is the budget"
+        "the budget is one write a second"
     );
     assert_eq!((rig.counts().deletes, p.call_counts().over_budget), (1, 1));
     clock.advance(Duration::from_secs(1));
--- a/crates/store/tests/store/watch.rs
+++ b/crates/store/tests/store/watch.rs
@@ -1,4 +1,4 @@
-//! Prefixes kept mirrored.
+//! Mirroring of a prefix through changes and outages.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -31,7 +31,7 @@
     let update = tokio::time::timeout(Duration::from_secs(20), rx.recv())
         .await
         .expect("an update in time")
-        .expect("the watcher lives");
+        .expect("the watcher still runs");
     (update.path, update.object.map(|o| o.content))
 }
 
@@ -39,8 +39,8 @@
     (path.into(), Some(Bytes::from(content)))
 }
 
-/// Waits until the stand-in holds a waiting watch.
-async fn waiting(rig: &Rig) {
+/// Waits until the stand-in holds an open watch.
+async fn wait_for_watch(rig: &Rig) {
     while rig.counts().waiting == 0 {
         tokio::task::yield_now().await;
     }
@@ -53,7 +53,7 @@
     rig.put("other/b", "none of ours");
     let (_w, mut rx) = watch(p.clone());
     assert_eq!(next(&mut rx).await, put("groups/a", "one"));
-    waiting(&rig).await;
+    wait_for_watch(&rig).await;
     let v = rig.put("groups/a", "two");
     assert_eq!(next(&mut rx).await, put("groups/a", "two"));
     p.delete("groups/a", gs_store::Version(v))
@@ -62,7 +62,7 @@
     assert_eq!(next(&mut rx).await, ("groups/a".into(), None));
 }
 
-/// The platform is away while an object changes; the change must come once it is back.
+/// An object changes while the platform is unreachable: the change must be delivered after the outage.
 #[tokio::test]
 async fn a_change_in_an_outage_is_delivered_after_it() {
     let (rig, p) = pair().await;
@@ -85,7 +85,8 @@
     assert_eq!(next(&mut rx).await, put("groups/a", "two"));
 }
 
-/// The VM is cut off without a word: its watch gets no answer at all. After the cut it must catch up.
+/// The VM is partitioned from the platform and its watch gets no answer at all: a change made meanwhile must be
+/// delivered after the partition.
 #[tokio::test]
 async fn a_change_in_a_cut_is_delivered_after_it() {
     let (rig, p) = pair().await;
@@ -108,8 +109,8 @@
     assert_eq!(next(&mut rx).await, put("groups/a", "two"));
 }
 
-/// During an outage the platform forgets its log, and an object is deleted meanwhile. The prefix
-/// must be listed again, and the deletion found by comparing.
+/// During an outage the platform drops its log of changes, and an object is deleted. The prefix must be listed again,
+/// and the deletion found by comparison.
 #[tokio::test]
 async fn a_forgotten_revision_lists_again() {
     let (rig, p) = pair().await;
@@ -118,7 +119,7 @@
     let (_w, mut rx) = watch(p.clone());
     assert_eq!(next(&mut rx).await, put("groups/a", "one"));
     assert_eq!(next(&mut rx).await, put("groups/b", "two"));
-    waiting(&rig).await;
+    wait_for_watch(&rig).await;
     rig.control(Control {
         silent: Some(true),
         ..Control::default()
@@ -144,30 +145,30 @@
 async fn a_watcher_ends_with_its_receiver() {
     let (rig, p) = pair().await;
     let (_w, rx) = watch(p);
-    waiting(&rig).await;
+    wait_for_watch(&rig).await;
     drop(rx);
     while rig.counts().waiting > 0 {
         tokio::task::yield_now().await;
     }
 }
 
-/// Every VM hears of a change from a peer while the platform's watch brings it too. Reading it again
-/// on each VM would be most of the calls that a change costs.
+/// Every VM learns of a change both from a peer and from the platform's watch. Reading the object on each VM would be
+/// most of the calls that a change costs, so an object that a peer sent is not read.
 #[tokio::test]
 async fn what_a_peer_brought_is_not_read() {
     let (rig, p) = pair().await;
     let held = Arc::new(AtomicU64::new(0));
-    let seen = held.clone();
+    let held_version = held.clone();
     let options = WatchOptions::builder()
         .prefix("config/")
         .seed(7)
         .is_held(Arc::new(move |_: &str, v| {
-            v.0 <= seen.load(Ordering::SeqCst)
+            v.0 <= held_version.load(Ordering::SeqCst)
         }))
         .read_delay(Duration::from_millis(5))
         .build();
     let (_w, mut rx) = Watcher::start(p.clone(), options);
-    waiting(&rig).await;
+    wait_for_watch(&rig).await;
     held.store(1, Ordering::SeqCst);
     rig.put("config/current", "from a peer");
     while rig.counts().watches < 2 {
