--- a/crates/admin/tests/admin/interface.rs
+++ b/crates/admin/tests/admin/interface.rs
@@ -160,7 +160,7 @@
 async fn an_undecided_patch_says_when_to_send_it_again() {
     let process = Process::new();
     *process.outcome.lock().expect("not poisoned") = PatchOutcome::Undecided {
-        error: Error::new(ErrorKind::Unavailable, "the platform is away"),
+        error: Error::new(ErrorKind::Unavailable, "the platform is unreachable"),
     };
     let admin = serve(process).await;
     let request = format!(
--- a/crates/store/src/object.rs
+++ b/crates/store/src/object.rs
@@ -9,7 +9,7 @@
 /// Maximum size of an object's content that the platform accepts, in bytes.
 pub const OBJECT_MAX_BYTES: usize = 1_000_000;
 
-/// Version of an object: the store's revision at its last write. Versions never repeat.
+/// Version of an object: the object service's revision at its last write. Versions never repeat.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -48,7 +48,7 @@
 /// Objects under a prefix.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
-    /// The store's revision when they were listed, from which to watch.
+    /// The object service's revision when they were listed, from which to watch.
     pub revision: u64,
     /// The objects under the prefix.
     pub objects: Vec<Entry>,
@@ -69,7 +69,7 @@
 /// Reply to a watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchReply {
-    /// The store's revision, from which to continue the watch.
+    /// The object service's revision, from which to continue the watch.
     pub revision: u64,
     /// The objects that changed; empty if the wait ended first.
     pub changed: Vec<ChangedObject>,
--- a/crates/store/src/platform.rs
+++ b/crates/store/src/platform.rs
@@ -1,4 +1,4 @@
-//! The interface to the platform's object service.
+//! Interface to the platform's object service.
 
 use std::time::Duration;
 
