--- a/crates/node/src/dumps.rs
+++ b/crates/node/src/dumps.rs
@@ -73,13 +73,13 @@
             "pool": self.pool.state(),
             "callers": { "open": self.callers.open(), "accepted": self.callers.accepted() },
             "mesh": self.mesh.counts(),
-            "platform_calls": self.platform.calls(),
+            "platform_calls": self.platform.call_counts(),
         })
     }
 
     /// Returns for how long the platform has been unreachable, as text; `None` while it is reachable.
     fn unreachable_for(&self) -> Option<String> {
-        let duration = self.platform.away_for()?;
+        let duration = self.platform.unreachable_for()?;
         Some(humantime::format_duration(duration).to_string())
     }
 
--- a/crates/node/src/operator_api.rs
+++ b/crates/node/src/operator_api.rs
@@ -5,8 +5,8 @@
 use std::sync::atomic::Ordering;
 
 use async_trait::async_trait;
-use gs_admin::Fleet;
 use gs_admin::HistoryEntry;
+use gs_admin::OperatorApi;
 use gs_clock::Clock;
 use gs_conf::CallId;
 use gs_conf::ConfigManager;
@@ -30,7 +30,7 @@
 use gs_actor::lock;
 
 /// The operations of this process for operators, which the admin interface calls.
-pub(crate) struct OperatorApi {
+pub(crate) struct NodeOperatorApi {
     pub(crate) config_manager: Shared<ConfigManager>,
     pub(crate) feed: Feed<Event>,
     pub(crate) proposals: Arc<PendingProposals>,
@@ -42,7 +42,7 @@
 }
 
 #[async_trait]
-impl Fleet for OperatorApi {
+impl OperatorApi for NodeOperatorApi {
     async fn propose(&self, team: TeamName, patch: Patch, dry_run: bool) -> PatchOutcome {
         let call = CallId(self.next_call.fetch_add(1, Ordering::Relaxed));
         let (tx, rx) = oneshot::channel();
@@ -78,7 +78,7 @@
         Ok(Some(Arc::new(config)))
     }
 
-    fn settled(&self) -> Vec<DecidedPatch> {
+    fn decided_patches(&self) -> Vec<DecidedPatch> {
         lock(&self.config_manager).decided_patches().to_vec()
     }
 
@@ -114,7 +114,7 @@
         self.metrics.text(&self.dumps)
     }
 
-    fn ready(&self) -> bool {
+    fn is_ready(&self) -> bool {
         self.dumps.is_ready()
     }
 }
--- a/crates/node/src/platform_watcher.rs
+++ b/crates/node/src/platform_watcher.rs
@@ -6,7 +6,7 @@
 use gs_conf::CURRENT_PATH;
 use gs_conf::ConfigManager;
 use gs_member::SeatTable;
-use gs_store::Holds;
+use gs_store::HeldPredicate;
 use gs_store::Platform;
 use gs_store::Update;
 use gs_store::WatchOptions;
@@ -50,7 +50,7 @@
     /// Starts all tasks that follow the platform.
     pub(crate) fn start(self) {
         let config_manager = Arc::clone(&self.config_manager);
-        let held: Holds =
+        let held: HeldPredicate =
             Arc::new(move |_, version| lock(&config_manager).summary().object >= version.0);
         self.watch(CURRENT_PATH, Some(held), |watcher, update| {
             watcher
@@ -72,11 +72,11 @@
         tokio::spawn(group_loading::wait_for_groups(self));
     }
 
-    /// Watches a prefix; objects that are already known according to `holds` are neither read nor passed to `on_update`.
+    /// Watches a prefix; objects that are already known according to `is_held` are neither read nor passed to `on_update`.
     fn watch(
         &self,
         prefix: &'static str,
-        holds: Option<Holds>,
+        is_held: Option<HeldPredicate>,
         on_update: impl Fn(&Self, Update) + Send + 'static,
     ) {
         let this = self.clone();
@@ -84,12 +84,12 @@
             .prefix(prefix)
             .seed(self.seed)
             .wait(self.watch_wait)
-            .settle(if holds.is_some() {
+            .read_delay(if is_held.is_some() {
                 CONFIG_READ_DELAY
             } else {
                 Duration::ZERO
             })
-            .maybe_holds(holds)
+            .maybe_is_held(is_held)
             .build();
         tokio::spawn(async move {
             let (_watcher, mut rx) = Watcher::start(Arc::clone(&this.platform), options);
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -4,8 +4,8 @@
 use std::sync::Mutex;
 use std::sync::atomic::AtomicU64;
 
-use gs_admin::Admin;
 use gs_admin::AdminOptions;
+use gs_admin::AdminServer;
 use gs_conf::ConfigManager;
 use gs_http::CallerHandler;
 use gs_http::ConnectionPools;
@@ -36,7 +36,7 @@
 use crate::metrics::Metrics;
 use crate::metrics::VmLabels;
 use crate::once_shell::OnceShell;
-use crate::operator_api::OperatorApi;
+use crate::operator_api::NodeOperatorApi;
 use crate::options::Inbox;
 use crate::options::StartContext;
 use crate::peer_sender::PeerSender;
@@ -152,7 +152,7 @@
         &self,
         listeners: Listeners,
         inbox: Inbox,
-    ) -> Result<(Admin, GracefulShutdown)> {
+    ) -> Result<(AdminServer, GracefulShutdown)> {
         let settings = &self.start.settings;
         let server = Server::new(listeners.callers, self.start.caller_limits());
         let callers = server.state();
@@ -303,8 +303,8 @@
         }
     }
 
-    fn admin(&self, listener: TcpListener, dumps: Arc<Dumps>) -> Result<Admin> {
-        let fleet = OperatorApi {
+    fn admin(&self, listener: TcpListener, dumps: Arc<Dumps>) -> Result<AdminServer> {
+        let api = NodeOperatorApi {
             config_manager: Arc::clone(&self.machines.config_manager),
             feed: self.feeds.config_manager.clone(),
             proposals: Arc::clone(&self.proposals),
@@ -316,9 +316,9 @@
         };
         let options = AdminOptions::builder()
             .addr(self.start.settings.listen.admin)
-            .fleet(Arc::new(fleet))
+            .api(Arc::new(api))
             .build();
-        Admin::on(listener, options)
+        AdminServer::from_listener(listener, options)
     }
 }
 
