--- a/crates/relay/tests/relay/hedges.rs
+++ b/crates/relay/tests/relay/hedges.rs
@@ -1,67 +1,70 @@
-//! Second attempts beside slow ones, and the budget that bounds them.
+//! Tests of hedges and of the budget that limits them.
 
 use std::time::Instant;
 
 use gs_relay::ExtraAttemptBudget;
 
 use crate::world::World;
-use crate::world::good;
 use crate::world::ms;
+use crate::world::success;
 
-/// A page misses its objective because one server paused for 200 ms as the request came in.
+/// A server stalls for 200 ms as a request arrives. Without a hedge, the page would miss its
+/// objective.
 #[test]
 fn a_slow_attempt_is_made_again_elsewhere_well_before_the_objective() {
-    let mut w = World::learned();
-    let seq = w.ask("/page/x", ms(2500));
-    w.pass(ms(44));
-    assert_eq!(w.busy(), ["s0-near"]);
+    let mut w = World::with_learned_latency();
+    let seq = w.arrive("/page/x", ms(2500));
+    w.advance(ms(44));
+    assert_eq!(w.busy_servers(), ["s0-near"]);
     // 0.3 of the objective of 150 ms.
-    w.pass(ms(2));
-    assert_eq!(w.busy(), ["s0-near", "s0-far"]);
-    w.pass(ms(20));
-    w.end("s0-far", good(b'b'));
-    assert!(w.ending(seq).expect("it has ended").took < ms(70));
+    w.advance(ms(2));
+    assert_eq!(w.busy_servers(), ["s0-near", "s0-far"]);
+    w.advance(ms(20));
+    w.end_attempt("s0-far", success(b'b'));
+    assert!(w.report(seq).expect("it has ended").took < ms(70));
 }
 
-/// Every page of the next 150 ms waits its own hedge delay out at a server that is known to pause.
+/// A server has stalled. Requests that are still sent to it during the next 150 ms would each wait
+/// for their own hedge delay.
 #[test]
 fn once_a_server_is_found_to_pause_the_next_requests_go_elsewhere() {
-    let mut w = World::learned();
-    w.ask("/page/x", ms(2500));
-    w.pass(ms(46));
-    w.ask("/page/y", ms(2500));
-    let last = w.sent.back().expect("an attempt");
+    let mut w = World::with_learned_latency();
+    w.arrive("/page/x", ms(2500));
+    w.advance(ms(46));
+    w.arrive("/page/y", ms(2500));
+    let last = w.open.back().expect("an attempt");
     assert_eq!(last.server.name.as_str(), "s0-far");
 }
 
-/// The attempts sent to a server just before its pause was noticed each wait their own delay out.
+/// Attempts were sent to a server just before its stall was detected. They are hedged immediately
+/// instead of after their own hedge delays.
 #[test]
 fn what_waits_at_a_server_found_to_pause_is_made_again_at_once() {
-    let mut w = World::learned();
-    w.ask("/page/x", ms(2500));
-    w.pass(ms(20));
-    w.ask("/page/y", ms(2500));
-    w.pass(ms(26));
-    let far = w.busy().iter().filter(|s| **s == "s0-far").count();
-    assert_eq!(far, 2, "{:?}", w.busy());
+    let mut w = World::with_learned_latency();
+    w.arrive("/page/x", ms(2500));
+    w.advance(ms(20));
+    w.arrive("/page/y", ms(2500));
+    w.advance(ms(26));
+    let far = w.busy_servers().iter().filter(|s| **s == "s0-far").count();
+    assert_eq!(far, 2, "{:?}", w.busy_servers());
 }
 
-/// Servers that are slow everywhere get every request twice, and stay slow for it.
+/// All servers are slow. If every request were hedged, the additional load would keep them slow.
 #[test]
 fn hedges_stop_at_the_budget() {
-    let mut w = World::learned();
+    let mut w = World::with_learned_latency();
     let before = w.relay.counters().hedges;
     for _ in 0..500 {
-        w.ask("/page/x", ms(2500));
-        w.pass(ms(100));
-        while let Some(d) = w.sent.front() {
+        w.arrive("/page/x", ms(2500));
+        w.advance(ms(100));
+        while let Some(d) = w.open.front() {
             let name = d.server.name.to_string();
-            w.end(&name, good(b'a'));
+            w.end_attempt(&name, success(b'a'));
         }
     }
     let hedges = w.relay.counters().hedges - before;
-    // In each of five windows 0.18 for each of 100 requests and 4 besides, less the quarter that is
-    // kept for retries.
+    // In each of five windows 0.18 for each of 100 requests and 4 more, less the quarter that is
+    // reserved for retries.
     assert!((20..=85).contains(&hedges), "{hedges}");
     assert!(w.relay.counters().extra_refused > 0);
 }
--- a/crates/relay/tests/relay/leases.rs
+++ b/crates/relay/tests/relay/leases.rs
@@ -1,4 +1,4 @@
-//! VMs that are gone without a word.
+//! Tests of VMs that disappear without notice.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,15 +9,17 @@
 use gs_relay::renewal_interval;
 use gs_types::prelude::*;
 
-/// How often a VM renews its announcement.
-const RENEW: Duration = Duration::from_secs(60);
+/// The interval at which a VM renews its announcement.
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(60);
 
-const LOOK_EVERY: Duration = Duration::from_secs(10);
+/// The interval at which a VM checks the list.
+const CHECK_INTERVAL: Duration = Duration::from_secs(10);
 
 fn id(name: &str) -> VmId {
     name.parse().expect("a name")
 }
 
+/// Returns a list of VMs with the revisions of their announcements.
 fn list(entries: &[(&str, u64)]) -> Vec<Listed> {
     let listed = entries.iter().map(|(name, revision)| Listed {
         vm: id(name),
@@ -26,33 +28,36 @@
     listed.collect()
 }
 
-/// A VM's looks, ten seconds apart, from a start; `listed` gives the list by the seconds since.
-fn looks(
+/// Returns the results of a VM's checks with their times in seconds since the start; `listed`
+/// returns the list at such a time, or `None` if it is unavailable.
+fn checks(
     me: &str,
     seconds: u64,
     listed: impl Fn(u64) -> Option<Vec<Listed>>,
 ) -> Vec<(u64, LeaseCheck)> {
-    let mut leases = Leases::new(RENEW);
+    let mut leases = Leases::new(RENEWAL_INTERVAL);
     let start = Instant::now();
-    let times = (0..seconds).step_by(LOOK_EVERY.as_secs() as usize);
-    let seen = times.filter_map(|t| {
+    let times = (0..seconds).step_by(CHECK_INTERVAL.as_secs() as usize);
+    let results = times.filter_map(|t| {
         let now = start + Duration::from_secs(t);
         listed(t).map(|l| (t, leases.check(now, &id(me), &l)))
     });
-    seen.collect()
+    results.collect()
 }
 
-fn first_gone(looks: &[(u64, LeaseCheck)]) -> Option<u64> {
-    let found = looks.iter().find(|(_, l)| !l.expired.is_empty());
+/// Returns the time of the first check with an expired VM.
+fn first_expiry(checks: &[(u64, LeaseCheck)]) -> Option<u64> {
+    let found = checks.iter().find(|(_, c)| !c.expired.is_empty());
     found.map(|(t, _)| *t)
 }
 
-fn first_removal(looks: &[(u64, LeaseCheck)]) -> Option<u64> {
-    let found = looks.iter().find(|(_, l)| !l.remove.is_empty());
+/// Returns the time of the first check with an announcement to remove.
+fn first_removal(checks: &[(u64, LeaseCheck)]) -> Option<u64> {
+    let found = checks.iter().find(|(_, c)| !c.remove.is_empty());
     found.map(|(t, _)| *t)
 }
 
-/// Renewed every minute; `vm-3` is not from second 60 on.
+/// Returns the list at `t` seconds: every VM renews each minute, but `vm-3` only until second 60.
 fn with_one_lost(t: u64) -> Option<Vec<Listed>> {
     let renewed = t / 60;
     Some(list(&[
@@ -62,36 +67,40 @@
     ]))
 }
 
-/// A VM loses power and stays listed for good: its part of what servers accept is never used again, and
-/// pages are left to it that it cannot bring.
+/// A VM loses power. If it stayed listed, its share of the servers' connections would never be used
+/// again, and parts would be delegated to it.
 #[test]
 fn a_vm_that_no_longer_renews_is_gone_after_three_and_a_half_renewals() {
-    let seen = looks("vm-1", 400, with_one_lost);
-    assert_eq!(first_gone(&seen), Some(270));
-    let (_, look) = seen.last().expect("looks");
-    assert_eq!(look.expired, [id("vm-3")]);
+    let results = checks("vm-1", 400, with_one_lost);
+    assert_eq!(first_expiry(&results), Some(270));
+    let (_, last) = results.last().expect("checks");
+    assert_eq!(last.expired, [id("vm-3")]);
 }
 
 #[test]
 fn one_vm_after_the_other_removes_it_so_that_one_call_is_enough() {
-    assert_eq!(first_removal(&looks("vm-1", 400, with_one_lost)), Some(270));
-    let second = looks("vm-2", 400, with_one_lost);
     assert_eq!(
-        (first_gone(&second), first_removal(&second)),
+        first_removal(&checks("vm-1", 400, with_one_lost)),
+        Some(270)
+    );
+    let second = checks("vm-2", 400, with_one_lost);
+    assert_eq!(
+        (first_expiry(&second), first_removal(&second)),
         (Some(270), Some(280))
     );
-    let (_, look) = second.last().expect("looks");
-    assert_eq!(look.remove, list(&[("vm-3", 1)]));
+    let (_, last) = second.last().expect("checks");
+    assert_eq!(last.remove, list(&[("vm-3", 1)]));
 }
 
 #[test]
 fn a_vm_never_takes_itself_for_gone() {
-    let seen = looks("vm-3", 400, with_one_lost);
-    assert_eq!(first_gone(&seen), None);
+    let results = checks("vm-3", 400, with_one_lost);
+    assert_eq!(first_expiry(&results), None);
 }
 
-/// The platform is away for ten minutes, in which nobody can renew. On its return every VM takes all the
-/// others for gone, opens as many connections as if it were alone, and servers reset them by the thousand.
+/// The platform is unreachable for ten minutes, in which no VM can renew. If every VM then
+/// considered all others expired, each would open as many connections as if it were alone, and
+/// servers would reset them by the thousand.
 #[test]
 fn an_outage_makes_no_vm_gone() {
     let renewed = |t: u64| match t {
@@ -102,25 +111,31 @@
         100..700 => None,
         _ => Some(list(&[("vm-1", t / 30), ("vm-2", renewed(t))])),
     };
-    let seen = looks("vm-1", 900, listed);
-    assert_eq!(first_gone(&seen), None);
+    let results = checks("vm-1", 900, listed);
+    assert_eq!(first_expiry(&results), None);
 }
 
-/// A VM that was cut off for minutes renews again.
+/// A VM was partitioned for minutes and renews again.
 #[test]
 fn a_vm_that_renews_again_is_back() {
     let listed = |t: u64| {
         let renewed = if t < 300 { 0 } else { t / 60 };
         Some(list(&[("vm-1", t / 60), ("vm-2", renewed)]))
     };
-    let seen = looks("vm-1", 400, listed);
-    assert_eq!(first_gone(&seen), Some(210));
-    let (_, look) = seen.last().expect("looks");
-    assert_eq!(look, &LeaseCheck::default());
+    let results = checks("vm-1", 400, listed);
+    assert_eq!(first_expiry(&results), Some(210));
+    let (_, last) = results.last().expect("checks");
+    assert_eq!(last, &LeaseCheck::default());
 }
 
 #[test]
 fn a_large_fleet_renews_more_seldom() {
-    assert_eq!(renewal_interval(RENEW, 9), Duration::from_secs(60));
-    assert_eq!(renewal_interval(RENEW, 7_400), Duration::from_secs(1_480));
+    assert_eq!(
+        renewal_interval(RENEWAL_INTERVAL, 9),
+        Duration::from_secs(60)
+    );
+    assert_eq!(
+        renewal_interval(RENEWAL_INTERVAL, 7_400),
+        Duration::from_secs(1_480)
+    );
 }
--- a/crates/relay/tests/relay/main.rs
+++ b/crates/relay/tests/relay/main.rs
@@ -1,18 +1,18 @@
-//! The relay's decisions, driven without I/O.
+//! Tests of the relay's decisions, without I/O.
 
+mod coalesce_delay;
 mod connections;
-mod handover;
+mod delegation;
+mod fan_out_vms;
 mod hedges;
+mod in_flight_limit;
 mod leases;
-mod left_out;
+mod missing_parts;
 mod once;
 mod overload;
 mod pages;
-mod pauses;
-mod portions;
 mod register;
-mod runners;
-mod settle;
+mod stalls;
+mod subset;
 mod suspects;
-mod windows;
 mod world;
--- a/crates/relay/tests/relay/overload.rs
+++ b/crates/relay/tests/relay/overload.rs
@@ -1,4 +1,4 @@
-//! The worst load: callers come far more often than the servers can serve.
+//! Tests of overload: callers send far more requests than the servers can execute.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -14,32 +14,33 @@
 use gs_types::prelude::*;
 
 use crate::world::World;
-use crate::world::good;
 use crate::world::ms;
 use crate::world::page_route;
+use crate::world::success;
 use crate::world::table;
 
 const SHARDS: [&str; 4] = ["s0", "s1", "s2", "s3"];
 
-/// The time that a server works on a part.
-const WORK: Duration = Duration::from_millis(15);
+/// The time that a server takes to execute a part.
+const EXECUTION_TIME: Duration = Duration::from_millis(15);
 
-/// Requests that a server runs at the same time.
+/// Number of parts that a server executes at the same time.
 const SLOTS: usize = 2;
 
-/// Servers with slots and queues, which answer in simulated time.
+/// Servers with slots and queues that answer in simulated time.
 #[derive(Default)]
 struct Servers {
     queues: BTreeMap<String, VecDeque<Dispatch>>,
     running: BTreeMap<String, usize>,
-    due: BTreeMap<(Instant, u64), Dispatch>,
-    next: u64,
+    /// Attempts in execution, by the time of their answer and a unique number.
+    answers_due: BTreeMap<(Instant, u64), Dispatch>,
+    next_number: u64,
 }
 
 impl Servers {
-    /// Takes in what was dispatched and begins what has a slot.
-    fn take(&mut self, w: &mut World) {
-        while let Some(d) = w.sent.pop_front() {
+    /// Queues the open attempts and starts those that get a slot.
+    fn accept_attempts(&mut self, w: &mut World) {
+        while let Some(d) = w.open.pop_front() {
             let queue = self.queues.entry(d.server.name.to_string()).or_default();
             queue.push_back(d);
         }
@@ -49,22 +50,23 @@
                 && let Some(d) = queue.pop_front()
             {
                 *running += 1;
-                self.next += 1;
-                self.due.insert((w.now + WORK, self.next), d);
+                self.next_number += 1;
+                self.answers_due
+                    .insert((w.now + EXECUTION_TIME, self.next_number), d);
             }
         }
     }
 
-    /// Lets time pass until `until`; servers answer on the way, with the load that they have.
-    fn pass(&mut self, w: &mut World, until: Instant) {
+    /// Advances the clock to `until`; servers answer on the way and report their load.
+    fn advance_to(&mut self, w: &mut World, until: Instant) {
         loop {
-            self.take(w);
-            let first = self.due.first_key_value().map(|(key, _)| *key);
+            self.accept_attempts(w);
+            let first = self.answers_due.first_key_value().map(|(key, _)| *key);
             let Some(key) = first.filter(|(at, _)| *at <= until) else {
                 break;
             };
-            w.pass(key.0 - w.now);
-            let Some(d) = self.due.remove(&key) else {
+            w.advance(key.0 - w.now);
+            let Some(d) = self.answers_due.remove(&key) else {
                 break;
             };
             let name = d.server.name.to_string();
@@ -75,79 +77,80 @@
                 waiting: self.queues[&name].len() as u32,
                 slots: SLOTS as u32,
             };
-            let AttemptEnd::Answered(answer, _) = good(b'a') else {
+            let AttemptEnd::Answered(answer, _) = success(b'a') else {
                 unreachable!("it is an answer");
             };
-            w.tell(Event::Ended(
+            w.on(Event::Ended(
                 d.attempt,
                 AttemptEnd::Answered(answer, Some(load)),
             ));
         }
-        w.pass(until - w.now);
+        w.advance(until - w.now);
     }
 }
 
-/// What came of a load.
-struct Result {
+/// Number of requests by outcome.
+struct LoadResult {
     on_time: usize,
     late: usize,
     refused: usize,
 }
 
-/// Sends so many requests a second for three seconds.
-fn load(per_second: u64) -> Result {
-    let mut w = World::new(table(1, vec![page_route(&SHARDS, 0.75)])).with_pairs(&SHARDS);
+/// Sends this number of requests per second for three seconds.
+fn run_load(per_second: u64) -> LoadResult {
+    let mut w = World::new(table(1, vec![page_route(&SHARDS, 0.75)])).with_server_pairs(&SHARDS);
     let mut servers = Servers::default();
     let gap = Duration::from_micros(1_000_000 / per_second);
     for _ in 0..per_second * 3 {
-        w.ask("/page/x", ms(2500));
+        w.arrive("/page/x", ms(2500));
         let until = w.now + gap;
-        servers.pass(&mut w, until);
+        servers.advance_to(&mut w, until);
     }
     let until = w.now + ms(3000);
-    servers.pass(&mut w, until);
-    let ended: Vec<_> = w.ended.iter().map(|(_, e)| e).collect();
-    let is_page = |e: &&&gs_relay::RequestReport| matches!(e.outcome, Outcome::Page(_));
-    let on_time = ended
+    servers.advance_to(&mut w, until);
+    let reports: Vec<_> = w.reports.iter().map(|(_, r)| r).collect();
+    let is_page = |r: &&&gs_relay::RequestReport| matches!(r.outcome, Outcome::Page(_));
+    let on_time = reports
         .iter()
         .filter(is_page)
-        .filter(|e| e.took <= ms(150))
+        .filter(|r| r.took <= ms(150))
         .count();
-    let refused = ended
+    let refused = reports
         .iter()
-        .filter(|e| matches!(e.outcome, Outcome::Refused(RefuseReason::Overload, Some(_))));
-    Result {
+        .filter(|r| matches!(r.outcome, Outcome::Refused(RefuseReason::Overload, Some(_))));
+    LoadResult {
         on_time,
-        late: ended.iter().filter(is_page).count() - on_time,
+        late: reports.iter().filter(is_page).count() - on_time,
         refused: refused.count(),
     }
 }
 
-/// Readers are turned away just after a start, as nothing is known yet of how long the work takes.
+/// Execution times are unknown just after the start. The initial estimate must not cause the first
+/// callers to be refused.
 #[test]
 fn the_first_callers_of_a_route_are_taken_on() {
-    let mut w = World::new(table(1, vec![page_route(&SHARDS, 0.75)])).with_pairs(&SHARDS);
+    let mut w = World::new(table(1, vec![page_route(&SHARDS, 0.75)])).with_server_pairs(&SHARDS);
     for _ in 0..20 {
-        w.ask("/page/x", ms(2500));
+        w.arrive("/page/x", ms(2500));
     }
-    assert!(w.ended.is_empty(), "{:?}", w.ended.first());
+    assert!(w.reports.is_empty(), "{:?}", w.reports.first());
 }
 
-/// Four slots a shard and 15 ms a part: 266 pages a second at the most.
-const CAPACITY: u64 = 266;
+/// The most pages per second, with four slots per shard and 15 ms per part.
+const PAGES_PER_SECOND_MAX: u64 = 266;
 
 #[test]
 fn a_load_that_fits_is_served_on_time_and_nothing_is_refused() {
-    let r = load(CAPACITY / 2);
+    let r = run_load(PAGES_PER_SECOND_MAX / 2);
     assert_eq!((r.late, r.refused), (0, 0));
 }
 
-/// Editors get every quote a second late while readers come twice as often as the servers can serve: all are
-/// taken on, and each waits behind all others.
+/// Readers send twice as many requests as the servers can execute. If all were admitted, each would
+/// wait behind all others, and every quote of an editor would be a second late.
 #[test]
 fn at_twice_the_capacity_most_of_it_is_still_served_on_time() {
-    let r = load(CAPACITY * 2);
-    let possible = CAPACITY as usize * 3;
+    let r = run_load(PAGES_PER_SECOND_MAX * 2);
+    let possible = PAGES_PER_SECOND_MAX as usize * 3;
     assert!(
         r.on_time * 10 >= possible * 6,
         "{} of {possible}",
@@ -162,29 +165,29 @@
     assert!(r.refused > 0);
 }
 
-/// A refusal comes at once and says when to come back, and what is refused has sent nothing.
+/// A request is refused immediately with a time after which to retry, and nothing is sent for it.
 #[test]
 fn what_is_turned_away_is_turned_away_at_once() {
-    let mut w = World::new(table(1, vec![page_route(&SHARDS, 0.75)])).with_pairs(&SHARDS);
+    let mut w = World::new(table(1, vec![page_route(&SHARDS, 0.75)])).with_server_pairs(&SHARDS);
     let mut servers = Servers::default();
-    // The time of the way is learned when connections open, and the rest is work.
-    w.tell(Event::Opened("s0-near".parse().expect("a name"), ms(0)));
-    w.tell(Event::Opened("s0-far".parse().expect("a name"), ms(16)));
+    // The round trip is learned when connections are opened; the rest is execution time.
+    w.on(Event::Opened("s0-near".parse().expect("a name"), ms(0)));
+    w.on(Event::Opened("s0-far".parse().expect("a name"), ms(16)));
     for _ in 0..20 {
-        w.ask("/page/x", ms(2500));
+        w.arrive("/page/x", ms(2500));
         let until = w.now + ms(30);
-        servers.pass(&mut w, until);
+        servers.advance_to(&mut w, until);
     }
     for _ in 0..200 {
-        w.ask("/page/x", ms(2500));
+        w.arrive("/page/x", ms(2500));
     }
-    let before = w.sent.len();
-    let seq: LookupSeq = w.ask("/page/x", ms(2500));
+    let before = w.open.len();
+    let seq: LookupSeq = w.arrive("/page/x", ms(2500));
     let Some(Outcome::Refused(RefuseReason::Overload, Some(retry))) =
-        w.ending(seq).map(|e| &e.outcome)
+        w.report(seq).map(|r| &r.outcome)
     else {
-        panic!("{:?}", w.ending(seq));
+        panic!("{:?}", w.report(seq));
     };
     assert!(*retry >= ms(250) && *retry <= ms(1200), "{retry:?}");
-    assert_eq!(w.sent.len(), before);
+    assert_eq!(w.open.len(), before);
 }
--- a/crates/relay/tests/relay/suspects.rs
+++ b/crates/relay/tests/relay/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the servers which run them.
+//! Tests of requests that crash the servers which execute them.
 
 use std::sync::Arc;
 
@@ -13,157 +13,159 @@
 use crate::world::THERE;
 use crate::world::World;
 use crate::world::entry;
-use crate::world::good;
 use crate::world::ms;
 use crate::world::one_route;
 use crate::world::page_route;
+use crate::world::success;
 use crate::world::table;
 
 const SHARDS: [&str; 3] = ["s0", "s1", "s2"];
 
 fn world() -> World {
     let routes = vec![page_route(&SHARDS, 0.6), one_route(Repeat::Safe)];
-    World::new(table(1, routes)).with_pairs(&["s0", "s1", "s2", "desk"])
+    World::new(table(1, routes)).with_server_pairs(&["s0", "s1", "s2", "desk"])
 }
 
-/// Breaks every attempt of a request until it ends.
-fn break_all(w: &mut World, path: &str) -> LookupSeq {
-    let seq = w.ask(path, ms(2500));
-    while w.ending(seq).is_none() {
-        let server = w.sent[0].server.name.to_string();
-        w.end(&server, AttemptEnd::Broken);
+/// Passes a request to the relay and breaks each of its attempts until it ends.
+fn break_all_attempts(w: &mut World, path: &str) -> LookupSeq {
+    let seq = w.arrive(path, ms(2500));
+    while w.report(seq).is_none() {
+        let server = w.open[0].server.name.to_string();
+        w.end_attempt(&server, AttemptEnd::Broken);
     }
-    w.sent.clear();
+    w.open.clear();
     seq
 }
 
 fn is_quarantined(w: &World, seq: LookupSeq) -> bool {
-    let outcome = w.ending(seq).map(|e| &e.outcome);
+    let outcome = w.report(seq).map(|r| &r.outcome);
     matches!(
         outcome,
         Some(Outcome::Refused(RefuseReason::Quarantined, Some(_)))
     )
 }
 
-/// Every shard is lost again each time a reader repeats the one search that crashes its servers.
+/// Prevents a reader who repeats a search that crashes servers from taking down every shard each
+/// time.
 #[test]
 fn a_fan_out_that_broke_its_servers_is_refused_when_it_comes_again() {
     let mut w = world();
-    break_all(&mut w, "/page/poison");
+    break_all_attempts(&mut w, "/page/poison");
     assert_eq!(w.quarantined.len(), 1);
-    let again = w.ask("/page/poison", ms(2500));
-    assert!(is_quarantined(&w, again));
-    assert!(w.sent.is_empty());
-    w.ask("/page/other", ms(2500));
-    assert!(!w.sent.is_empty());
+    let repeat = w.arrive("/page/poison", ms(2500));
+    assert!(is_quarantined(&w, repeat));
+    assert!(w.open.is_empty());
+    w.arrive("/page/other", ms(2500));
+    assert!(!w.open.is_empty());
 }
 
 #[test]
 fn what_another_vm_found_is_refused_here() {
     let mut w = world();
     let found = w.fingerprint("/page/poison");
-    w.tell(Event::Quarantined(vec![found]));
-    let seq = w.ask("/page/poison", ms(2500));
+    w.on(Event::Quarantined(vec![found]));
+    let seq = w.arrive("/page/poison", ms(2500));
     assert!(is_quarantined(&w, seq));
 }
 
-/// A reader's search is refused for half a minute although it harms nobody: two connections broke under
-/// it by chance, and a third answered.
+/// Attempts of a harmless search break by chance several times, and each time the next one is
+/// answered. The search must not be refused for half a minute.
 #[test]
 fn a_request_that_a_server_answered_is_no_suspect() {
     let mut w = world();
     for _ in 0..4 {
-        let seq = w.ask("/one/x", ms(8000));
-        let first = w.busy()[0].to_owned();
-        w.end(&first, AttemptEnd::Broken);
-        let second = w.busy()[0].to_owned();
-        w.end(&second, good(b'a'));
-        assert!(w.ending(seq).is_some());
+        let seq = w.arrive("/one/x", ms(8000));
+        let first = w.busy_servers()[0].to_owned();
+        w.end_attempt(&first, AttemptEnd::Broken);
+        let second = w.busy_servers()[0].to_owned();
+        w.end_attempt(&second, success(b'a'));
+        assert!(w.report(seq).is_some());
     }
     assert!(w.quarantined.is_empty());
 }
 
-/// A popular search is refused for half a minute at every VM: three servers lost connections in the same moment,
-/// before any of the others had had the time to answer. They did so 20 ms later.
+/// Three servers lose connections at the same moment under a popular search, 20 ms before the
+/// others answer it. It must not be refused at every VM for half a minute.
 #[test]
 fn a_fan_out_that_other_servers_answer_is_no_suspect() {
     let mut w = world();
-    let seq = w.ask("/page/popular", ms(2500));
+    let seq = w.arrive("/page/popular", ms(2500));
     for server in ["s0-near", "s1-near", "s2-near"] {
-        w.end(server, AttemptEnd::Broken);
+        w.end_attempt(server, AttemptEnd::Broken);
     }
-    w.pass(ms(20));
+    w.advance(ms(20));
     for server in ["s0-far", "s1-far", "s2-far"] {
-        w.end(server, good(b'a'));
+        w.end_attempt(server, success(b'a'));
     }
-    assert!(w.ending(seq).is_some());
+    assert!(w.report(seq).is_some());
     assert_eq!(w.quarantined, []);
-    let again = w.ask("/page/popular", ms(2500));
-    assert!(!is_quarantined(&w, again));
+    let repeat = w.arrive("/page/popular", ms(2500));
+    assert!(!is_quarantined(&w, repeat));
 }
 
-/// A search that crashes servers is sent by a caller that hangs up each time, and is never found out.
+/// The caller of a search that crashes servers disconnects each time before it ends. The search
+/// must be quarantined nevertheless.
 #[test]
 fn a_caller_that_hangs_up_does_not_hide_what_its_request_broke() {
     let mut w = world();
-    let seq = w.ask("/page/poison", ms(2500));
+    let seq = w.arrive("/page/poison", ms(2500));
     for server in ["s0-near", "s1-near", "s2-near"] {
-        w.end(server, AttemptEnd::Broken);
+        w.end_attempt(server, AttemptEnd::Broken);
     }
-    w.tell(Event::CallerDisconnected(seq));
+    w.on(Event::CallerDisconnected(seq));
     assert_eq!(w.quarantined, [w.fingerprint("/page/poison")]);
 }
 
 #[test]
 fn it_is_let_go_after_a_while() {
     let mut w = world();
-    break_all(&mut w, "/page/poison");
-    w.pass(ms(31_000));
-    let again = w.ask("/page/poison", ms(2500));
-    assert!(!is_quarantined(&w, again));
+    break_all_attempts(&mut w, "/page/poison");
+    w.advance(ms(31_000));
+    let repeat = w.arrive("/page/poison", ms(2500));
+    assert!(!is_quarantined(&w, repeat));
 }
 
-/// Starts both servers of a shard again; `run` tells this run of theirs from others.
-fn start_again(w: &mut World, shard: &str, run: u64) {
-    for (name, place) in [("near", HERE), ("far", THERE)] {
-        let mut again = entry(&format!("{shard}-{name}"), shard, place);
-        again.born = Some(Incarnation(run));
-        w.tell(Event::Server(Arc::new(again)));
+/// Restarts both servers of a shard in the given incarnation.
+fn restart_shard(w: &mut World, shard: &str, incarnation: u64) {
+    for (name, data_centre) in [("near", HERE), ("far", THERE)] {
+        let mut restarted = entry(&format!("{shard}-{name}"), shard, data_centre);
+        restarted.born = Some(Incarnation(incarnation));
+        w.on(Event::Server(Arc::new(restarted)));
     }
-    // Rests after broken connections and warming are over.
-    w.pass(ms(3000));
+    // Backoffs after broken connections and slow start end in this time.
+    w.advance(ms(3000));
 }
 
-/// Asks for a page; every attempt at `s0` breaks, the other shards answer.
+/// Requests a page of which every attempt at `s0` breaks, while the other shards answer.
 fn break_one_shard(w: &mut World, path: &str) -> LookupSeq {
-    let seq = w.ask(path, ms(2500));
-    while w.ending(seq).is_none() {
-        let server = w.sent[0].server.name.to_string();
+    let seq = w.arrive(path, ms(2500));
+    while w.report(seq).is_none() {
+        let server = w.open[0].server.name.to_string();
         let end = if server.starts_with("s0") {
             AttemptEnd::Broken
         } else {
-            good(b'a')
+            success(b'a')
         };
-        w.end(&server, end);
+        w.end_attempt(&server, end);
     }
-    w.sent.clear();
+    w.open.clear();
     seq
 }
 
-/// Guards against a search that crashes the servers of one shard each time that a caller repeats it, as the other
-/// shards answer it.
+/// A search crashes the servers of one shard each time its caller repeats it. The answers of the
+/// other shards must not keep it from being quarantined.
 #[test]
 fn a_fan_out_that_breaks_one_shard_again_is_refused() {
     let mut w = world();
     break_one_shard(&mut w, "/page/poison");
     assert_eq!(w.quarantined, []);
-    start_again(&mut w, "s0", 2);
+    restart_shard(&mut w, "s0", 2);
     break_one_shard(&mut w, "/page/poison");
     assert_eq!(w.quarantined, [w.fingerprint("/page/poison")]);
 }
 
-/// Guards against a search that is refused since the servers of one shard crashed by themselves, however often
-/// callers ask for it meanwhile.
+/// The servers of one shard crash by themselves. A search must not be quarantined for that, however
+/// often callers repeat it meanwhile.
 #[test]
 fn a_shard_that_crashes_by_itself_makes_no_suspect() {
     let mut w = world();
@@ -173,19 +175,20 @@
     assert_eq!(w.quarantined, []);
 }
 
-/// Guards against a search that is refused since a shard crashed twice by itself, though it has answered between.
+/// A shard crashes twice by itself and answers a search in between. The search must not be
+/// quarantined.
 #[test]
 fn a_shard_that_answers_between_its_crashes_makes_no_suspect() {
     let mut w = world();
     break_one_shard(&mut w, "/page/popular");
-    start_again(&mut w, "s0", 2);
-    let seq = w.ask("/page/popular", ms(2500));
-    while w.ending(seq).is_none() {
-        let server = w.sent[0].server.name.to_string();
-        w.end(&server, good(b'a'));
+    restart_shard(&mut w, "s0", 2);
+    let seq = w.arrive("/page/popular", ms(2500));
+    while w.report(seq).is_none() {
+        let server = w.open[0].server.name.to_string();
+        w.end_attempt(&server, success(b'a'));
     }
-    w.sent.clear();
-    start_again(&mut w, "s0", 3);
+    w.open.clear();
+    restart_shard(&mut w, "s0", 3);
     break_one_shard(&mut w, "/page/popular");
     assert_eq!(w.quarantined, []);
 }
--- a/crates/relay/tests/relay/world.rs
+++ b/crates/relay/tests/relay/world.rs
@@ -1,4 +1,4 @@
-//! A relay with servers that answer as a test says, and a clock that the test moves.
+//! A relay that a test drives event by event, with a clock that the test advances.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -47,27 +47,27 @@
 pub struct World {
     pub relay: Relay,
     pub now: Instant,
-    /// Attempts handed over, oldest first; a test takes out those it answers.
-    pub sent: VecDeque<Dispatch>,
-    /// Attempts cancelled.
+    /// Attempts dispatched and not yet ended by the test, oldest first.
+    pub open: VecDeque<Dispatch>,
+    /// Attempts that the relay cancelled.
     pub cancelled: Vec<AttemptKey>,
-    /// Servers and peers that connections were asked for to.
+    /// Servers and peers of the connect actions, in order.
     pub connects: Vec<ServerName>,
-    /// Connections to be held open to each, as last asked for.
-    pub warm: HashMap<ServerName, u32>,
-    /// Requests that other VMs were told of.
+    /// Connections to keep open to each server or peer, as last requested.
+    pub connections_min: HashMap<ServerName, u32>,
+    /// Requests whose quarantine was announced to other VMs.
     pub quarantined: Vec<Fingerprint>,
-    /// Requests that have ended.
-    pub ended: Vec<(LookupSeq, RequestReport)>,
+    /// Reports on the requests that have ended.
+    pub reports: Vec<(LookupSeq, RequestReport)>,
     wake_at: Option<Instant>,
-    next: u64,
+    next_seq: u64,
 }
 
 pub fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// The default options of a VM in [`HERE`].
+/// Returns the default options of a VM in [`HERE`].
 pub fn options() -> RelayOptions {
     let regions = [(HERE, "hobart"), (THERE, "launceston")];
     let regions = regions.map(|(d, r)| (d.parse().expect("a name"), r.parse().expect("a name")));
@@ -80,7 +80,7 @@
         .build()
 }
 
-/// A route `/page/` to these shards.
+/// Returns a route `/page/` to these shards.
 pub fn page_route(shards: &[&str], coverage_min: f64) -> Route {
     Route {
         name: "page".parse().expect("a name"),
@@ -99,7 +99,7 @@
     }
 }
 
-/// A route `/one/` to one service.
+/// Returns a route `/one/` to one service.
 pub fn one_route(repeat: Repeat) -> Route {
     let service = Weighted {
         service: "desk".parse().expect("a name"),
@@ -118,7 +118,7 @@
     }
 }
 
-/// A version with these routes; each server accepts 60 connections.
+/// Returns a version with these routes; each server accepts 60 connections.
 pub fn table(version: u64, routes: Vec<Route>) -> Arc<RouteTable> {
     let services = routes.iter().flat_map(Route::services);
     let services = services.map(|name| ServiceDecl {
@@ -140,7 +140,7 @@
     ))
 }
 
-/// A VM with a link of 100 Mbit/s.
+/// Returns a VM with a link of 100 Mbit/s.
 pub fn vm(name: &str, data_centre: &str, region: &str, cores: f64) -> PeerVm {
     PeerVm {
         name: name.parse().expect("a name"),
@@ -154,7 +154,7 @@
     }
 }
 
-/// A ready server with two slots.
+/// Returns the register entry of a ready server with two slots.
 pub fn entry(name: &str, service: &str, data_centre: &str) -> ServerEntry {
     ServerEntry {
         name: name.parse().expect("a name"),
@@ -168,12 +168,12 @@
     }
 }
 
-/// A success with a stamp, and a body of one record that begins with `key`.
-pub fn good(key: u8) -> AttemptEnd {
+/// Returns a successful answer with a stamp and a body of one record that consists of `key`.
+pub fn success(key: u8) -> AttemptEnd {
     answered(StatusCode::OK, key)
 }
 
-/// An answer with a stamp and this status.
+/// Returns an answer with this status, a stamp and a body of one record that consists of `key`.
 pub fn answered(status: StatusCode, key: u8) -> AttemptEnd {
     let answer = ServerAnswer {
         status,
@@ -184,7 +184,7 @@
     AttemptEnd::Answered(Box::new(answer), None)
 }
 
-/// A refusal for load.
+/// Returns a refusal for load by a server with full slots and queue.
 pub fn shed() -> AttemptEnd {
     AttemptEnd::Shed(Some(Load {
         running: 2,
@@ -193,13 +193,13 @@
     }))
 }
 
-/// A caller's request for a path.
-pub fn request(path: &str, seq: LookupSeq, patience: Duration) -> CallerRequest {
+/// Returns a caller's request for a path.
+pub fn request(path: &str, seq: LookupSeq, caller_timeout: Duration) -> CallerRequest {
     CallerRequest {
         host: "front.example".into(),
         path: path.into(),
         id: format!("id-{seq}").into(),
-        caller_timeout: Some(patience),
+        caller_timeout: Some(caller_timeout),
         content: Arc::new(OpaqueRequest {
             method: Method::GET,
             target: path.into(),
@@ -218,30 +218,30 @@
         let mut w = Self {
             relay: Relay::new(options, 7),
             now: Instant::now(),
-            sent: VecDeque::new(),
+            open: VecDeque::new(),
             cancelled: Vec::new(),
             connects: Vec::new(),
-            warm: HashMap::new(),
+            connections_min: HashMap::new(),
             quarantined: Vec::new(),
-            ended: Vec::new(),
+            reports: Vec::new(),
             wake_at: None,
-            next: 1,
+            next_seq: 1,
         };
-        w.tell(Event::Vms(vec![vm("vm-1", HERE, "hobart", 1.0)]));
-        w.tell(Event::Table(table));
-        w.pass(ms(300));
+        w.on(Event::Vms(vec![vm("vm-1", HERE, "hobart", 1.0)]));
+        w.on(Event::Table(table));
+        w.advance(ms(300));
         w
     }
 
-    /// Two servers of each service, the first in [`HERE`] and the second in [`THERE`].
-    pub fn with_pairs(mut self, services: &[&str]) -> Self {
+    /// Adds two servers of each service, `-near` in [`HERE`] and `-far` in [`THERE`].
+    pub fn with_server_pairs(mut self, services: &[&str]) -> Self {
         for s in services {
-            self.tell(Event::Server(Arc::new(entry(
+            self.on(Event::Server(Arc::new(entry(
                 &format!("{s}-near"),
                 s,
                 HERE,
             ))));
-            self.tell(Event::Server(Arc::new(entry(
+            self.on(Event::Server(Arc::new(entry(
                 &format!("{s}-far"),
                 s,
                 THERE,
@@ -250,42 +250,43 @@
         self
     }
 
-    /// A world with one shard that has learned that its servers work for 10 ms, and that the far one is
-    /// 10 ms away.
-    pub fn learned() -> Self {
+    /// Creates a world with one shard that has recorded execution times of 10 ms and a round trip
+    /// of 10 ms to the far server.
+    pub fn with_learned_latency() -> Self {
         let shards = ["s0"];
-        let mut w = Self::new(table(1, vec![page_route(&shards, 1.0)])).with_pairs(&shards);
-        w.tell(Event::Opened("s0-near".parse().expect("a name"), ms(0)));
-        w.tell(Event::Opened("s0-far".parse().expect("a name"), ms(10)));
+        let mut w = Self::new(table(1, vec![page_route(&shards, 1.0)])).with_server_pairs(&shards);
+        w.on(Event::Opened("s0-near".parse().expect("a name"), ms(0)));
+        w.on(Event::Opened("s0-far".parse().expect("a name"), ms(10)));
         for _ in 0..200 {
-            w.ask("/page/x", ms(2500));
-            w.pass(ms(10));
-            if w.busy() == ["s0-near"] {
-                w.end("s0-near", good(b'a'));
+            w.arrive("/page/x", ms(2500));
+            w.advance(ms(10));
+            if w.busy_servers() == ["s0-near"] {
+                w.end_attempt("s0-near", success(b'a'));
             }
-            w.pass(ms(10));
-            if w.busy() == ["s0-far"] {
-                w.end("s0-far", good(b'a'));
+            w.advance(ms(10));
+            if w.busy_servers() == ["s0-far"] {
+                w.end_attempt("s0-far", success(b'a'));
             }
         }
         w
     }
 
-    pub fn tell(&mut self, ev: Event) {
-        self.tell_together([ev]);
+    /// Passes an event to the relay and records the resulting actions.
+    pub fn on(&mut self, event: Event) {
+        self.on_all([event]);
     }
 
-    /// Tells events that came at the same time.
-    pub fn tell_together(&mut self, evs: impl IntoIterator<Item = Event>) {
+    /// Passes events that arrived at the same time to the relay and records the resulting actions.
+    pub fn on_all(&mut self, events: impl IntoIterator<Item = Event>) {
         let mut out = Vec::new();
-        for ev in evs.into_iter().chain([Event::CaughtUp]) {
-            self.relay.on(self.now, ev, &mut out);
+        for event in events.into_iter().chain([Event::CaughtUp]) {
+            self.relay.on(self.now, event, &mut out);
         }
         for action in out {
             match action {
-                Action::Send(d) => self.sent.push_back(d),
+                Action::Send(d) => self.open.push_back(d),
                 Action::Cancel(id) => self.cancelled.push(id),
-                Action::Answer(seq, ending) => self.ended.push((seq, *ending)),
+                Action::Answer(seq, report) => self.reports.push((seq, *report)),
                 Action::Quarantine(request) => self.quarantined.push(request),
                 Action::Wake(after) => {
                     let at = self.now + after;
@@ -297,32 +298,33 @@
                     ..
                 } => {
                     self.connects.push(server.name.clone());
-                    self.warm.insert(server.name.clone(), connections_min.0);
+                    self.connections_min
+                        .insert(server.name.clone(), connections_min.0);
                 }
                 Action::Disconnect(name) => {
-                    self.warm.remove(&name);
+                    self.connections_min.remove(&name);
                 }
             }
         }
     }
 
-    /// Lets time pass; timers fall due on their way.
-    pub fn pass(&mut self, d: Duration) {
-        let until = self.now + d;
+    /// Advances the clock; timers that expire on the way are processed at their time.
+    pub fn advance(&mut self, by: Duration) {
+        let until = self.now + by;
         while let Some(at) = self.wake_at.filter(|at| *at <= until) {
             self.now = self.now.max(at);
             self.wake_at = None;
-            self.tell(Event::Tick);
+            self.on(Event::Tick);
         }
         self.now = until;
     }
 
-    /// A caller asks for a path and waits for `patience`.
-    pub fn ask(&mut self, path: &str, patience: Duration) -> LookupSeq {
-        let seq = LookupSeq(self.next);
-        self.next += 1;
-        let req = request(path, seq, patience);
-        self.tell(Event::Arrive(Arrival {
+    /// Passes a caller's request for a path to the relay.
+    pub fn arrive(&mut self, path: &str, caller_timeout: Duration) -> LookupSeq {
+        let seq = LookupSeq(self.next_seq);
+        self.next_seq += 1;
+        let req = request(path, seq, caller_timeout);
+        self.on(Event::Arrive(Arrival {
             seq,
             req,
             delegated: None,
@@ -330,31 +332,31 @@
         seq
     }
 
-    /// The fingerprint of a request for a path.
+    /// Returns the fingerprint of a request for a path.
     pub fn fingerprint(&self, path: &str) -> Fingerprint {
         request(path, LookupSeq(0), ms(1000)).fingerprint()
     }
 
-    /// Ends the oldest attempt that is under way at this server.
-    pub fn end(&mut self, server: &str, end: AttemptEnd) {
+    /// Ends the oldest open attempt at this server.
+    pub fn end_attempt(&mut self, server: &str, end: AttemptEnd) {
         let at = self
-            .sent
+            .open
             .iter()
             .position(|d| d.server.name.as_str() == server);
         let d = self
-            .sent
+            .open
             .remove(at.expect("an attempt at the server"))
-            .expect("it is there");
-        self.tell(Event::Ended(d.attempt, end));
+            .expect("an attempt at this position");
+        self.on(Event::Ended(d.attempt, end));
     }
 
-    /// The servers of the attempts under way, in the order of their dispatch.
-    pub fn busy(&self) -> Vec<&str> {
-        self.sent.iter().map(|d| d.server.name.as_str()).collect()
+    /// Returns the servers of the open attempts, in the order of dispatch.
+    pub fn busy_servers(&self) -> Vec<&str> {
+        self.open.iter().map(|d| d.server.name.as_str()).collect()
     }
 
-    /// The end of a request.
-    pub fn ending(&self, seq: LookupSeq) -> Option<&RequestReport> {
-        self.ended.iter().find(|(s, _)| *s == seq).map(|(_, e)| e)
+    /// Returns the report on a request; `None` if it has not ended.
+    pub fn report(&self, seq: LookupSeq) -> Option<&RequestReport> {
+        self.reports.iter().find(|(s, _)| *s == seq).map(|(_, r)| r)
     }
 }
