--- a/crates/relay/tests/relay/hedges.rs
+++ b/crates/relay/tests/relay/hedges.rs
@@ -71,31 +71,31 @@
 
 #[test]
 fn a_window_forgets_what_has_left_it() {
-    let mut b = ExtraAttemptBudget::new(ms(10_000), 0.2, 1.0);
+    let mut budget = ExtraAttemptBudget::new(ms(10_000), 0.2, 1.0);
     let start = Instant::now();
-    assert!(b.take(start, false));
-    assert!(!b.take(start + ms(9000), false));
-    assert!(b.take(start + ms(10_600), false));
+    assert!(budget.take(start, false));
+    assert!(!budget.take(start + ms(9000), false));
+    assert!(budget.take(start + ms(10_600), false));
 }
 
 #[test]
 fn a_window_allows_its_share_of_the_requests_and_keeps_some_for_retries() {
-    let mut b = ExtraAttemptBudget::new(ms(10_000), 0.2, 0.0);
+    let mut budget = ExtraAttemptBudget::new(ms(10_000), 0.2, 0.0);
     let now = Instant::now();
     for _ in 0..100 {
-        b.note_request(now);
+        budget.note_request(now);
     }
-    let hedges = (0..100).filter(|_| b.take(now, true)).count();
-    let retries = (0..100).filter(|_| b.take(now, false)).count();
+    let hedges = (0..100).filter(|_| budget.take(now, true)).count();
+    let retries = (0..100).filter(|_| budget.take(now, false)).count();
     assert_eq!((hedges, retries), (15, 5));
 }
 
 #[test]
 fn what_was_given_back_can_be_taken_again() {
-    let mut b = ExtraAttemptBudget::new(ms(10_000), 0.0, 1.0);
+    let mut budget = ExtraAttemptBudget::new(ms(10_000), 0.0, 1.0);
     let now = Instant::now();
-    assert!(b.take(now, false));
-    b.give_back();
-    assert!(b.take(now, false));
-    assert!(!b.take(now, false));
+    assert!(budget.take(now, false));
+    budget.give_back();
+    assert!(budget.take(now, false));
+    assert!(!budget.take(now, false));
 }
