--- a/crates/types/src/answer.rs
+++ b/crates/types/src/answer.rs
@@ -1,4 +1,4 @@
-//! What a caller gets back: an answer with its true coverage, or a refusal that says what it knows.
+//! The outcome of a lookup: an answer with its coverage, or a refusal with its reason.
 
 use std::time::Duration;
 
@@ -9,48 +9,51 @@
 use crate::ids::ShardId;
 use crate::ids::SnapshotId;
 
-/// The end of a lookup.
+/// The outcome of a lookup.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "kebab-case")]
 pub enum Outcome {
-    /// A page, with its coverage.
+    /// A page of hits, with its coverage.
     Answered(Answer),
-    /// No backend server ran it; with an idempotency key, neither this nor any other submission.
+    /// No backend server executed the lookup nor, if it has an idempotency key, any other
+    /// submission under that key.
     NotRun(Refusal),
-    /// It may have run: something was sent, or another submission under its key may have run.
+    /// A backend server may have executed the lookup: something was sent, or another submission
+    /// under its idempotency key may have been executed.
     Unknown(Refusal),
 }
 
-/// A page from one snapshot.
+/// A page of hits from one snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The snapshot that every hit and every counted shard is from.
+    /// The snapshot that every hit and every covered shard is from.
     pub snapshot: SnapshotId,
     /// The best hits, best first.
     pub hits: Vec<Hit>,
-    /// How many documents matched in the shards that answered.
+    /// The number of documents that matched in the shards that answered.
     pub matched: u64,
     /// Which shards the page covers.
     pub coverage: Coverage,
-    /// Whether it ended before every shard was in because there were hits enough.
+    /// Whether the lookup ended before every shard had answered because there were enough hits.
     pub ended_early: bool,
-    /// Attempts made beyond one a shard.
+    /// The number of attempts beyond one per shard.
     pub extra_attempts: u32,
 }
 
-/// Which shards of the snapshot a page covers; counted only from parts that arrived whole.
+/// Which shards of the snapshot a page covers; only parts that arrived complete count.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Coverage {
-    /// Shards that the lookup asks: all of the snapshot, or one for a keyed lookup.
+    /// The number of shards that the lookup queries: all of the snapshot, or one for a keyed
+    /// lookup.
     pub shards: u32,
-    /// Shards that answered whole.
+    /// The number of shards whose part arrived complete.
     pub whole: u32,
-    /// Shards that did not, and why.
+    /// The other shards, and why each is missing.
     pub missing: Vec<MissingShard>,
 }
 
 impl Coverage {
-    /// Whether every shard asked has answered whole.
+    /// Returns whether the part of every queried shard arrived complete.
     #[must_use]
     pub fn is_full(&self) -> bool {
         self.whole == self.shards
@@ -62,11 +65,11 @@
 pub struct MissingShard {
     /// The shard.
     pub shard: ShardId,
-    /// Why it is missing.
+    /// Why the page does not cover it.
     pub reason: MissReason,
 }
 
-/// Why a shard is missing.
+/// Why a page does not cover a shard.
 #[derive(
     Clone,
     Copy,
@@ -82,34 +85,34 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum MissReason {
-    /// No replica that is ready and reachable holds it.
+    /// No replica that is ready and reachable holds the shard.
     NoReplica,
-    /// It did not answer in time.
+    /// The shard did not answer in time.
     Late,
-    /// Every replica tried refused for load.
+    /// Every replica tried shed the request because of load.
     Shed,
     /// Every replica tried failed.
     Failed,
-    /// Its replicas no longer hold the pinned snapshot.
+    /// The shard's replicas no longer hold the pinned snapshot.
     SnapshotGone,
-    /// The lookup ended early, with hits enough.
+    /// The lookup ended early with enough hits.
     EndedEarly,
 }
 
-/// A final refusal, given as soon as it is known.
+/// A final refusal of a lookup, sent as soon as its reason is known.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Why the lookup was refused.
     pub reason: RefusalReason,
-    /// When it is worth asking again; `None` if never with this request.
+    /// The time after which a retry is worthwhile; `None` if no retry of this request is.
     #[serde(with = "humantime_serde")]
     pub retry_after: Option<Duration>,
-    /// For a complete lookup: what was missing.
+    /// For a lookup that promises every shard: the shards that were missing.
     pub missing: Vec<MissingShard>,
 }
 
 impl Refusal {
-    /// Starts a refusal without missing shards.
+    /// Creates a refusal without missing shards.
     #[must_use]
     pub fn new(reason: RefusalReason, retry_after: Option<Duration>) -> Self {
         Self {
@@ -137,32 +140,32 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum RefusalReason {
-    /// The front or lookup is not declared.
+    /// The front or the lookup is not declared.
     NoSuchLookup,
-    /// The request does not fit the lookup as declared, such as a missing key.
+    /// The request does not match the declared lookup, for example because its key is missing.
     BadRequest,
-    /// Too much is in flight for this lookup to end in time.
+    /// Too many requests are in flight for this lookup to end in time.
     Overload,
     /// The deadline passed before anything was sent.
     TooLate,
-    /// No snapshot is ready that satisfies the request.
+    /// No snapshot that satisfies the request is ready.
     NoSnapshot,
-    /// A complete lookup could not reach every shard.
+    /// A lookup that promises every shard could not reach all of them.
     Incomplete,
-    /// This lookup crashed backend servers and is set aside for a while.
+    /// This lookup crashed backend servers and is quarantined for a limited time.
     Quarantined,
-    /// The idempotency key was already used; the first run's answer is its only one.
+    /// The idempotency key was already used; only its first execution returns an answer.
     AlreadyClaimed,
-    /// The idempotency key is older than the claim window, or from the future.
+    /// The idempotency key is older than the claim window, or was minted in the future.
     KeyExpired,
-    /// The claim could not be made or read, as the platform is away.
+    /// The claim could not be made or read because the platform is unreachable.
     ClaimsAway,
     /// The attempt at an at-most-once lookup failed after it was sent.
     Failed,
-    /// This VM is leaving; ask another.
+    /// This VM is leaving; the caller can retry on another VM.
     Leaving,
-    /// This VM does not hold a configuration yet.
+    /// This VM has no configuration yet.
     NotReady,
-    /// A change of this lookup was prepared here and its outcome cannot be learned yet.
+    /// A change of this lookup was prepared on this VM and its outcome is not known yet.
     ConfigInDoubt,
 }
--- a/crates/types/src/attempt.rs
+++ b/crates/types/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one shard, and the part that comes back.
+//! The id of one attempt at one shard, and the part that the shard returns.
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,20 +14,22 @@
 use crate::ids::ShardId;
 use crate::ids::VmId;
 
-/// Names one attempt so that a late or crossed reply can never be taken for another's.
+/// The globally unique id of one attempt, which prevents a late or misdirected reply from being
+/// matched to another attempt.
 ///
-/// Its text form `vm/incarnation/lookup/shard/try` travels in the `x-attempt` header and is echoed.
+/// Its text form `vm/incarnation/lookup/shard/attempt` is sent in the `x-attempt` header, and the
+/// reply echoes it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptId {
     /// The VM that made the attempt.
     pub vm: VmId,
-    /// The run of its process.
+    /// The incarnation of that VM's process.
     pub incarnation: Incarnation,
-    /// The lookup it belongs to.
+    /// The lookup that the attempt belongs to.
     pub lookup: LookupSeq,
-    /// The shard it asks.
+    /// The shard that it queries.
     pub shard: ShardId,
-    /// 0 for the first attempt at this shard in this lookup, then 1, 2 and so on.
+    /// The number of the attempt at this shard in this lookup, from 0.
     pub attempt: u16,
 }
 
@@ -48,44 +50,45 @@
     type Err = Error;
 
     fn from_str(s: &str) -> Result<Self, Error> {
-        let bad = || {
+        let invalid = || {
             Error::new(
                 ErrorKind::BadInput,
                 format!("`{s:.120}` is not an attempt id"),
             )
         };
-        let mut it = s.split('/');
-        let mut next = || it.next().ok_or_else(bad);
+        let mut fields = s.split('/');
+        let mut next = || fields.next().ok_or_else(invalid);
         let id = Self {
             vm: next()?.parse()?,
             incarnation: next()?.parse()?,
             lookup: next()?.parse()?,
             shard: next()?.parse()?,
-            attempt: next()?.parse().map_err(|_| bad())?,
+            attempt: next()?.parse().map_err(|_| invalid())?,
         };
-        match it.next() {
+        match fields.next() {
             None => Ok(id),
-            Some(_) => Err(bad()),
+            Some(_) => Err(invalid()),
         }
     }
 }
 
-/// One ranked line of a result page.
+/// One ranked entry of a result page.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hit {
-    /// The document's id, unique in its snapshot.
+    /// The document's id, unique within its snapshot.
     pub doc: Arc<str>,
-    /// The rank score; larger is better. Ties go to the smaller document id.
+    /// The rank score; a larger one ranks higher, and equal ones are ranked by ascending document
+    /// id.
     pub score: u64,
-    /// The text to show.
+    /// The text to display.
     pub text: Arc<str>,
 }
 
-/// What one shard contributes to a page; whole by the time it is built.
+/// The contribution of one shard to a page; built only once it is complete.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
     /// The shard's best hits, best first.
     pub hits: Vec<Hit>,
-    /// How many documents of the shard matched.
+    /// The number of documents of the shard that matched.
     pub matched: u64,
 }
--- a/crates/types/src/error.rs
+++ b/crates/types/src/error.rs
@@ -1,14 +1,15 @@
-//! The error that crosses crate borders: a kind for programs, a step, a peer and a hint for people.
+//! The error type shared by all crates: a kind for programs, and a step, a peer and a hint for
+//! operators.
 
 use std::fmt;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// The result of a fallible step.
+/// A result whose error is [`enum@Error`] by default.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// What went wrong, for programs to branch on.
+/// The kind of an error, for programs to branch on.
 #[derive(
     Clone,
     Copy,
@@ -25,27 +26,27 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum ErrorKind {
-    /// What came from outside does not parse or breaks a rule.
+    /// External input does not parse or breaks a rule.
     BadInput,
-    /// The thing named does not exist.
+    /// The named object does not exist.
     NotFound,
-    /// The version named is no longer the newest, or another write was first.
+    /// The named version is no longer the newest, or another write was first.
     Conflict,
-    /// The caller may not do this.
+    /// The caller is not allowed to do this.
     Forbidden,
     /// The peer could not be reached or did not answer in time.
     Unavailable,
     /// The write may or may not have taken effect.
     Unknown,
-    /// A bound on size, count or time was passed.
+    /// A limit on size, count or time was exceeded.
     TooMuch,
-    /// A message of a version that this process does not speak.
+    /// The message has a version that this process does not support.
     Version,
     /// Local I/O failed.
     Io,
 }
 
-/// An error with the step and the peer at which it arose, and a hint how to fix it.
+/// An error with the step and the peer at which it occurred, and a hint how to fix it.
 ///
 /// # Examples
 ///
@@ -71,7 +72,7 @@
 }
 
 impl Error {
-    /// Starts an error of this kind with what happened.
+    /// Creates an error of the given kind; `text` says what happened.
     #[must_use]
     pub fn new(kind: ErrorKind, text: impl Into<String>) -> Self {
         Self {
@@ -83,46 +84,47 @@
         }
     }
 
-    /// Names the step that failed; the innermost step named first stays.
+    /// Adds the step that failed; a step that was already added stays, so the innermost one is
+    /// shown.
     #[must_use]
     pub fn at(mut self, step: impl Into<String>) -> Self {
         self.step.get_or_insert_with(|| step.into());
         self
     }
 
-    /// Names the peer that was being talked to.
+    /// Adds the peer that the step communicated with; a peer that was already added stays.
     #[must_use]
     pub fn from_peer(mut self, peer: impl Into<String>) -> Self {
         self.peer.get_or_insert_with(|| peer.into());
         self
     }
 
-    /// Says how to fix it.
+    /// Adds a hint how to fix the error; a hint that was already added stays.
     #[must_use]
     pub fn with_hint(mut self, hint: impl Into<String>) -> Self {
         self.hint.get_or_insert_with(|| hint.into());
         self
     }
 
-    /// The kind, for programs.
+    /// Returns the kind of the error.
     #[must_use]
     pub fn kind(&self) -> ErrorKind {
         self.kind
     }
 
-    /// The step that failed, if named.
+    /// Returns the step that failed, if known.
     #[must_use]
     pub fn step(&self) -> Option<&str> {
         self.step.as_deref()
     }
 
-    /// The peer that was being talked to, if any.
+    /// Returns the peer that the step communicated with, if any.
     #[must_use]
     pub fn peer(&self) -> Option<&str> {
         self.peer.as_deref()
     }
 
-    /// How to fix it, if known.
+    /// Returns the hint how to fix the error, if any.
     #[must_use]
     pub fn hint(&self) -> Option<&str> {
         self.hint.as_deref()
--- a/crates/types/src/idempotency_key.rs
+++ b/crates/types/src/idempotency_key.rs
@@ -1,4 +1,4 @@
-//! The key by which a caller's resends are known to be one.
+//! The key that identifies all submissions of one at-most-once lookup.
 
 use std::fmt;
 use std::ops::RangeInclusive;
@@ -11,16 +11,17 @@
 use crate::error::Error;
 use crate::error::ErrorKind;
 
-/// The most digits of the minting time; far more than this era's seconds need.
+/// The largest number of digits of the minting time; Unix time in seconds has 10 digits until the
+/// year 2286.
 const MINTED_DIGITS_MAX: usize = 12;
 
-/// The length of what follows the minting time, in bytes.
-const TAIL_LEN: RangeInclusive<usize> = 8..=48;
+/// The length of the part after the minting time, in bytes.
+const SUFFIX_LEN_BYTES: RangeInclusive<usize> = 8..=48;
 
 /// A caller's idempotency key: `<unix seconds when minted>-<8 to 48 of a-z0-9>`.
 ///
-/// The minting time bounds how long a claim must be kept: a key older than the claim window is
-/// refused for ever after, so that dropping its claim can never let it run a second time.
+/// The minting time limits how long a claim must be stored: a key older than the claim window is
+/// always refused, so removing its claim cannot let the lookup run a second time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct IdempotencyKey {
@@ -29,13 +30,13 @@
 }
 
 impl IdempotencyKey {
-    /// When the caller minted it, in seconds since the Unix epoch.
+    /// Returns when the caller minted the key, in seconds since the Unix epoch.
     #[must_use]
     pub fn minted(&self) -> u64 {
         self.minted
     }
 
-    /// The key as text.
+    /// Returns the key as text.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.text
@@ -46,20 +47,20 @@
     type Err = Error;
 
     fn from_str(s: &str) -> Result<Self, Error> {
-        let bad = || {
+        let invalid = || {
             Error::new(
                 ErrorKind::BadInput,
                 format!("`{s:.80}` is not an idempotency key"),
             )
             .with_hint("use <unix seconds when minted>-<8 to 48 of a-z and 0-9>")
         };
-        let (minted, tail) = s.split_once('-').ok_or_else(bad)?;
-        if !is_minting_time(minted) || !is_tail(tail) {
-            return Err(bad());
+        let (minted, suffix) = s.split_once('-').ok_or_else(invalid)?;
+        if !is_minting_time(minted) || !is_suffix(suffix) {
+            return Err(invalid());
         }
         Ok(Self {
             text: s.into(),
-            minted: minted.parse().map_err(|_| bad())?,
+            minted: minted.parse().map_err(|_| invalid())?,
         })
     }
 }
@@ -88,7 +89,7 @@
     s.len() <= MINTED_DIGITS_MAX && s.bytes().all(|b| b.is_ascii_digit())
 }
 
-fn is_tail(s: &str) -> bool {
-    let is_plain = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit();
-    TAIL_LEN.contains(&s.len()) && s.bytes().all(is_plain)
+fn is_suffix(s: &str) -> bool {
+    let is_allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit();
+    SUFFIX_LEN_BYTES.contains(&s.len()) && s.bytes().all(is_allowed)
 }
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -1,4 +1,4 @@
-//! Newtypes for names and numbers that identify things.
+//! Newtypes for names and numbers that serve as ids.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,7 +10,7 @@
 use crate::error::Error;
 use crate::error::ErrorKind;
 
-/// Longest name accepted, in bytes.
+/// The largest length of a name, in bytes.
 pub const NAME_MAX_BYTES: usize = 64;
 
 /// Checks that `s` is 1 to [`NAME_MAX_BYTES`] bytes of `a-z`, `0-9`, `-`, `_` or `.`.
@@ -29,8 +29,9 @@
     )
 }
 
-/// Declares a cheap-to-clone name with `Display`, `FromStr` and checked serialisation.
-macro_rules! name {
+/// Declares a name type that is cheap to clone and checks the name when it is parsed or
+/// deserialised.
+macro_rules! declare_name {
     ($(#[$doc:meta])* $name:ident, $what:literal) => {
         $(#[$doc])*
         #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -38,7 +39,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -83,7 +84,7 @@
 }
 
 /// Declares a number newtype with `Display` and `FromStr`.
-macro_rules! number {
+macro_rules! declare_number {
     ($(#[$doc:meta])* $name:ident, $int:ty, $what:literal) => {
         $(#[$doc])*
         #[derive(
@@ -93,7 +94,7 @@
         pub struct $name(pub $int);
 
         impl $name {
-            /// The number after this one; stays at the largest.
+            /// Returns the next number, or the same one if it is the largest.
             #[must_use]
             pub fn next(self) -> Self {
                 Self(self.0.saturating_add(1))
@@ -119,80 +120,84 @@
     };
 }
 
-name!(
-    /// The name of an entry VM; one process of ours runs on it.
+declare_name!(
+    /// The name of a VM, on which one process of this query tier runs.
     VmId, "VM name"
 );
-name!(
+declare_name!(
     /// The name of a data centre.
     DataCentre, "data centre name"
 );
-name!(
+declare_name!(
     /// The name of a region, which holds one or more data centres.
     Region, "region name"
 );
-name!(
+declare_name!(
     /// The name of a backend server.
     ServerName, "server name"
 );
-name!(
-    /// The name of a service: the replicas of one shard.
+declare_name!(
+    /// The name of a service, which consists of the replicas of one shard.
     ServiceName, "service name"
 );
-name!(
+declare_name!(
     /// The name of a group of services that together hold one index.
     GroupName, "group name"
 );
-name!(
+declare_name!(
     /// The name of a search front.
     FrontName, "front name"
 );
-name!(
+declare_name!(
     /// The name of a lookup declared in a front.
     LookupName, "lookup name"
 );
-name!(
+declare_name!(
     /// The name of a team of operators.
     TeamName, "team name"
 );
-name!(
-    /// The id of a patch, chosen by the operator's client so that a resend is recognised.
+declare_name!(
+    /// The id of a patch, chosen by the operator's client so that a resend of the patch is
+    /// recognised.
     PatchId, "patch id"
 );
 
-number!(
-    /// The number of a configuration version; each accepted patch adds one.
+declare_number!(
+    /// The number of a configuration version; each accepted patch increments it.
     ConfVersion, u64, "configuration version"
 );
-number!(
-    /// The number of an index snapshot; larger is newer.
+declare_number!(
+    /// The number of an index snapshot; a larger one is newer.
     SnapshotId, u64, "snapshot number"
 );
-number!(
+declare_number!(
     /// The number of a shard within a snapshot.
     ShardId, u32, "shard number"
 );
-number!(
-    /// One run of a process on a VM: the wall clock in milliseconds at its start.
+declare_number!(
+    /// The incarnation of a process on a VM: the wall-clock time of its start in milliseconds.
     Incarnation, u64, "incarnation"
 );
-number!(
-    /// The running number of a lookup within one incarnation.
+declare_number!(
+    /// The sequence number of a lookup within one incarnation.
     LookupSeq, u64, "lookup number"
 );
-number!(
-    /// A hash of what a lookup asks for; equal for every resend of it.
+declare_number!(
+    /// A hash of what a lookup searches for, equal for every resend of it.
     Fingerprint, u64, "fingerprint"
 );
 
 impl Fingerprint {
-    /// Hashes the parts of a lookup that decide what a backend server runs.
+    /// Hashes the fields of a lookup that determine what a backend server executes.
+    ///
+    /// Each field is preceded by its length, so the same text split in another way has another
+    /// hash.
     #[must_use]
-    pub fn of(parts: &[&str]) -> Self {
+    pub fn of(fields: &[&str]) -> Self {
         let mut h = xxhash_rust::xxh3::Xxh3::new();
-        for p in parts {
-            h.update(&(p.len() as u64).to_le_bytes());
-            h.update(p.as_bytes());
+        for f in fields {
+            h.update(&(f.len() as u64).to_le_bytes());
+            h.update(f.as_bytes());
         }
         Self(h.digest())
     }
@@ -201,11 +206,11 @@
 /// The id of one caller's request, echoed in its answer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId {
-    /// The VM that took the request.
+    /// The VM that received the request.
     pub vm: VmId,
-    /// The run of the process that took it.
+    /// The incarnation of that VM's process.
     pub incarnation: Incarnation,
-    /// Its running number there.
+    /// The sequence number of the request within that incarnation.
     pub seq: LookupSeq,
 }
 
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,6 +1,6 @@
-//! Newtypes, the domain model and the errors that every crate of the workspace shares.
+//! Newtypes, domain types and errors that every crate of the workspace shares.
 //!
-//! Nothing here does I/O or reads a clock. Most crates need only the [`prelude`].
+//! This crate does no I/O and reads no clock. Most crates need only the [`prelude`].
 
 pub mod answer;
 pub mod attempt;
--- a/crates/types/src/log_rate_limit.rs
+++ b/crates/types/src/log_rate_limit.rs
@@ -1,9 +1,10 @@
-//! How often something that every request could cause is told of.
+//! A rate limit for log lines that every request could cause.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Lets so many log lines, or groups of lines, through in a second and counts the others.
+/// Admits a fixed number of log lines, or groups of lines, per second and counts the suppressed
+/// ones.
 ///
 /// # Examples
 ///
@@ -20,38 +21,39 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LogRateLimit {
     per_second: u32,
-    second: Option<Instant>,
-    taken: u32,
-    left_out: u64,
+    window_start: Option<Instant>,
+    admitted: u32,
+    suppressed: u64,
 }
 
 impl LogRateLimit {
-    /// Lets so many through in a second.
+    /// Creates a limit of `per_second` log lines in each window of one second.
     #[must_use]
     pub fn new(per_second: u32) -> Self {
         Self {
             per_second,
-            second: None,
-            taken: 0,
-            left_out: 0,
+            window_start: None,
+            admitted: 0,
+            suppressed: 0,
         }
     }
 
-    /// Lets one through and gives how many were left out since the last; `None` if it is one too many.
+    /// Admits one log line and returns how many were suppressed since the last admitted one, or
+    /// returns `None` if the limit is reached.
     pub fn try_acquire(&mut self, now: Instant) -> Option<u64> {
-        let since = |at: Instant| now.saturating_duration_since(at);
+        let elapsed_since = |at: Instant| now.saturating_duration_since(at);
         if self
-            .second
-            .is_none_or(|at| since(at) >= Duration::from_secs(1))
+            .window_start
+            .is_none_or(|at| elapsed_since(at) >= Duration::from_secs(1))
         {
-            self.second = Some(now);
-            self.taken = 0;
+            self.window_start = Some(now);
+            self.admitted = 0;
         }
-        if self.taken >= self.per_second {
-            self.left_out += 1;
+        if self.admitted >= self.per_second {
+            self.suppressed += 1;
             return None;
         }
-        self.taken += 1;
-        Some(std::mem::take(&mut self.left_out))
+        self.admitted += 1;
+        Some(std::mem::take(&mut self.suppressed))
     }
 }
--- a/crates/types/src/lookup.rs
+++ b/crates/types/src/lookup.rs
@@ -1,4 +1,4 @@
-//! A caller's lookup as it arrives.
+//! A lookup request as received from a caller.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,27 +12,28 @@
 use crate::ids::LookupName;
 use crate::ids::SnapshotId;
 
-/// A caller's lookup, parsed and checked for form, but not against the configuration.
+/// A caller's lookup request, parsed but not yet checked against the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LookupRequest {
-    /// The front asked.
+    /// The front that declares the lookup.
     pub front: FrontName,
-    /// The lookup asked.
+    /// The name of the lookup.
     pub lookup: LookupName,
     /// The text to search for.
     pub query: Arc<str>,
-    /// For a keyed lookup: the key that names its shard.
+    /// For a keyed lookup: the key that determines its shard.
     pub key: Option<Arc<str>>,
     /// For an at-most-once lookup: the caller's idempotency key.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// The time the caller gives; the declared deadline if longer or absent.
+    /// The time that the caller allows; the declared deadline applies if this is longer or absent.
     pub deadline: Option<Duration>,
-    /// The newest snapshot the caller has seen; the answer is never from an older one.
+    /// The newest snapshot that the caller has seen; the answer is never from an older one.
     pub floor: Option<SnapshotId>,
 }
 
 impl LookupRequest {
-    /// Hashes what a backend server would run, equal for every resend through any VM.
+    /// Returns a hash of what a backend server would execute, equal for every resend through any
+    /// VM.
     #[must_use]
     pub fn fingerprint(&self) -> Fingerprint {
         Fingerprint::of(&[
--- a/crates/types/src/model.rs
+++ b/crates/types/src/model.rs
@@ -1,4 +1,5 @@
-//! What operators declare (fronts, lookups, teams) and what publishers map (groups, snapshots).
+//! The configuration that operators declare (fronts, lookups, teams) and the group maps that
+//! publishers write (backend servers, snapshots).
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,22 +23,22 @@
 use crate::size::Connections;
 use crate::size::Slots;
 
-/// One numbered version of the configuration; the whole of it lives in one platform object.
+/// One numbered version of the complete configuration, stored in one platform object.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
     /// The number of this version.
     pub version: ConfVersion,
-    /// The patch that made it; `None` for the first.
+    /// The patch that created it; `None` for the first version.
     pub patch: Option<PatchId>,
     /// The teams that may change fronts.
     pub teams: Vec<Team>,
-    /// The fronts declared.
+    /// The declared fronts.
     pub fronts: Vec<Front>,
 }
 
 impl Config {
-    /// Finds a lookup by front and name.
+    /// Returns a lookup by its front and name, if it is declared.
     #[must_use]
     pub fn lookup(&self, front: &FrontName, lookup: &LookupName) -> Option<&Lookup> {
         let f = self.fronts.iter().find(|f| f.name == *front)?;
@@ -45,46 +46,46 @@
     }
 }
 
-/// A team of operators, confined to its fronts.
+/// A team of operators, which may change only its own fronts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
     /// Its name.
     pub name: TeamName,
-    /// The SHA-256 of its key in hexadecimal; the key itself is never kept.
+    /// The SHA-256 of its key in hexadecimal; the key itself is never stored.
     pub key_sha256: String,
-    /// The fronts it may change; empty with `admin` for all.
+    /// The fronts that it may change; may be empty if `admin` is set, which allows all of them.
     #[serde(default)]
     pub fronts: Vec<FrontName>,
-    /// Whether it may change every front and the teams.
+    /// Whether it may change every front and the list of teams.
     #[serde(default)]
     pub admin: bool,
 }
 
-/// A search front.
+/// A search front: a named set of lookups.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Front {
     /// Its name.
     pub name: FrontName,
-    /// The lookups that callers may make.
+    /// The lookups that callers may request.
     pub lookups: Vec<Lookup>,
 }
 
-/// How a lookup reaches shards.
+/// Which shards a lookup queries.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::Display, strum::EnumString,
 )]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Scope {
-    /// Every shard of the snapshot is asked.
+    /// Every shard of the snapshot.
     Scatter,
-    /// Only the shard that holds the lookup's key is asked.
+    /// Only the shard that holds the lookup's key.
     Keyed,
 }
 
-/// What a lookup is promised.
+/// The guarantee that a lookup gives its callers.
 #[derive(
     Clone,
     Copy,
@@ -102,11 +103,11 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Promise {
-    /// Whole, or the best by the deadline with its coverage told.
+    /// A complete page, or the best page available at the deadline, with its coverage.
     Urgent,
-    /// Every shard, or a refusal that says which are missing.
+    /// A page that covers every shard, or a refusal that lists the missing ones.
     Complete,
-    /// Run at most once for an idempotency key; never hedged, never retried once sent.
+    /// Executed at most once for an idempotency key; never hedged, and never retried once sent.
     AtMostOnce,
 }
 
@@ -116,18 +117,19 @@
 pub struct Lookup {
     /// Its name.
     pub name: LookupName,
-    /// The group of services that it asks.
+    /// The group of services that it queries.
     pub group: GroupName,
-    /// How it reaches shards.
+    /// Which shards it queries.
     pub scope: Scope,
-    /// What it is promised.
+    /// The guarantee that it gives.
     pub promise: Promise,
-    /// The longest time an answer may take; a caller may ask for less.
+    /// The longest time that an answer may take; a caller may request a shorter one.
     #[serde(with = "humantime_serde")]
     pub deadline: Duration,
-    /// The most hits on a page.
+    /// The largest number of hits on a page.
     pub page: u32,
-    /// For an urgent lookup: answer early once so many hits are there, and say so.
+    /// For an urgent lookup: the number of hits at which it is answered early, with the answer
+    /// marked as such.
     #[serde(default)]
     pub enough_at: Option<u32>,
 }
@@ -138,15 +140,15 @@
 pub struct GroupMap {
     /// The group.
     pub group: GroupName,
-    /// Counts changes of this map; a larger revision replaces a smaller one.
+    /// The number of the map's revision; a larger revision replaces a smaller one.
     pub revision: u64,
     /// The backend servers.
     pub servers: Vec<Arc<ServerDecl>>,
-    /// The snapshots on offer, any order.
+    /// The published snapshots, in any order.
     pub snapshots: Vec<Arc<SnapshotMap>>,
 }
 
-/// A backend server as its publisher declares it.
+/// A backend server as declared by its publisher.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerDecl {
@@ -154,23 +156,23 @@
     pub name: ServerName,
     /// The service whose shard it replicates.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address that it listens on.
     pub addr: SocketAddr,
-    /// Where it stands.
+    /// The data centre that it is in.
     pub data_centre: DataCentre,
-    /// Lookups it runs at the same time.
+    /// The number of lookups that it executes at the same time.
     pub slots: Slots,
-    /// Connections it accepts from everyone together.
+    /// The number of connections that it accepts from all clients together.
     pub connections: Connections,
 }
 
-/// One snapshot of a group's index; a repartition is a new snapshot.
+/// One snapshot of a group's index; repartitioning creates a new snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SnapshotMap {
-    /// Its number.
+    /// The number of the snapshot.
     pub id: SnapshotId,
-    /// Its shards, by number from 0 without gaps.
+    /// Its shards, numbered from 0 without gaps.
     pub shards: Vec<ShardMap>,
 }
 
@@ -180,6 +182,6 @@
 pub struct ShardMap {
     /// The shard.
     pub shard: ShardId,
-    /// The backend servers meant to hold it.
+    /// The backend servers assigned to hold it.
     pub servers: SmallVec<[ServerName; 4]>,
 }
--- a/crates/types/src/size.rs
+++ b/crates/types/src/size.rs
@@ -10,7 +10,7 @@
 use crate::error::ErrorKind;
 
 /// Declares a count newtype with `Display` and `FromStr`.
-macro_rules! count {
+macro_rules! declare_count {
     ($(#[$doc:meta])* $name:ident, $what:literal) => {
         $(#[$doc])*
         #[derive(
@@ -38,16 +38,16 @@
     };
 }
 
-count!(
-    /// Lookups that a backend server runs at the same time.
+declare_count!(
+    /// The number of lookups that a backend server executes at the same time.
     Slots, "number of slots"
 );
-count!(
-    /// Open connections to a backend server.
+declare_count!(
+    /// A number of open connections, such as those to a backend server.
     Connections, "number of connections"
 );
 
-/// Events a second.
+/// A rate of events per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PerSecond(pub f64);
@@ -62,15 +62,15 @@
     type Err = Error;
 
     fn from_str(s: &str) -> Result<Self, Error> {
-        let bad = || {
+        let invalid = || {
             Error::new(ErrorKind::BadInput, format!("`{s:.80}` is not a rate"))
                 .with_hint("write it as `25/s`")
         };
-        let n: f64 = s.trim_end_matches("/s").parse().map_err(|_| bad())?;
+        let n: f64 = s.trim_end_matches("/s").parse().map_err(|_| invalid())?;
         if n.is_finite() && n >= 0.0 {
             Ok(Self(n))
         } else {
-            Err(bad())
+            Err(invalid())
         }
     }
 }
@@ -80,12 +80,12 @@
 #[serde(try_from = "String", into = "String")]
 pub struct Bytes(pub u64);
 
-/// The units of [`Bytes`], largest first.
-const UNITS: [(&str, u64); 3] = [("GB", 1 << 30), ("MB", 1 << 20), ("KB", 1 << 10)];
+/// The suffixes of [`Bytes`] and their sizes in bytes, largest first.
+const BYTE_UNITS: [(&str, u64); 3] = [("GB", 1 << 30), ("MB", 1 << 20), ("KB", 1 << 10)];
 
 impl fmt::Display for Bytes {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match UNITS
+        match BYTE_UNITS
             .iter()
             .find(|u| self.0 != 0 && self.0.is_multiple_of(u.1))
         {
@@ -99,16 +99,16 @@
     type Err = Error;
 
     fn from_str(s: &str) -> Result<Self, Error> {
-        let bad = || {
+        let invalid = || {
             Error::new(ErrorKind::BadInput, format!("`{s:.80}` is not a size"))
                 .with_hint("write it as `64KB`, `1MB` or a plain number of bytes")
         };
-        let (digits, unit) = UNITS
+        let (digits, unit) = BYTE_UNITS
             .iter()
             .find_map(|(u, size)| s.strip_suffix(u).map(|d| (d, *size)))
             .unwrap_or((s, 1));
-        let n: u64 = digits.trim().parse().map_err(|_| bad())?;
-        n.checked_mul(unit).map(Self).ok_or_else(bad)
+        let n: u64 = digits.trim().parse().map_err(|_| invalid())?;
+        n.checked_mul(unit).map(Self).ok_or_else(invalid)
     }
 }
 
--- a/crates/types/src/stored.rs
+++ b/crates/types/src/stored.rs
@@ -1,26 +1,27 @@
-//! What a call to the platform's object service gave a decision.
+//! The result of a call to the platform's object service, as state machines receive it.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A platform object as read.
+/// A platform object as it was read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stored {
-    /// Its version.
+    /// The version of the object.
     pub version: u64,
-    /// Its content.
+    /// The content of the object.
     pub content: Vec<u8>,
 }
 
-/// Why a call to the platform gave nothing.
+/// Why a call to the platform failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::Display)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum StoreError {
-    /// Another write was first: 409.
+    /// Another write was first (status 409).
     Conflict,
-    /// The call provably had no effect and never will: refused with 429 or 503, or never sent.
+    /// The call had no effect and will have none: it was refused with status 429 or 503, or never
+    /// sent.
     NotDone,
-    /// The answer is lost; a write may have taken effect or may yet.
+    /// The response was lost; a write may have taken effect, or may still do so.
     Lost,
 }
--- a/crates/types/src/vm.rs
+++ b/crates/types/src/vm.rs
@@ -1,4 +1,4 @@
-//! A VM as the platform lists it.
+//! An entry of the platform's list of VMs.
 
 use std::net::SocketAddr;
 
@@ -9,22 +9,22 @@
 use crate::ids::Region;
 use crate::ids::VmId;
 
-/// A VM as the platform's lagging list shows it, and as VMs tell each other of it.
+/// A VM as shown by the platform's list, which lags behind, and as VMs report it to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmEntry {
-    /// Its name.
+    /// The VM's name.
     pub vm: VmId,
-    /// Where it stands.
+    /// The data centre that it is in.
     pub data_centre: DataCentre,
     /// The region of that data centre.
     pub region: Region,
-    /// Where it takes messages from other VMs.
+    /// The address that receives messages from other VMs.
     pub mesh: SocketAddr,
-    /// Where it takes callers' lookups.
+    /// The address that receives callers' lookups.
     pub callers: SocketAddr,
-    /// Where it takes operators' calls.
+    /// The address that receives operators' calls.
     pub admin: SocketAddr,
-    /// Whether the platform says that it is leaving.
+    /// Whether the platform reports that the VM is leaving.
     #[serde(default)]
     pub leaving: bool,
 }
--- a/crates/types/tests/log_rate_limit.rs
+++ b/crates/types/tests/log_rate_limit.rs
@@ -1,31 +1,31 @@
-//! How often something is told of.
+//! The rate limit for log lines.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use gs_types::log_rate_limit::LogRateLimit;
 
-/// Guards against a log that grows with the requests that fail.
+/// Prevents a log that grows with the number of failing requests.
 #[test]
-fn no_more_than_so_many_are_let_through_in_a_second() {
-    let begun = Instant::now();
+fn no_more_lines_than_the_limit_are_admitted_per_second() {
+    let start = Instant::now();
     let mut limit = LogRateLimit::new(3);
-    let times = (0..1000).map(|n| begun + Duration::from_millis(n));
-    let taken = times
+    let times = (0..1000).map(|n| start + Duration::from_millis(n));
+    let admitted = times
         .filter(|now| limit.try_acquire(*now).is_some())
         .count();
-    assert_eq!(taken, 3);
+    assert_eq!(admitted, 3);
 }
 
-/// Guards against a log that does not tell how much it lacks.
+/// Prevents a log that does not report how many lines were suppressed.
 #[test]
-fn what_was_left_out_is_told_once() {
-    let begun = Instant::now();
-    let later = begun + Duration::from_secs(1);
+fn suppressed_lines_are_reported_once() {
+    let start = Instant::now();
+    let later = start + Duration::from_secs(1);
     let mut limit = LogRateLimit::new(1);
-    assert_eq!(limit.try_acquire(begun), Some(0));
+    assert_eq!(limit.try_acquire(start), Some(0));
     assert_eq!(
-        [limit.try_acquire(begun), limit.try_acquire(begun)],
+        [limit.try_acquire(start), limit.try_acquire(start)],
         [None, None]
     );
     assert_eq!(limit.try_acquire(later), Some(2));
--- a/crates/types/tests/parse.rs
+++ b/crates/types/tests/parse.rs
@@ -1,4 +1,4 @@
-//! Ids and sizes print and parse back, and refuse what breaks a rule.
+//! Ids and sizes parse back from their text form, and malformed texts are rejected.
 
 use gs_types::prelude::*;
 use rstest::rstest;
@@ -24,7 +24,7 @@
 
 #[rstest]
 #[case("1700000000-abcdef12", 1_700_000_000)]
-fn key_tells_when_it_was_minted(#[case] s: &str, #[case] at: u64) {
+fn key_contains_its_minting_time(#[case] s: &str, #[case] at: u64) {
     let k: IdempotencyKey = s.parse().expect("well formed");
     assert_eq!((k.minted(), k.to_string().as_str()), (at, s));
 }
