--- a/crates/chart/src/file.rs
+++ b/crates/chart/src/file.rs
@@ -1,4 +1,4 @@
-//! The form of a chart file.
+//! The format of a chart file.
 
 use std::collections::BTreeMap;
 
@@ -6,33 +6,33 @@
 use gs_types::error::ErrorKind;
 use serde::Deserialize;
 
-/// A chart as its file spells it.
+/// The content of a chart file, before its names are checked.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct ChartFile {
     pub(crate) name: String,
     pub(crate) initial: String,
-    pub(crate) state: Vec<StateFile>,
+    pub(crate) state: Vec<StateTable>,
 }
 
 impl ChartFile {
-    /// Reads a file's text; its rules are the chart's.
+    /// Parses the text of a chart file; [`Chart::parse`](crate::Chart::parse) checks the rules.
     pub(crate) fn parse(text: &str) -> Result<Self, Error> {
         toml::from_str(text)
             .map_err(|e| Error::new(ErrorKind::BadInput, e.to_string()).at("read chart"))
     }
 }
 
-/// One state of a chart file.
+/// The table of one state in a chart file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(crate) struct StateFile {
+pub(crate) struct StateTable {
     pub(crate) name: String,
     #[serde(default)]
     pub(crate) on: BTreeMap<String, String>,
     #[serde(default)]
     pub(crate) ignore: Vec<String>,
-    /// A final state answers every event by staying.
+    /// Whether the state is final, which means that it lists no events and that none changes it.
     #[serde(default)]
     pub(crate) last: bool,
 }
--- a/crates/chart/src/lib.rs
+++ b/crates/chart/src/lib.rs
@@ -1,8 +1,9 @@
-//! Interprets state charts that are kept in TOML files.
+//! State machine definitions (charts) that are read from TOML files.
 //!
-//! A chart names its states, and for each state what every event does there: move to a state, or
-//! nothing (`ignore`). [`Chart::parse`] refuses a chart with a state that cannot be reached or an
-//! event that some state leaves unanswered, so a missing case is found at start and not in a fault.
+//! A chart lists its states and, for each state, the effect of every event: a transition to a state
+//! (`on`), or none (`ignore`). [`Chart::parse`] rejects a chart in which a state is unreachable or
+//! in which a state lacks an event, so a missing case is found at startup and not when the event
+//! occurs.
 //!
 //! ```
 //! use gs_chart::Chart;
--- a/crates/types/src/answer.rs
+++ b/crates/types/src/answer.rs
@@ -144,7 +144,7 @@
     NoSuchLookup,
     /// The request does not match the declared lookup, for example because its key is missing.
     BadRequest,
-    /// Too many requests are in flight for this lookup to end in time.
+    /// Too much work is in flight for this lookup to end in time.
     Overload,
     /// The deadline passed before anything was sent.
     TooLate,
