--- a/crates/settings/src/words.rs
+++ b/crates/settings/src/choices.rs
@@ -1,9 +1,9 @@
-//! Settings that are one of a few words.
+//! Settings whose value is one of a few words.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Which set of decisions runs.
+/// The policy for decisions on lookups.
 #[derive(
     Clone,
     Copy,
@@ -20,14 +20,14 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Policy {
-    /// The policy that the measurements chose.
+    /// The default policy, chosen by measurements.
     #[default]
     Chosen,
-    /// The plain policy that measurements compare with.
+    /// The simple baseline policy that measurements compare the default with.
     Baseline,
 }
 
-/// How much is logged.
+/// The level of detail of the log; each level includes the ones before it.
 #[derive(
     Clone,
     Copy,
@@ -47,14 +47,14 @@
 pub enum LogLevel {
     /// Nothing.
     Off,
-    /// Only what needs a person.
+    /// Conditions that need an operator.
     Error,
-    /// And what is out of the ordinary.
+    /// Unusual conditions.
     Warn,
-    /// And what changes.
+    /// Changes of state.
     #[default]
     Info,
-    /// And what each decision was.
+    /// The result of each decision.
     Debug,
     /// Everything.
     Trace,
--- a/crates/settings/src/checks.rs
+++ b/crates/settings/src/cross_checks.rs
@@ -1,4 +1,4 @@
-//! What two keys together must satisfy.
+//! Checks of keys whose values depend on each other.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use crate::reader::Reader;
 use crate::settings::Settings;
 
-/// Gathers a fault for each pair of keys that contradict each other.
+/// Records a fault for each pair of keys that contradict each other.
 pub(crate) fn check(s: &Settings, r: &mut Reader<'_>) {
     check_shutdown(s, r);
     check_claims(s, r);
@@ -23,54 +23,54 @@
     if s.shutdown.deadline > s.shutdown.lag {
         return;
     }
-    let name = either(r, "shutdown", "deadline", "lag");
+    let name = given_key(r, "shutdown", "deadline", "lag");
     let f = Fault::new(
         FaultKind::Clash,
         "`shutdown.deadline` is not longer than `shutdown.lag`",
         "make the deadline longer than the lag and the longest lookup together",
     );
-    clash(r, f, "shutdown", name);
+    add_clash(r, f, "shutdown", name);
 }
 
 fn check_claims(s: &Settings, r: &mut Reader<'_>) {
     if s.claims.window > s.claims.skew {
         return;
     }
-    let name = either(r, "claims", "skew", "window");
+    let name = given_key(r, "claims", "skew", "window");
     let f = Fault::new(
         FaultKind::Clash,
         "`claims.window` is not longer than `claims.skew`",
         "make the window longer than the time in which callers resend",
     );
-    clash(r, f, "claims", name);
+    add_clash(r, f, "claims", name);
 }
 
 fn check_bootstrap(r: &mut Reader<'_>) {
-    let there = |name| r.place("bootstrap", name).is_some();
-    let (lone, other) = match (there("team"), there("key-sha256")) {
+    let is_given = |name| r.span("bootstrap", name).is_some();
+    let (given, other) = match (is_given("team"), is_given("key-sha256")) {
         (true, false) => ("team", "key-sha256"),
         (false, true) => ("key-sha256", "team"),
         _ => return,
     };
     let f = Fault::new(
         FaultKind::Clash,
-        format!("`bootstrap.{lone}` stands without `bootstrap.{other}`"),
+        format!("`bootstrap.{given}` is given without `bootstrap.{other}`"),
         "give both, or neither",
     );
-    clash(r, f, "bootstrap", lone);
+    add_clash(r, f, "bootstrap", given);
 }
 
-/// The key of the two that stands in the file; a default is never pointed at.
-fn either<'a>(r: &Reader<'_>, section: &str, a: &'a str, b: &'a str) -> &'a str {
-    match r.place(section, a) {
+/// Returns `a` if the file gives it, otherwise `b`, so that a fault never points at a default.
+fn given_key<'a>(r: &Reader<'_>, section: &str, a: &'a str, b: &'a str) -> &'a str {
+    match r.span(section, a) {
         Some(_) => a,
         None => b,
     }
 }
 
-fn clash(r: &mut Reader<'_>, f: Fault, section: &str, name: &str) {
-    let place = r.place(section, name).unwrap_or(0..0);
-    r.fault(f.at(place, "this value"));
+fn add_clash(r: &mut Reader<'_>, f: Fault, section: &str, name: &str) {
+    let span = r.span(section, name).unwrap_or(0..0);
+    r.add_fault(f.at(span, "this value"));
 }
 
 fn check_ports(r: &mut Reader<'_>, a: (&str, SocketAddr), b: (&str, SocketAddr)) {
@@ -81,7 +81,7 @@
             format!("`listen.{}` and `listen.{}` are the same port", a.0, b.0),
             "give each its own port",
         );
-        clash(r, f, "listen", b.0);
+        add_clash(r, f, "listen", b.0);
     }
 }
 
@@ -93,6 +93,6 @@
             "`source.ip` and `platform.addr` are of different IP versions",
             "give both as IPv4 or both as IPv6",
         );
-        clash(r, f, "source", "ip");
+        add_clash(r, f, "source", "ip");
     }
 }
--- a/crates/settings/src/faults.rs
+++ b/crates/settings/src/faults.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a settings file: every fault at once, each with its place.
+//! The report of all faults in a settings file, each with its span in the file.
 
 use std::fmt;
 use std::ops::Range;
@@ -8,45 +8,45 @@
 use miette::NamedSource;
 use miette::SourceCode;
 
-/// What sort of fault it is, for programs.
+/// The kind of a fault, for programs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum FaultKind {
     /// The file does not exist.
     NoFile,
-    /// The file exists and cannot be read.
+    /// The file exists but cannot be read.
     Unreadable,
-    /// The file is larger than any settings file can be.
+    /// The file is larger than [`FILE_MAX_BYTES`](crate::FILE_MAX_BYTES).
     TooLarge,
-    /// The file holds bytes that are not UTF-8.
+    /// The file contains bytes that are not UTF-8.
     NotUtf8,
-    /// The text is not TOML.
+    /// The text is not valid TOML.
     Syntax,
-    /// The key stands twice.
+    /// The key or section is given twice.
     Duplicate,
-    /// No such section or key exists.
+    /// The section or key does not exist.
     UnknownKey,
-    /// A key without a default is not there.
+    /// A key without a default is missing.
     Missing,
-    /// The value is of another TOML type than the key wants.
+    /// The value has a TOML type that the key does not accept.
     WrongType,
-    /// The value does not read, such as a duration without its unit.
+    /// The value does not parse, such as a duration without its unit.
     BadValue,
-    /// The value reads and is too small or too large.
+    /// The value parses but is too small or too large.
     OutOfRange,
     /// Two keys contradict each other.
     Clash,
 }
 
-/// One fault: its place, the reason and the hint.
+/// One fault in a settings file, with its span, its reason and a hint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     kind: FaultKind,
     reason: String,
-    place: Option<(Range<usize>, String)>,
+    span: Option<(Range<usize>, String)>,
     hint: String,
-    /// Whether what stands at the place may be a secret.
-    hidden: bool,
+    /// Whether the text at the span may be a secret.
+    may_be_secret: bool,
 }
 
 impl Fault {
@@ -54,38 +54,38 @@
         Self {
             kind,
             reason: reason.into(),
-            place: None,
+            span: None,
             hint: hint.into(),
-            hidden: false,
+            may_be_secret: false,
         }
     }
 
-    /// Keeps what stands at the place out of the report.
+    /// Masks the text at the span in the report.
     #[must_use]
-    pub(crate) fn hide(mut self) -> Self {
-        self.hidden = true;
+    pub(crate) fn redact(mut self) -> Self {
+        self.may_be_secret = true;
         self
     }
 
     #[must_use]
-    pub(crate) fn at(mut self, place: Range<usize>, label: impl Into<String>) -> Self {
-        self.place = Some((place, label.into()));
+    pub(crate) fn at(mut self, span: Range<usize>, label: impl Into<String>) -> Self {
+        self.span = Some((span, label.into()));
         self
     }
 
-    /// What sort of fault it is.
+    /// Returns the kind of the fault.
     #[must_use]
     pub fn kind(&self) -> FaultKind {
         self.kind
     }
 
-    /// The bytes of the file that are at fault; `None` if the file as a whole is.
+    /// Returns the byte range that the fault points at; `None` if it concerns the whole file.
     #[must_use]
     pub fn span(&self) -> Option<Range<usize>> {
-        self.place.as_ref().map(|p| p.0.clone())
+        self.span.as_ref().map(|s| s.0.clone())
     }
 
-    /// How to fix it.
+    /// Returns the hint how to fix it.
     #[must_use]
     pub fn hint(&self) -> &str {
         &self.hint
@@ -110,39 +110,45 @@
     }
 
     fn labels(&self) -> Option<Box<dyn Iterator<Item = LabeledSpan> + '_>> {
-        let (place, label) = self.place.as_ref()?;
-        let span = LabeledSpan::new(Some(label.clone()), place.start, place.len());
+        let (span, label) = self.span.as_ref()?;
+        let span = LabeledSpan::new(Some(label.clone()), span.start, span.len());
         Some(Box::new(std::iter::once(span)))
     }
 }
 
-/// The most faults that a report shows; a broken file of the largest size has tens of thousands.
-const SHOWN: usize = 50;
+/// The largest number of faults in a report; a malformed file of the largest size has tens of
+/// thousands.
+const REPORTED_FAULTS_MAX: usize = 50;
 
-/// Every fault found in a settings file, up to a bound; never empty.
+/// The faults found in a settings file: at least one, and not more than a report shows.
 pub struct Faults {
     source: Box<NamedSource<String>>,
     faults: Vec<Fault>,
-    found: usize,
+    /// The number of faults found, including those beyond the limit of the report.
+    found_count: usize,
 }
 
 impl Faults {
     pub(crate) fn new(name: &str, text: &str, mut faults: Vec<Fault>) -> Self {
         let mut text = text.to_owned();
-        for place in faults.iter().filter(|f| f.hidden).filter_map(Fault::span) {
-            text.replace_range(place.clone(), &"*".repeat(place.len()));
+        for span in faults
+            .iter()
+            .filter(|f| f.may_be_secret)
+            .filter_map(Fault::span)
+        {
+            text.replace_range(span.clone(), &"*".repeat(span.len()));
         }
-        faults.sort_by_key(|f| f.span().map_or(0, |p| p.start));
-        let found = faults.len();
-        faults.truncate(SHOWN);
+        faults.sort_by_key(|f| f.span().map_or(0, |s| s.start));
+        let found_count = faults.len();
+        faults.truncate(REPORTED_FAULTS_MAX);
         Self {
-            found,
+            found_count,
             source: Box::new(NamedSource::new(name, text)),
             faults,
         }
     }
 
-    /// The faults, in the order of their places.
+    /// Returns the reported faults in the order of their spans.
     #[must_use]
     pub fn faults(&self) -> &[Fault] {
         &self.faults
@@ -150,7 +156,7 @@
 }
 
 impl fmt::Debug for Faults {
-    /// Leaves the file's text out: a person may have put a secret in it.
+    /// Formats the report without the text of the file, which may contain a secret.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Faults")
             .field("name", &self.source.name())
@@ -161,11 +167,11 @@
 
 impl fmt::Display for Faults {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let n = self.found;
+        let n = self.found_count;
         let s = if n == 1 { "" } else { "s" };
         write!(f, "{}: {n} fault{s} in the settings", self.source.name())?;
-        if n > SHOWN {
-            write!(f, ", of which these are the first {SHOWN}")?;
+        if n > REPORTED_FAULTS_MAX {
+            write!(f, ", of which these are the first {REPORTED_FAULTS_MAX}")?;
         }
         Ok(())
     }
--- a/crates/settings/src/fraction.rs
+++ b/crates/settings/src/fraction.rs
@@ -1,4 +1,4 @@
-//! A part of a whole, such as a budget of extra attempts.
+//! A fraction from 0 to 1, such as the budget of extra attempts.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,17 +6,17 @@
 use gs_types::prelude::*;
 use serde::Serialize;
 
-/// A number from 0 to 1, such as 0.03 for three extra attempts in a hundred.
+/// A fraction from 0 to 1, such as 0.03 for three extra attempts per hundred.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Serialize)]
 #[serde(transparent)]
 pub struct Fraction(f64);
 
 impl Fraction {
-    /// Takes a number from 0 to 1.
+    /// Creates a fraction from a number from 0 to 1.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::BadInput`] outside of it or if it is not a number.
+    /// [`ErrorKind::BadInput`] if `n` is outside this range or NaN.
     pub fn new(n: f64) -> Result<Self> {
         if (0.0..=1.0).contains(&n) {
             return Ok(Self(n));
@@ -27,7 +27,7 @@
         ))
     }
 
-    /// The number.
+    /// Returns the fraction as a number.
     #[must_use]
     pub fn value(self) -> f64 {
         self.0
--- a/crates/settings/src/keys.rs
+++ b/crates/settings/src/keys.rs
@@ -1,4 +1,5 @@
-//! The table of every key, with its kind, range and default; docs/SETTINGS.md is drawn from it.
+//! The table of all keys with their kinds, ranges and defaults, from which docs/SETTINGS.md is
+//! generated.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,15 +9,15 @@
 /// One key of the settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Key {
-    /// The section it stands in.
+    /// The section that it belongs to.
     pub section: &'static str,
-    /// Its name there.
+    /// Its name within the section.
     pub name: &'static str,
-    /// What it takes.
+    /// The kind and range of its value.
     pub kind: ValueKind,
-    /// What happens without it.
+    /// Whether it may be omitted, and its default.
     pub presence: Presence,
-    /// What it does.
+    /// What it sets, for the documentation.
     pub description: &'static str,
 }
 
@@ -26,21 +27,21 @@
     }
 }
 
-/// What happens without a key.
+/// The effect of omitting a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
-    /// The settings are refused.
+    /// The settings are rejected.
     Required,
-    /// This value, in TOML's notation, takes its place.
+    /// This value, in TOML syntax, applies.
     Default(&'static str),
-    /// The feature is off or the system chooses, as the key's text says.
+    /// The feature is off or the system chooses, as the key's description says.
     Unset,
 }
 
-/// What a key takes, with its range; both ends belong to it.
+/// The kind of a key's value, with its range, of which both ends are included.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ValueKind {
-    /// A name of a VM, data centre or region.
+    /// The name of a VM, data centre, region or team.
     Name,
     /// An IP number and a port.
     Address,
@@ -48,7 +49,7 @@
     Ip,
     /// A SHA-256 in hexadecimal.
     Hash,
-    /// The path of a file; a relative one starts at the settings file's directory.
+    /// The path of a file; a relative one is resolved against the settings file's directory.
     Path,
     /// A duration with its unit.
     Duration(Duration, Duration),
@@ -56,7 +57,7 @@
     Size(Bytes, Bytes),
     /// A whole number.
     Count(u64, u64),
-    /// Events a second.
+    /// A rate of events per second.
     Rate(f64, f64),
     /// A fraction.
     Fraction(f64, f64),
@@ -65,9 +66,9 @@
 }
 
 impl ValueKind {
-    /// How a value is written.
+    /// Returns how a value is written, for fault reports.
     #[must_use]
-    pub fn form(self) -> &'static str {
+    pub fn syntax(self) -> &'static str {
         match self {
             ValueKind::Name => "a name in quotes, such as \"hobart-1\"",
             ValueKind::Address => "an IP number and a port in quotes, such as \"10.0.0.1:8080\"",
@@ -83,9 +84,9 @@
         }
     }
 
-    /// The unit of a value, for the docs.
+    /// Returns a short name of the kind, for the documentation.
     #[must_use]
-    pub fn unit(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             ValueKind::Name => "name",
             ValueKind::Address => "IP number and port",
@@ -101,7 +102,7 @@
         }
     }
 
-    /// The values accepted, for the docs and the reports.
+    /// Returns the accepted values, for the documentation and fault reports.
     #[must_use]
     pub fn range(self) -> String {
         match self {
@@ -149,11 +150,11 @@
     }
 }
 
-const HOUR: u64 = 3600;
+const HOUR_SECS: u64 = 3600;
 const KB: u64 = 1 << 10;
 const MB: u64 = 1 << 20;
 
-/// Every key, in the order of the docs.
+/// All keys, in the order of the documentation.
 #[rustfmt::skip]
 pub const KEYS: &[Key] = &[
     key("vm", "name", ValueKind::Name, Presence::Required,
@@ -211,7 +212,7 @@
         "The time between two looks at a backend server's health and load endpoint."),
     key("servers", "connect-timeout", ValueKind::Duration(ms(1), secs(10)), Presence::Default("\"100ms\""),
         "The longest that a new connection to a backend server may take."),
-    key("claims", "window", ValueKind::Duration(secs(60), secs(30 * 24 * HOUR)), Presence::Default("\"24h\""),
+    key("claims", "window", ValueKind::Duration(secs(60), secs(30 * 24 * HOUR_SECS)), Presence::Default("\"24h\""),
         "How old an idempotency key may be; an older one is refused for ever."),
     key("claims", "skew", ValueKind::Duration(ms(0), secs(600)), Presence::Default("\"30s\""),
         "How far the clocks of callers and VMs may differ; shorter than `window`."),
@@ -228,13 +229,13 @@
         "Worker threads."),
 ];
 
-/// Finds a key.
-pub(crate) fn find(section: &str, name: &str) -> Option<&'static Key> {
+/// Returns a key by its section and name.
+pub(crate) fn find_key(section: &str, name: &str) -> Option<&'static Key> {
     KEYS.iter().find(|k| k.section == section && k.name == name)
 }
 
-/// The sections, each once, in the order of the table.
-pub(crate) fn sections() -> Vec<&'static str> {
+/// Returns the names of the sections, each once, in the order of [`KEYS`].
+pub(crate) fn section_names() -> Vec<&'static str> {
     let mut out: Vec<&'static str> = KEYS.iter().map(|k| k.section).collect();
     out.dedup();
     out
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! The settings of one process: a TOML file, read and checked whole at start.
+//! The settings of one process, read from a TOML file and checked completely at startup.
 //!
-//! [`load()`] gives [`Settings`] or a [`Faults`] report that points at every place at fault, says why
-//! it is one and how to fix it. Keys, units, ranges and defaults stand in one table, [`KEYS`], that
-//! the reader, the docs and the fault reports share.
+//! [`load()`] returns [`Settings`], or a [`Faults`] report that gives the position, the reason and
+//! a hint for every fault. Keys, units, ranges and defaults are defined in one table, [`KEYS`],
+//! which the reader, the documentation and the fault reports share.
 //!
 //! ```no_run
 //! let settings = gs_settings::load("vm.toml".as_ref())?;
@@ -10,7 +10,8 @@
 //! # Ok::<(), gs_settings::Faults>(())
 //! ```
 
-mod checks;
+mod choices;
+mod cross_checks;
 mod faults;
 mod fraction;
 mod key_hash;
@@ -21,8 +22,9 @@
 mod sections;
 mod settings;
 mod values;
-mod words;
 
+pub use choices::LogLevel;
+pub use choices::Policy;
 pub use faults::Fault;
 pub use faults::FaultKind;
 pub use faults::Faults;
@@ -51,5 +53,3 @@
 pub use settings::Source;
 pub use settings::Tuning;
 pub use settings::Vm;
-pub use words::LogLevel;
-pub use words::Policy;
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Takes values out of a parsed file and gathers the faults.
+//! Reads values from a parsed settings file and collects the faults.
 
 use std::ops::Range;
 use std::path::Path;
@@ -14,21 +14,21 @@
 use crate::keys::KEYS;
 use crate::keys::Key;
 use crate::keys::Presence;
-use crate::values::Problem;
+use crate::values::ValueError;
 
-/// The Jaro-Winkler similarity from which on a section or key is offered as what was meant.
+/// The smallest Jaro-Winkler similarity at which a known section or key is suggested.
 const SIMILARITY_MIN: f64 = 0.75;
 
-/// The most characters of an unknown name that are compared; no key is longer.
-const COMPARED_MAX: usize = 64;
+/// The largest number of characters of an unknown name that are compared; no key is longer.
+const COMPARED_CHARS_MAX: usize = 64;
 
-/// Reads values by section and name.
+/// Reads values by section and key, and collects a fault for each that is missing or invalid.
 pub(crate) struct Reader<'i> {
     table: DeTable<'i>,
     dir: PathBuf,
     faults: Vec<Fault>,
-    /// Sections already reported as missing.
-    absent: Vec<&'static str>,
+    /// The sections already reported as missing.
+    missing_sections: Vec<&'static str>,
 }
 
 impl<'i> Reader<'i> {
@@ -37,11 +37,11 @@
             table,
             dir: dir.to_owned(),
             faults: Vec::new(),
-            absent: Vec::new(),
+            missing_sections: Vec::new(),
         }
     }
 
-    pub(crate) fn fault(&mut self, f: Fault) {
+    pub(crate) fn add_fault(&mut self, f: Fault) {
         self.faults.push(f);
     }
 
@@ -49,13 +49,13 @@
         self.faults
     }
 
-    /// The path with the settings file's directory before it, if it is relative.
+    /// Resolves a relative path against the directory of the settings file.
     pub(crate) fn resolve(&self, path: &str) -> PathBuf {
         self.dir.join(path)
     }
 
-    /// Where a key's value stands.
-    pub(crate) fn place(&self, section: &str, name: &str) -> Option<Range<usize>> {
+    /// Returns the span of a key's value in the file, if it is given.
+    pub(crate) fn span(&self, section: &str, name: &str) -> Option<Range<usize>> {
         self.value(section, name).map(Spanned::span)
     }
 
@@ -64,53 +64,54 @@
         table.get(name)
     }
 
-    /// Reads one key; `None` without it or with a fault, which is gathered.
-    pub(crate) fn take<T>(
+    /// Reads one key; returns `None` if it is missing or invalid, and records a fault if it is
+    /// invalid or required.
+    pub(crate) fn read<T>(
         &mut self,
         section: &'static str,
         name: &'static str,
-        parse: impl FnOnce(&DeValue<'i>, &Key) -> Result<T, Problem>,
+        parse: impl FnOnce(&DeValue<'i>, &Key) -> Result<T, ValueError>,
     ) -> Option<T> {
-        let key = keys::find(section, name)?;
+        let key = keys::find_key(section, name)?;
         let Some(value) = self.value(section, name) else {
             self.report_missing(key);
             return None;
         };
         match parse(value.get_ref(), key) {
             Ok(t) => Some(t),
-            Err(p) => {
-                let place = value.span();
-                self.fault(p.into_fault(key, place));
+            Err(e) => {
+                let span = value.span();
+                self.add_fault(e.into_fault(key, span));
                 None
             }
         }
     }
 
-    /// Gathers the fault of a key that has no default and is not there; a missing section is one
-    /// fault, whatever it should have held.
+    /// Records a fault if the missing key is required; a missing section is one fault, however many
+    /// required keys it has.
     fn report_missing(&mut self, key: &Key) {
         if key.presence != Presence::Required {
             return;
         }
         let Some(section) = self.table.get(key.section) else {
-            if !self.absent.contains(&key.section) {
-                self.absent.push(key.section);
-                self.fault(missing_section(key.section));
+            if !self.missing_sections.contains(&key.section) {
+                self.missing_sections.push(key.section);
+                self.add_fault(missing_section(key.section));
             }
             return;
         };
         if section.get_ref().is_table() {
-            let place = section.span();
-            self.fault(missing(key).at(place, format!("no `{}` here", key.name)));
+            let span = section.span();
+            self.add_fault(missing_key(key).at(span, format!("no `{}` here", key.name)));
         }
     }
 
-    /// Gathers a fault for each section and key that does not exist.
+    /// Records a fault for each section and key that does not exist.
     pub(crate) fn check_names(&mut self) {
         let mut found = Vec::new();
         for (name, value) in &self.table {
             let section = name.get_ref();
-            if !keys::sections().contains(&section.as_ref()) {
+            if !keys::section_names().contains(&section.as_ref()) {
                 found.push(unknown_section(section, name.span()));
                 continue;
             }
@@ -119,7 +120,7 @@
                 continue;
             };
             for key in table.keys() {
-                if keys::find(section, key.get_ref()).is_none() {
+                if keys::find_key(section, key.get_ref()).is_none() {
                     found.push(unknown_key(section, key.get_ref(), key.span()));
                 }
             }
@@ -128,20 +129,20 @@
     }
 }
 
-fn missing(key: &Key) -> Fault {
-    let (name, section, form) = (key.name, key.section, key.kind.form());
+fn missing_key(key: &Key) -> Fault {
+    let (name, section, syntax) = (key.name, key.section, key.kind.syntax());
     Fault::new(
         FaultKind::Missing,
         format!("`{key}` is missing and has no default"),
-        format!("add `{name} = …` under `[{section}]`: {form}"),
+        format!("add `{name} = …` under `[{section}]`: {syntax}"),
     )
 }
 
 fn missing_section(section: &str) -> Fault {
-    let wanted = KEYS
+    let required = KEYS
         .iter()
         .filter(|k| k.section == section && k.presence == Presence::Required);
-    let names: Vec<_> = wanted.map(|k| format!("`{}`", k.name)).collect();
+    let names: Vec<_> = required.map(|k| format!("`{}`", k.name)).collect();
     Fault::new(
         FaultKind::Missing,
         format!("the section `[{section}]` is missing"),
@@ -149,36 +150,36 @@
     )
 }
 
-fn value_for_section(section: &str, place: Range<usize>) -> Fault {
+fn value_for_section(section: &str, span: Range<usize>) -> Fault {
     Fault::new(
         FaultKind::WrongType,
         format!("`{section}` is a section, not a value"),
         format!("write `[{section}]` on a line of its own and its keys below"),
     )
-    .at(place, "a value stands here")
+    .at(span, "this is a value")
 }
 
-fn unknown_section(section: &str, place: Range<usize>) -> Fault {
-    let hint = match nearest(section, keys::sections().into_iter()) {
+fn unknown_section(section: &str, span: Range<usize>) -> Fault {
+    let hint = match most_similar(section, keys::section_names().into_iter()) {
         Some(s) => format!("did you mean `{s}`?"),
-        None => format!("the sections are {}", keys::sections().join(", ")),
+        None => format!("the sections are {}", keys::section_names().join(", ")),
     };
     Fault::new(
         FaultKind::UnknownKey,
         format!("there is no section `{section:.64}`"),
         hint,
     )
-    .at(place, "unknown section")
+    .at(span, "unknown section")
 }
 
-fn unknown_key(section: &str, name: &str, place: Range<usize>) -> Fault {
-    let here = || KEYS.iter().filter(|k| k.section == section);
+fn unknown_key(section: &str, name: &str, span: Range<usize>) -> Fault {
+    let siblings = || KEYS.iter().filter(|k| k.section == section);
     let elsewhere = KEYS.iter().find(|k| k.name == name);
-    let hint = match (nearest(name, here().map(|k| k.name)), elsewhere) {
-        (_, Some(k)) => format!("it stands under `[{}]`", k.section),
+    let hint = match (most_similar(name, siblings().map(|k| k.name)), elsewhere) {
+        (_, Some(k)) => format!("it belongs under `[{}]`", k.section),
         (Some(n), None) => format!("did you mean `{n}`?"),
         (None, None) => {
-            let names: Vec<_> = here().map(|k| k.name).collect();
+            let names: Vec<_> = siblings().map(|k| k.name).collect();
             format!("the keys of `[{section}]` are {}", names.join(", "))
         }
     };
@@ -187,11 +188,11 @@
         format!("there is no key `{name:.64}` in `[{section}]`"),
         hint,
     )
-    .at(place, "unknown key")
+    .at(span, "unknown key")
 }
 
-fn nearest(name: &str, known: impl Iterator<Item = &'static str>) -> Option<&'static str> {
-    let name: String = name.chars().take(COMPARED_MAX).collect();
+fn most_similar(name: &str, known: impl Iterator<Item = &'static str>) -> Option<&'static str> {
+    let name: String = name.chars().take(COMPARED_CHARS_MAX).collect();
     known
         .map(|k| (k, strsim::jaro_winkler(&name, k)))
         .filter(|(_, similarity)| *similarity >= SIMILARITY_MIN)
--- a/crates/settings/src/sections.rs
+++ b/crates/settings/src/sections.rs
@@ -1,5 +1,5 @@
-//! Reads each section; every key is read before the first missing one ends it, so that all faults
-//! are gathered.
+//! Reads each section of the settings. All keys of a section are read before a missing one ends the
+//! reading, so that every fault is collected.
 
 use std::fs::File;
 use std::io;
@@ -30,39 +30,41 @@
 use crate::settings::Tuning;
 use crate::settings::Vm;
 use crate::values;
-use crate::values::Problem;
+use crate::values::ValueError;
 
-/// What stands for the VM's name in the path of its trace.
-const VM_NAME: &str = "{vm}";
+/// The placeholder for the VM's name in the path of its trace.
+const VM_NAME_PLACEHOLDER: &str = "{vm}";
 /// The shortest secret accepted, in bytes.
-const SECRET_MIN: usize = 16;
+const SECRET_MIN_BYTES: usize = 16;
 /// The longest secret accepted, in bytes.
-const SECRET_MAX: usize = 4096;
-
-/// Reads every section; `None` if a key without a default is missing or at fault.
-pub(crate) fn read(r: &mut Reader<'_>) -> Option<Settings> {
-    let vm = vm(r);
-    let listen = listen(r);
-    let platform = platform(r);
-    let mesh = mesh(r);
+const SECRET_MAX_BYTES: usize = 4096;
+
+/// Reads all sections; returns `None` if a required key is missing or invalid.
+pub(crate) fn read_all(r: &mut Reader<'_>) -> Option<Settings> {
+    let vm = read_vm(r);
+    let listen = read_listen(r);
+    let platform = read_platform(r);
+    let mesh = read_mesh(r);
     let source = Source {
-        ip: r.take("source", "ip", values::ip),
+        ip: r.read("source", "ip", values::parse_ip),
     };
     let log = Log {
-        level: r.take("log", "level", values::choice).unwrap_or_default(),
+        level: r
+            .read("log", "level", values::parse_choice)
+            .unwrap_or_default(),
     };
     let record = Record {
         file: r
-            .take("record", "file", values::text)
+            .read("record", "file", values::parse_text)
             .map(|p| trace_path(r, &p, vm.as_ref())),
     };
-    let bootstrap = bootstrap(r);
-    let callers = callers(r);
-    let tuning = tuning(r);
-    let shutdown = shutdown(r);
-    let servers = servers(r);
-    let claims = claims(r);
-    let runtime = runtime(r);
+    let bootstrap = read_bootstrap(r);
+    let callers = read_callers(r);
+    let tuning = read_tuning(r);
+    let shutdown = read_shutdown(r);
+    let servers = read_servers(r);
+    let claims = read_claims(r);
+    let runtime = read_runtime(r);
     Some(Settings {
         vm: vm?,
         listen: listen?,
@@ -81,10 +83,10 @@
     })
 }
 
-fn vm(r: &mut Reader<'_>) -> Option<Vm> {
-    let name = r.take("vm", "name", values::parsed);
-    let data_centre = r.take("vm", "data-centre", values::parsed);
-    let region = r.take("vm", "region", values::parsed);
+fn read_vm(r: &mut Reader<'_>) -> Option<Vm> {
+    let name = r.read("vm", "name", values::parse_from_str);
+    let data_centre = r.read("vm", "data-centre", values::parse_from_str);
+    let region = r.read("vm", "region", values::parse_from_str);
     Some(Vm {
         name: name?,
         data_centre: data_centre?,
@@ -92,10 +94,10 @@
     })
 }
 
-fn listen(r: &mut Reader<'_>) -> Option<Listen> {
-    let callers = r.take("listen", "callers", values::address);
-    let admin = r.take("listen", "admin", values::address);
-    let mesh = r.take("listen", "mesh", values::address);
+fn read_listen(r: &mut Reader<'_>) -> Option<Listen> {
+    let callers = r.read("listen", "callers", values::parse_address);
+    let admin = r.read("listen", "admin", values::parse_address);
+    let mesh = r.read("listen", "mesh", values::parse_address);
     Some(Listen {
         callers: callers?,
         admin: admin?,
@@ -103,12 +105,12 @@
     })
 }
 
-fn platform(r: &mut Reader<'_>) -> Option<Platform> {
-    let addr = r.take("platform", "addr", values::address);
-    let timeout = r.take("platform", "timeout", values::duration);
-    let watch_wait = r.take("platform", "watch-wait", values::duration);
-    let reads = r.take("platform", "reads-per-second", values::rate);
-    let writes = r.take("platform", "writes-per-second", values::rate);
+fn read_platform(r: &mut Reader<'_>) -> Option<Platform> {
+    let addr = r.read("platform", "addr", values::parse_address);
+    let timeout = r.read("platform", "timeout", values::parse_duration);
+    let watch_wait = r.read("platform", "watch-wait", values::parse_duration);
+    let reads = r.read("platform", "reads-per-second", values::parse_rate);
+    let writes = r.read("platform", "writes-per-second", values::parse_rate);
     let platform = Platform::builder()
         .addr(addr?)
         .maybe_timeout(timeout)
@@ -119,11 +121,11 @@
     Some(platform)
 }
 
-fn mesh(r: &mut Reader<'_>) -> Option<Mesh> {
-    let heartbeat = r.take("mesh", "heartbeat", values::duration);
+fn read_mesh(r: &mut Reader<'_>) -> Option<Mesh> {
+    let heartbeat = r.read("mesh", "heartbeat", values::parse_duration);
     let dir = r.resolve("");
-    let (secret_file, secret) = r.take("mesh", "secret-file", |v, key| {
-        let path = dir.join(values::text(v, key)?);
+    let (secret_file, secret) = r.read("mesh", "secret-file", |v, key| {
+        let path = dir.join(values::parse_text(v, key)?);
         let secret = read_secret(&path)?;
         Ok((path, secret))
     })?;
@@ -135,30 +137,30 @@
     Some(mesh)
 }
 
-fn read_secret(path: &Path) -> Result<Secret, Problem> {
+fn read_secret(path: &Path) -> Result<Secret, ValueError> {
     let mut buf = Vec::new();
     File::open(path)
-        .and_then(|f| f.take(SECRET_MAX as u64 + 2).read_to_end(&mut buf))
-        .map_err(|e| cannot_read(path, &e))?;
+        .and_then(|f| f.take(SECRET_MAX_BYTES as u64 + 2).read_to_end(&mut buf))
+        .map_err(|e| unreadable_error(path, &e))?;
     let content = buf.trim_ascii_end();
-    if !(SECRET_MIN..=SECRET_MAX).contains(&content.len()) {
+    if !(SECRET_MIN_BYTES..=SECRET_MAX_BYTES).contains(&content.len()) {
         let n = content.len();
         let text = format!("names {}, whose secret has {n} bytes", path.display());
-        return Err(Problem::new(FaultKind::OutOfRange, text)
+        return Err(ValueError::new(FaultKind::OutOfRange, text)
             .with_hint("put 16 bytes to 4KB of random text into it, the same on every VM"));
     }
     Ok(Secret::new(content))
 }
 
-fn cannot_read(path: &Path, e: &io::Error) -> Problem {
+fn unreadable_error(path: &Path, e: &io::Error) -> ValueError {
     let path = path.display();
     match e.kind() {
-        io::ErrorKind::NotFound => Problem::new(
+        io::ErrorKind::NotFound => ValueError::new(
             FaultKind::NoFile,
             format!("names {path}, which does not exist"),
         )
         .with_hint("write the secret there; a relative path starts at the settings file"),
-        _ => Problem::new(
+        _ => ValueError::new(
             FaultKind::Unreadable,
             format!("names {path}, which cannot be read: {e}"),
         )
@@ -166,85 +168,86 @@
     }
 }
 
-fn callers(r: &mut Reader<'_>) -> Callers {
+fn read_callers(r: &mut Reader<'_>) -> Callers {
     Callers::builder()
-        .maybe_body(r.take("callers", "body", values::size))
-        .maybe_headers(r.take("callers", "headers", values::size))
-        .maybe_header_timeout(r.take("callers", "header-timeout", values::duration))
-        .maybe_body_timeout(r.take("callers", "body-timeout", values::duration))
-        .maybe_in_flight(r.take("callers", "in-flight", values::count32))
-        .maybe_connections(r.take("callers", "connections", connections))
+        .maybe_body(r.read("callers", "body", values::parse_size))
+        .maybe_headers(r.read("callers", "headers", values::parse_size))
+        .maybe_header_timeout(r.read("callers", "header-timeout", values::parse_duration))
+        .maybe_body_timeout(r.read("callers", "body-timeout", values::parse_duration))
+        .maybe_in_flight(r.read("callers", "in-flight", values::parse_count32))
+        .maybe_connections(r.read("callers", "connections", parse_connections))
         .build()
 }
 
-fn connections(v: &DeValue<'_>, key: &Key) -> Result<Connections, Problem> {
-    values::count32(v, key).map(Connections)
+fn parse_connections(v: &DeValue<'_>, key: &Key) -> Result<Connections, ValueError> {
+    values::parse_count32(v, key).map(Connections)
 }
 
-fn tuning(r: &mut Reader<'_>) -> Tuning {
+fn read_tuning(r: &mut Reader<'_>) -> Tuning {
     Tuning::builder()
-        .maybe_policy(r.take("tuning", "policy", values::choice))
-        .maybe_extra_budget(r.take("tuning", "extra-budget", values::fraction))
-        .maybe_seed(r.take("tuning", "seed", values::count))
+        .maybe_policy(r.read("tuning", "policy", values::parse_choice))
+        .maybe_extra_budget(r.read("tuning", "extra-budget", values::parse_fraction))
+        .maybe_seed(r.read("tuning", "seed", values::parse_count))
         .build()
 }
 
-fn shutdown(r: &mut Reader<'_>) -> Shutdown {
+fn read_shutdown(r: &mut Reader<'_>) -> Shutdown {
     let default = Shutdown::default();
     Shutdown {
         lag: r
-            .take("shutdown", "lag", values::duration)
+            .read("shutdown", "lag", values::parse_duration)
             .unwrap_or(default.lag),
         deadline: r
-            .take("shutdown", "deadline", values::duration)
+            .read("shutdown", "deadline", values::parse_duration)
             .unwrap_or(default.deadline),
     }
 }
 
-fn servers(r: &mut Reader<'_>) -> Servers {
+fn read_servers(r: &mut Reader<'_>) -> Servers {
     let default = Servers::default();
     Servers {
         poll: r
-            .take("servers", "poll", values::duration)
+            .read("servers", "poll", values::parse_duration)
             .unwrap_or(default.poll),
         connect_timeout: r
-            .take("servers", "connect-timeout", values::duration)
+            .read("servers", "connect-timeout", values::parse_duration)
             .unwrap_or(default.connect_timeout),
     }
 }
 
-fn claims(r: &mut Reader<'_>) -> Claims {
+fn read_claims(r: &mut Reader<'_>) -> Claims {
     let default = Claims::default();
     Claims {
         window: r
-            .take("claims", "window", values::duration)
+            .read("claims", "window", values::parse_duration)
             .unwrap_or(default.window),
         skew: r
-            .take("claims", "skew", values::duration)
+            .read("claims", "skew", values::parse_duration)
             .unwrap_or(default.skew),
     }
 }
 
-/// The trace's path, so that VMs can share a line of settings and a directory.
+/// Returns the path of the trace with the VM's name inserted, so that VMs can share a setting and a
+/// directory.
 fn trace_path(r: &Reader<'_>, path: &str, vm: Option<&Vm>) -> PathBuf {
     let name = vm.map_or("", |vm| vm.name.as_str());
-    r.resolve(&path.replace(VM_NAME, name))
+    r.resolve(&path.replace(VM_NAME_PLACEHOLDER, name))
 }
 
-fn bootstrap(r: &mut Reader<'_>) -> Option<Bootstrap> {
-    let team = r.take("bootstrap", "team", values::parsed);
-    let key_sha256 = r.take("bootstrap", "key-sha256", values::parsed);
+fn read_bootstrap(r: &mut Reader<'_>) -> Option<Bootstrap> {
+    let team = r.read("bootstrap", "team", values::parse_from_str);
+    let key_sha256 = r.read("bootstrap", "key-sha256", values::parse_from_str);
     Some(Bootstrap {
         team: team?,
         key_sha256: key_sha256?,
     })
 }
 
-fn runtime(r: &mut Reader<'_>) -> Runtime {
+fn read_runtime(r: &mut Reader<'_>) -> Runtime {
     let default = Runtime::default();
     Runtime {
         workers: r
-            .take("runtime", "workers", values::count32)
+            .read("runtime", "workers", values::parse_count32)
             .unwrap_or(default.workers),
     }
 }
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings as the process uses them; every value is checked by the time this exists.
+//! The settings of a process, which exist only once every value is checked.
 
 mod identity;
 mod lookups;
@@ -49,41 +49,41 @@
 #[derive(Clone, Debug, PartialEq, Serialize, bon::Builder)]
 #[serde(rename_all = "kebab-case")]
 pub struct Settings {
-    /// Who this process is.
+    /// The name and location of this VM.
     pub vm: Vm,
-    /// Where it listens.
+    /// The addresses that it listens on.
     pub listen: Listen,
-    /// Where its outgoing connections start.
+    /// The local address of its outgoing connections.
     #[builder(default)]
     pub source: Source,
     /// The platform's object service.
     pub platform: Platform,
-    /// The other VMs.
+    /// The connections between VMs.
     pub mesh: Mesh,
-    /// Bounds on callers.
+    /// The limits for callers.
     #[builder(default)]
     pub callers: Callers,
-    /// The decisions' policy.
+    /// The policy for decisions on lookups.
     #[builder(default)]
     pub tuning: Tuning,
     /// The graceful shutdown.
     #[builder(default)]
     pub shutdown: Shutdown,
-    /// The backend servers.
+    /// The connections to backend servers.
     #[builder(default)]
     pub servers: Servers,
     /// The claims of at-most-once lookups.
     #[builder(default)]
     pub claims: Claims,
-    /// The first admin team, for a platform that holds no configuration yet.
+    /// The first admin team, for a platform that has no configuration yet.
     pub bootstrap: Option<Bootstrap>,
     /// The log on stderr.
     #[builder(default)]
     pub log: Log,
-    /// The trace, if one is wanted.
+    /// The recorded trace, if any.
     #[builder(default)]
     pub record: Record,
-    /// The threads.
+    /// The threads of the process.
     #[builder(default)]
     pub runtime: Runtime,
 }
--- a/crates/settings/src/settings/identity.rs
+++ b/crates/settings/src/settings/identity.rs
@@ -1,4 +1,4 @@
-//! Who the process is, and where it listens and connects from.
+//! The identity of the VM and its local addresses.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use gs_types::prelude::*;
 use serde::Serialize;
 
-/// Who this process is.
+/// The name and location of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Vm {
@@ -18,22 +18,22 @@
     pub region: Region,
 }
 
-/// Where this process listens; IP numbers and ports.
+/// The addresses that the process listens on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Listen {
-    /// For callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// For operators and for scraping metrics.
+    /// The address for operators, metrics and health checks.
     pub admin: SocketAddr,
-    /// For the other VMs.
+    /// The address for the other VMs.
     pub mesh: SocketAddr,
 }
 
-/// Where outgoing connections start.
+/// The source address of outgoing connections.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Source {
-    /// The local address; the system's choice if `None`.
+    /// The local IP address; the system chooses one if `None`.
     pub ip: Option<IpAddr>,
 }
--- a/crates/settings/src/settings/lookups.rs
+++ b/crates/settings/src/settings/lookups.rs
@@ -1,35 +1,35 @@
-//! What callers may send, and how their lookups are decided.
+//! The limits for callers, and the settings of lookups.
 
 use std::time::Duration;
 
 use gs_types::prelude::*;
 use serde::Serialize;
 
+use crate::choices::Policy;
 use crate::fraction::Fraction;
-use crate::words::Policy;
 
-/// Bounds on callers.
+/// The limits for callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, bon::Builder)]
 #[serde(rename_all = "kebab-case")]
 pub struct Callers {
-    /// The largest request body.
+    /// The largest size of a request body.
     #[builder(default = Bytes(64 << 10))]
     pub body: Bytes,
-    /// The largest request head.
+    /// The largest size of a request head.
     #[builder(default = Bytes(16 << 10))]
     pub headers: Bytes,
-    /// The longest that a request's head may take to arrive.
+    /// The longest time that a request's head may take to arrive.
     #[serde(with = "humantime_serde")]
     #[builder(default = Duration::from_secs(2))]
     pub header_timeout: Duration,
-    /// The longest that a request's body may take to arrive.
+    /// The longest time that a request's body may take to arrive.
     #[serde(with = "humantime_serde")]
     #[builder(default = Duration::from_secs(2))]
     pub body_timeout: Duration,
-    /// The most lookups in flight.
+    /// The largest number of lookups in flight.
     #[builder(default = 2000)]
     pub in_flight: u32,
-    /// The most connections held open.
+    /// The largest number of open connections from callers.
     #[builder(default = Connections(4096))]
     pub connections: Connections,
 }
@@ -40,17 +40,17 @@
     }
 }
 
-/// The decisions' policy.
+/// The policy for decisions on lookups.
 #[derive(Clone, Debug, PartialEq, Serialize, bon::Builder)]
 #[serde(rename_all = "kebab-case")]
 pub struct Tuning {
-    /// Which set of decisions runs.
+    /// The policy that is used.
     #[builder(default)]
     pub policy: Policy,
-    /// Hedges and retries together, allowed for each first attempt.
-    #[builder(default = extra())]
+    /// The number of hedges and retries together that are allowed per initial attempt.
+    #[builder(default = default_extra_budget())]
     pub extra_budget: Fraction,
-    /// The seed of the decisions' random numbers; drawn at start if `None`.
+    /// The seed of the decisions' random numbers; chosen at random at startup if `None`.
     pub seed: Option<u64>,
 }
 
@@ -60,7 +60,7 @@
     }
 }
 
-fn extra() -> Fraction {
+fn default_extra_budget() -> Fraction {
     Fraction::new(0.03).unwrap_or_default()
 }
 
@@ -68,10 +68,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Claims {
-    /// How old an idempotency key may be; older ones are refused for ever.
+    /// The largest age of an idempotency key; older keys are always refused.
     #[serde(with = "humantime_serde")]
     pub window: Duration,
-    /// How far the clocks of callers and VMs may differ.
+    /// The largest difference between the clocks of callers and VMs.
     #[serde(with = "humantime_serde")]
     pub skew: Duration,
 }
--- a/crates/settings/src/settings/peers.rs
+++ b/crates/settings/src/settings/peers.rs
@@ -1,4 +1,4 @@
-//! The platform, the other VMs and the backend servers.
+//! The connections to the platform, the other VMs and the backend servers.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -13,32 +13,32 @@
 #[derive(Clone, Debug, PartialEq, Serialize, bon::Builder)]
 #[serde(rename_all = "kebab-case")]
 pub struct Platform {
-    /// Where it listens.
+    /// The address of the service.
     pub addr: SocketAddr,
-    /// The longest that one call may take, a watch's own wait not counted.
+    /// The timeout of one call; the wait of a watch is not counted.
     #[serde(with = "humantime_serde")]
     #[builder(default = Duration::from_millis(500))]
     pub timeout: Duration,
-    /// How long a watch waits for a change.
+    /// The time that a watch waits for a change.
     #[serde(with = "humantime_serde")]
     #[builder(default = Duration::from_secs(10))]
     pub watch_wait: Duration,
-    /// This process's part of the platform's reads, lists and watches.
+    /// This process's share of the platform's reads, lists and watches.
     #[builder(default = PerSecond(200.0))]
     pub reads_per_second: PerSecond,
-    /// This process's part of the platform's writes and deletes.
+    /// This process's share of the platform's writes and deletes.
     #[builder(default = PerSecond(30.0))]
     pub writes_per_second: PerSecond,
 }
 
-/// The other VMs.
+/// The connections between VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, bon::Builder)]
 #[serde(rename_all = "kebab-case")]
 pub struct Mesh {
     /// The file that the secret was read from.
     #[builder(default)]
     pub secret_file: PathBuf,
-    /// The secret that every VM shares.
+    /// The secret that all VMs share.
     pub secret: Secret,
     /// The time between two heartbeats.
     #[serde(with = "humantime_serde")]
@@ -46,14 +46,14 @@
     pub heartbeat: Duration,
 }
 
-/// The backend servers.
+/// The connections to backend servers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Servers {
-    /// The time between two looks at a server's health and load endpoint.
+    /// The time between two polls of a server's health and load endpoint.
     #[serde(with = "humantime_serde")]
     pub poll: Duration,
-    /// The longest that a new connection may take.
+    /// The timeout of opening a connection.
     #[serde(with = "humantime_serde")]
     pub connect_timeout: Duration,
 }
--- a/crates/settings/src/settings/process.rs
+++ b/crates/settings/src/settings/process.rs
@@ -1,4 +1,4 @@
-//! How the process starts, tells what it does, and ends.
+//! The startup, log, trace, threads and shutdown of the process.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -6,17 +6,18 @@
 use gs_types::prelude::*;
 use serde::Serialize;
 
+use crate::choices::LogLevel;
 use crate::key_hash::KeyHash;
-use crate::words::LogLevel;
 
 /// The graceful shutdown.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Shutdown {
-    /// How long new requests are still taken after the process says that it is not ready.
+    /// The time for which new requests are still accepted after the process reports that it is not
+    /// ready.
     #[serde(with = "humantime_serde")]
     pub lag: Duration,
-    /// When the process exits whatever is still in flight.
+    /// The time after which the process exits even if requests are still in flight.
     #[serde(with = "humantime_serde")]
     pub deadline: Duration,
 }
@@ -30,37 +31,37 @@
     }
 }
 
-/// The first admin team; a team's key itself is never kept.
+/// The first admin team; the key of a team is never stored, only its hash.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Bootstrap {
-    /// Its name.
+    /// The name of the team.
     pub team: TeamName,
-    /// The SHA-256 of its key in hexadecimal.
+    /// The SHA-256 of the team's key in hexadecimal.
     pub key_sha256: KeyHash,
 }
 
-/// The log on stderr; VMs have no disks.
+/// The log, which goes to stderr because VMs have no disks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Log {
-    /// How much is logged.
+    /// The level of detail.
     pub level: LogLevel,
 }
 
-/// The trace, if one is wanted.
+/// The recorded trace, if any.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Record {
-    /// The file to write; nothing is recorded if `None`.
+    /// The file that the trace is written to; nothing is recorded if `None`.
     pub file: Option<PathBuf>,
 }
 
-/// The threads.
+/// The threads of the process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Runtime {
-    /// Worker threads that serve requests.
+    /// The number of worker threads that serve requests.
     pub workers: u32,
 }
 
--- a/crates/settings/tests/settings/accept.rs
+++ b/crates/settings/tests/settings/accept.rs
@@ -1,4 +1,4 @@
-//! Files that are accepted.
+//! Settings files that are accepted.
 
 use std::time::Duration;
 
@@ -9,20 +9,20 @@
 use gs_settings::ValueKind;
 use gs_types::prelude::*;
 
-use crate::common::LEAST;
+use crate::common::MINIMAL;
 use crate::common::dir;
 
 fn accepted(text: &str) -> Settings {
     let dir = dir();
     let mut s = gs_settings::parse("vm.toml", text, dir.path()).expect("accepted");
-    // The directory differs from call to call.
+    // Each call uses another directory.
     s.mesh.secret_file = "secret".into();
     s
 }
 
 #[test]
-fn the_least_file_takes_every_default() {
-    let s = accepted(LEAST);
+fn the_minimal_file_takes_every_default() {
+    let s = accepted(MINIMAL);
     assert_eq!(s.vm.data_centre.as_str(), "hobart-a");
     assert_eq!(s.platform.timeout, Duration::from_millis(500));
     assert_eq!(s.callers.body, Bytes(65536));
@@ -34,18 +34,18 @@
 
 #[test]
 fn each_documented_default_is_the_one_taken() {
-    let least = accepted(LEAST);
+    let minimal = accepted(MINIMAL);
     for key in KEYS {
         let Presence::Default(value) = key.presence else {
             continue;
         };
         let line = format!("[{}]\n{} = {value}\n", key.section, key.name);
         let header = format!("[{}]\n", key.section);
-        let text = match LEAST.contains(&header) {
-            true => LEAST.replace(&header, &line),
-            false => format!("{LEAST}\n{line}"),
+        let text = match MINIMAL.contains(&header) {
+            true => MINIMAL.replace(&header, &line),
+            false => format!("{MINIMAL}\n{line}"),
         };
-        assert_eq!(accepted(&text), least, "{key}");
+        assert_eq!(accepted(&text), minimal, "{key}");
     }
 }
 
@@ -69,14 +69,14 @@
             | ValueKind::Hash => Vec::new(),
         };
         for end in ends {
-            let text = format!("{}.{} = {end}\n{LEAST}", key.section, key.name);
-            // A dotted key opens the section, so the file's own header of it would be a second.
+            let text = format!("{}.{} = {end}\n{MINIMAL}", key.section, key.name);
+            // A dotted key defines the section, so the header in the file would define it twice.
             let header = format!("[{}]\n", key.section);
-            let text = match LEAST.contains(&header) {
-                true => LEAST.replace(&header, &format!("{header}{} = {end}\n", key.name)),
+            let text = match MINIMAL.contains(&header) {
+                true => MINIMAL.replace(&header, &format!("{header}{} = {end}\n", key.name)),
                 false => text,
             };
-            // The largest lag needs a longer deadline, the largest skew a longer window.
+            // The largest lag requires a longer deadline, the largest skew a longer window.
             let text = match (key.section, key.name) {
                 ("shutdown", "lag") => format!("shutdown.deadline = \"10m\"\n{text}"),
                 ("shutdown", "deadline") => format!("shutdown.lag = \"0s\"\n{text}"),
@@ -90,7 +90,7 @@
 
 #[test]
 fn the_secret_is_read_without_its_line_break_and_never_shown() {
-    let s = accepted(LEAST);
+    let s = accepted(MINIMAL);
     assert_eq!(s.mesh.secret.expose(), b"0123456789abcdef");
     let json = serde_json::to_string(&s).expect("JSON");
     for shown in [format!("{s:?}"), s.mesh.secret.to_string(), json] {
@@ -104,7 +104,7 @@
     let file = dir.path().join("vm.toml");
     std::fs::write(
         &file,
-        format!("{LEAST}\n[record]\nfile = \"{{vm}}.trace\"\n"),
+        format!("{MINIMAL}\n[record]\nfile = \"{{vm}}.trace\"\n"),
     )
     .expect("a file");
     let s = gs_settings::load(&file).expect("accepted");
@@ -115,7 +115,7 @@
 #[test]
 fn the_first_admin_team_is_named_with_the_hash_of_its_key() {
     let hash = "0123456789abcdef".repeat(4);
-    let text = format!("{LEAST}\n[bootstrap]\nteam = \"ops\"\nkey-sha256 = \"{hash}\"\n");
+    let text = format!("{MINIMAL}\n[bootstrap]\nteam = \"ops\"\nkey-sha256 = \"{hash}\"\n");
     let bootstrap = accepted(&text).bootstrap.expect("a team");
     assert_eq!(bootstrap.team.as_str(), "ops");
     assert_eq!(bootstrap.key_sha256.as_str(), hash);
--- a/crates/settings/tests/settings/common.rs
+++ b/crates/settings/tests/settings/common.rs
@@ -1,4 +1,4 @@
-//! A whole settings file to change one line of, and reports as plain text.
+//! The minimal settings file that tests modify, and reports as plain text.
 
 use std::path::Path;
 
@@ -8,7 +8,7 @@
 use tempfile::TempDir;
 
 /// The shortest file that is accepted.
-pub const LEAST: &str = r#"[vm]
+pub const MINIMAL: &str = r#"[vm]
 name = "hobart-1"
 data-centre = "hobart-a"
 region = "tasmania"
@@ -25,14 +25,14 @@
 secret-file = "secret"
 "#;
 
-/// A directory that holds a secret file.
+/// Creates a directory that contains a secret file.
 pub fn dir() -> TempDir {
     let dir = tempfile::tempdir().expect("a directory");
     std::fs::write(dir.path().join("secret"), "0123456789abcdef\n").expect("a secret");
     dir
 }
 
-/// The report that a person sees, without colours; the directory is shown as `DIR`.
+/// Renders the report as operators see it, without colours and with the directory as `DIR`.
 pub fn report(faults: &Faults, dir: &Path) -> String {
     let mut s = String::new();
     GraphicalReportHandler::new_themed(GraphicalTheme::unicode_nocolor())
--- a/crates/settings/tests/settings/docs.rs
+++ b/crates/settings/tests/settings/docs.rs
@@ -1,4 +1,4 @@
-//! docs/SETTINGS.md tells each key as the code has it.
+//! Checks that docs/SETTINGS.md agrees with the table of keys and that the example is accepted.
 
 use std::fmt::Write as _;
 use std::path::PathBuf;
@@ -6,8 +6,8 @@
 use gs_settings::KEYS;
 use gs_settings::Presence;
 
-/// Set to write the page anew instead of comparing it.
-const WRITE: &str = "GS_WRITE_DOCS";
+/// The environment variable that makes the test write the page instead of comparing it.
+const WRITE_VAR: &str = "GS_WRITE_DOCS";
 
 const HEAD: &str = "\
 # Settings
@@ -36,7 +36,7 @@
 (`crates/settings/src/keys.rs`); a test proves that they agree.
 ";
 
-fn page() -> String {
+fn render_page() -> String {
     let mut s = HEAD.to_owned();
     let mut section = "";
     for key in KEYS {
@@ -51,10 +51,10 @@
             Presence::Default(v) => format!("`{v}`"),
             Presence::Unset => "not set".to_owned(),
         };
-        let (name, unit, range) = (key.name, key.kind.unit(), key.kind.range());
+        let (name, label, range) = (key.name, key.kind.label(), key.kind.range());
         let _ = writeln!(
             s,
-            "| `{name}` | {unit} | {range} | {default} | {} |",
+            "| `{name}` | {label} | {range} | {default} | {} |",
             key.description
         );
     }
@@ -64,11 +64,11 @@
 #[test]
 fn the_page_is_what_the_code_says() {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../docs/SETTINGS.md");
-    if std::env::var_os(WRITE).is_some() {
-        std::fs::write(&path, page()).expect("the page written");
+    if std::env::var_os(WRITE_VAR).is_some() {
+        std::fs::write(&path, render_page()).expect("the page written");
     }
     let found = std::fs::read_to_string(&path).expect("docs/SETTINGS.md");
-    assert_eq!(found, page(), "run this test with {WRITE}=1");
+    assert_eq!(found, render_page(), "run this test with {WRITE_VAR}=1");
 }
 
 #[test]
--- a/crates/settings/tests/settings/fuzz.rs
+++ b/crates/settings/tests/settings/fuzz.rs
@@ -1,4 +1,4 @@
-//! Any bytes at all are accepted or refused with a report; never a panic.
+//! Arbitrary input is accepted or refused with a report, and never causes a panic.
 
 use std::path::Path;
 
@@ -6,7 +6,7 @@
 use proptest::test_runner::Config;
 use proptest::test_runner::RngSeed;
 
-use crate::common::LEAST;
+use crate::common::MINIMAL;
 use crate::common::report;
 
 fn config() -> Config {
@@ -22,12 +22,12 @@
     }
 }
 
-/// A whole report, and each place within the text.
-fn judge(text: &str) {
+/// Checks that a refused text has a report that renders, with each span within the text.
+fn check_report(text: &str) {
     if let Err(faults) = gs_settings::parse("vm.toml", text, Path::new("none")) {
         for f in faults.faults() {
-            let place = f.span().unwrap_or(0..0);
-            assert!(place.start <= place.end && place.end <= text.len());
+            let span = f.span().unwrap_or(0..0);
+            assert!(span.start <= span.end && span.end <= text.len());
         }
         assert!(!faults.faults().is_empty());
         report(&faults, Path::new("none"));
@@ -39,31 +39,31 @@
 
     #[test]
     fn any_bytes(buf in proptest::collection::vec(any::<u8>(), 0..600)) {
-        judge(&String::from_utf8_lossy(&buf));
+        check_report(&String::from_utf8_lossy(&buf));
     }
 
     #[test]
     fn a_good_file_with_a_piece_replaced(
-        from in 0..LEAST.len(),
+        from in 0..MINIMAL.len(),
         len in 0..40usize,
         piece in r#"[\[\]\{\}="'.,#\n a-z0-9é-]{0,24}"#,
     ) {
-        let to = (from + len).min(LEAST.len());
-        judge(&format!("{}{piece}{}", &LEAST[..from], &LEAST[to..]));
+        let to = (from + len).min(MINIMAL.len());
+        check_report(&format!("{}{piece}{}", &MINIMAL[..from], &MINIMAL[to..]));
     }
 
     #[test]
     fn any_value_for_any_key(
-        at in 0..gs_settings::KEYS.len(),
+        pos in 0..gs_settings::KEYS.len(),
         value in r#"("[ -~é]{0,12}"|-?[0-9]{1,22}|[0-9]{1,4}\.[0-9e]{1,6}|[\[\{]{1,200}|inf|true)"#,
     ) {
-        let key = gs_settings::KEYS[at];
-        judge(&format!("[{}]\n{} = {value}\n", key.section, key.name));
+        let key = gs_settings::KEYS[pos];
+        check_report(&format!("[{}]\n{} = {value}\n", key.section, key.name));
     }
 
     #[test]
     fn deep_nesting(open in r"[\[\{]", n in 1..2_000usize) {
-        judge(&format!("a = {}", open.repeat(n)));
-        judge(&format!("{} = 1", "a.".repeat(n) + "a"));
+        check_report(&format!("a = {}", open.repeat(n)));
+        check_report(&format!("{} = 1", "a.".repeat(n) + "a"));
     }
 }
--- a/crates/settings/tests/settings/main.rs
+++ b/crates/settings/tests/settings/main.rs
@@ -1,4 +1,4 @@
-//! Settings files: what is accepted, what is refused and how the report reads.
+//! Tests of settings files: accepted ones, refused ones, their reports and the documentation.
 
 mod accept;
 mod common;
--- a/crates/settings/tests/settings/refuse.rs
+++ b/crates/settings/tests/settings/refuse.rs
@@ -1,23 +1,23 @@
-//! Files that are refused, each with its place, reason and hint.
+//! Settings files that are refused, each with the span, reason and hint of its fault.
 
 use std::path::Path;
 
 use gs_settings::Faults;
 use rstest::rstest;
 
-use crate::common::LEAST;
+use crate::common::MINIMAL;
 use crate::common::dir;
 use crate::common::report;
 
-/// A fault in four lines: kind, the bytes at fault, the reason and the hint.
+/// Formats each fault as one line: its kind, the text at its span, its reason and its hint.
 fn lines(faults: &Faults, text: &str, dir: &Path) -> Vec<String> {
     let dir = format!("{}/", dir.display());
     faults
         .faults()
         .iter()
         .map(|f| {
-            let place = f.span().map_or("(file)", |p| &text[p]);
-            let line = format!("{} | {place} | {f} | {}", f.kind(), f.hint());
+            let found = f.span().map_or("(file)", |s| &text[s]);
+            let line = format!("{} | {found} | {f} | {}", f.kind(), f.hint());
             line.replace(&dir, "DIR/")
         })
         .collect()
@@ -64,7 +64,7 @@
 )]
 #[case::wrong_type(
     "[callers]\nin-flight = \"many\"",
-    r#"wrong-type | "many" | `callers.in-flight` is a text | write a whole number"#
+    r#"wrong-type | "many" | `callers.in-flight` is a string | write a whole number"#
 )]
 #[case::no_such_word(
     "[tuning]\npolicy = \"best\"",
@@ -76,7 +76,7 @@
 )]
 #[case::key_of_another_section(
     "[shutdown]\nheartbeat = \"1s\"",
-    r#"unknown-key | heartbeat | there is no key `heartbeat` in `[shutdown]` | it stands under `[mesh]`"#
+    r#"unknown-key | heartbeat | there is no key `heartbeat` in `[shutdown]` | it belongs under `[mesh]`"#
 )]
 #[case::strange_key(
     "[log]\nfolder = \"x\"",
@@ -92,12 +92,15 @@
 )]
 #[case::twice(
     "[log]\nlevel = \"info\"\nlevel = \"warn\"",
-    "duplicate | level | the key stands twice | keep one of the two"
+    "duplicate | level | the key is given twice | keep one of the two"
+)]
+#[case::section_twice(
+    "[vm]",
+    "duplicate | vm | the key is given twice | keep one of the two"
 )]
-#[case::section_twice("[vm]", "duplicate | vm | the key stands twice | keep one of the two")]
 #[case::not_toml(
     "[log]\nlevel = warn",
-    "syntax | warn | this is not TOML: string values must be quoted, expected literal string | write `key = value` under a `[section]`; words, durations and sizes stand in quotes"
+    "syntax | warn | this is not TOML: string values must be quoted, expected literal string | write `key = value` under a `[section]`; put words, durations and sizes in quotes"
 )]
 #[case::deadline_within_lag(
     "[shutdown]\ndeadline = \"1s\"",
@@ -113,18 +116,18 @@
 )]
 #[case::a_key_instead_of_its_hash(
     "[bootstrap]\nteam = \"ops\"\nkey-sha256 = \"s3cret\"",
-    r#"bad-value | "s3cret" | `bootstrap.key-sha256` does not read: it is no SHA-256 in hexadecimal | give 64 digits of 0-9 and a-f: `printf %s KEY | sha256sum`"#
+    r#"bad-value | "s3cret" | `bootstrap.key-sha256` does not read: not a SHA-256 in hexadecimal | give 64 digits of 0-9 and a-f: `printf %s KEY | sha256sum`"#
 )]
 #[case::half_a_bootstrap(
     "[bootstrap]\nteam = \"ops\"",
-    r#"clash | "ops" | `bootstrap.team` stands without `bootstrap.key-sha256` | give both, or neither"#
+    r#"clash | "ops" | `bootstrap.team` is given without `bootstrap.key-sha256` | give both, or neither"#
 )]
 #[case::mixed_families(
     "[source]\nip = \"::1\"",
     r#"clash | "::1" | `source.ip` and `platform.addr` are of different IP versions | give both as IPv4 or both as IPv6"#
 )]
 fn a_bad_addition(#[case] added: &str, #[case] expected: &str) {
-    let text = format!("{LEAST}\n{added}\n");
+    let text = format!("{MINIMAL}\n{added}\n");
     assert_eq!(refused(&text), [expected]);
 }
 
@@ -170,16 +173,16 @@
     r#"unreadable | "." | `mesh.secret-file` names DIR/., which cannot be read: Is a directory (os error 21) | make it a file that this user may read"#
 )]
 fn a_bad_change(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
-    assert_eq!(refused(&LEAST.replacen(from, to, 1)), [expected]);
+    assert_eq!(refused(&MINIMAL.replacen(from, to, 1)), [expected]);
 }
 
 #[test]
 fn a_short_secret_is_refused_and_not_shown() {
     let dir = dir();
     std::fs::write(dir.path().join("secret"), "fifteen bytes..\n").expect("a file");
-    let faults = gs_settings::parse("vm.toml", LEAST, dir.path()).expect_err("refused");
+    let faults = gs_settings::parse("vm.toml", MINIMAL, dir.path()).expect_err("refused");
     assert_eq!(
-        lines(&faults, LEAST, dir.path()),
+        lines(&faults, MINIMAL, dir.path()),
         [
             "out-of-range | \"secret\" | `mesh.secret-file` names DIR/secret, whose secret has 15 \
              bytes | put 16 bytes to 4KB of random text into it, the same on every VM"
@@ -190,7 +193,7 @@
 
 #[test]
 fn a_key_in_the_place_of_its_hash_is_not_shown() {
-    let text = format!("{LEAST}\n[bootstrap]\nteam = \"ops\"\nkey-sha256 = \"s3cret\"\n");
+    let text = format!("{MINIMAL}\n[bootstrap]\nteam = \"ops\"\nkey-sha256 = \"s3cret\"\n");
     let faults = gs_settings::parse("vm.toml", &text, dir().path()).expect_err("refused");
     let report = report(&faults, Path::new("/none"));
     assert!(report.contains("key-sha256 = ********"), "{report}");
@@ -201,8 +204,8 @@
 }
 
 #[test]
-fn several_faults_are_told_at_once_in_their_order() {
-    let text = LEAST.replace("\"hobart-a\"", "7") + "\n[log]\nlevel = \"loud\"\nlvl = 1\n";
+fn several_faults_are_reported_at_once_in_file_order() {
+    let text = MINIMAL.replace("\"hobart-a\"", "7") + "\n[log]\nlevel = \"loud\"\nlvl = 1\n";
     let kinds: Vec<_> = refused(&text)
         .iter()
         .map(|l| l.split(" | ").take(2).collect::<Vec<_>>().join(" "))
@@ -216,7 +219,7 @@
 #[test]
 fn a_report_points_at_the_place() {
     let dir = dir();
-    let text = LEAST.replace("\"secret\"", "\"secret\"\nheartbeat = \"1h\"");
+    let text = MINIMAL.replace("\"secret\"", "\"secret\"\nheartbeat = \"1h\"");
     let faults = gs_settings::parse("vm.toml", &text, dir.path()).expect_err("refused");
     let expected = r#"  × vm.toml: 1 fault in the settings
 
@@ -265,12 +268,12 @@
     let file = dir.path().join("vm.toml");
     std::fs::write(&file, b"[vm]\nname = \"\xff\xfe\"\n").expect("a file");
     let faults = gs_settings::load(&file).expect_err("refused");
-    let told: Vec<_> = faults
+    let found: Vec<_> = faults
         .faults()
         .iter()
         .map(|f| (f.to_string(), f.span()))
         .collect();
-    assert_eq!(told, [("byte 13 is not UTF-8".to_owned(), Some(13..14))]);
+    assert_eq!(found, [("byte 13 is not UTF-8".to_owned(), Some(13..14))]);
 }
 
 #[test]
