--- a/crates/settings/src/keys.rs
+++ b/crates/settings/src/keys.rs
@@ -43,9 +43,9 @@
 pub enum ValueKind {
     /// The name of a VM, data centre, region or team.
     Name,
-    /// An IP number and a port.
+    /// An IP address and a port.
     Address,
-    /// An IP number.
+    /// An IP address.
     Ip,
     /// A SHA-256 in hexadecimal.
     Hash,
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -93,7 +93,7 @@
     })
 }
 
-/// Parses an IP number and a port; port 0 is out of range.
+/// Parses an IP address and a port; port 0 is out of range.
 pub(crate) fn parse_address(v: &DeValue<'_>, key: &Key) -> Result<SocketAddr, ValueError> {
     let s = parse_text(v, key)?;
     let addr: SocketAddr = s
@@ -105,7 +105,7 @@
     Ok(addr)
 }
 
-/// Parses an IP number.
+/// Parses an IP address.
 pub(crate) fn parse_ip(v: &DeValue<'_>, key: &Key) -> Result<IpAddr, ValueError> {
     let s = parse_text(v, key)?;
     s.parse()
--- a/crates/types/src/error.rs
+++ b/crates/types/src/error.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A result whose error is [`enum@Error`] by default.
+/// A result whose error is [`Error`](struct@Error) by default.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 /// The kind of an error, for programs to branch on.
