--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,15 +1,15 @@
-//! Newtypes, the domain model and the errors that every crate of the workspace shares.
+//! Newtypes, domain types and errors that every crate of the workspace shares.
 //!
-//! Nothing here does I/O or reads a clock. Most crates need only the [`prelude`].
+//! This crate does no I/O and reads no clock. Most crates need only the [`prelude`].
 
 pub mod answer;
 pub mod attempt;
 pub mod error;
 pub mod idempotency_key;
 pub mod ids;
+pub mod log_rate_limit;
 pub mod lookup;
 pub mod model;
-pub mod pace;
 pub mod prelude;
 pub mod size;
 pub mod stored;
