--- a/crates/node/src/recording.rs
+++ b/crates/node/src/recording.rs
@@ -35,14 +35,14 @@
     /// Records one event just before the engine takes it.
     pub(crate) fn event(&self, now: Instant, ev: &Event) {
         if let Some(recorder) = lock(&self.0).as_mut() {
-            recorder.record(now, ev);
+            recorder.record_event(now, ev);
         }
     }
 
     /// Records what the engine did about it.
     pub(crate) fn acted(&self, action: &Action) {
         if let Some(recorder) = lock(&self.0).as_mut() {
-            recorder.acted(action);
+            recorder.record_action(action);
         }
     }
 
--- a/crates/trace/src/checker.rs
+++ b/crates/trace/src/checker.rs
@@ -8,26 +8,26 @@
 use gs_types::prelude::*;
 
 use crate::divergence::Divergence;
-use crate::expect::Expectations;
-use crate::expect::LookupExpect;
-use crate::expect::OutcomeKind;
-use crate::expect::ServerExpect;
-use crate::found::Found;
-use crate::promises::Promises;
+use crate::expectations::Expectations;
+use crate::expectations::LookupExpectation;
+use crate::expectations::OutcomeKind;
+use crate::expectations::ServerExpectation;
+use crate::invariants::Invariants;
+use crate::observed_outcome::ObservedOutcome;
 use crate::replay::Step;
 
 /// Judges the steps of a replay one by one and its end.
 #[derive(Debug, Default)]
 pub struct Checker {
     stated: Expectations,
-    promises: Promises,
+    promises: Invariants,
     outcomes: BTreeMap<LookupSeq, OutcomeKind>,
     dispatches: BTreeMap<LookupSeq, u32>,
     /// Dispatches that count for each stated server, in the order of the file.
     server_counts: Vec<u32>,
     last: (u64, Duration),
     exact: bool,
-    compared: u64,
+    compared_steps: u64,
 }
 
 impl Checker {
@@ -59,8 +59,8 @@
 
     /// Steps compared with what the run that recorded did there.
     #[must_use]
-    pub fn compared(&self) -> u64 {
-        self.compared
+    pub fn compared_steps(&self) -> u64 {
+        self.compared_steps
     }
 
     /// Attempts dispatched by the steps seen.
@@ -81,8 +81,8 @@
             at: step.at,
             text,
         };
-        let same = step.is_same().filter(|_| self.exact);
-        self.compared += u64::from(same.is_some());
+        let same = step.matches_recording().filter(|_| self.exact);
+        self.compared_steps += u64::from(same.is_some());
         if same == Some(false) {
             return Err(diverges(
                 "it does not do what the run that recorded did".to_owned(),
@@ -155,7 +155,7 @@
         let Some(e) = self.stated.lookup.iter().find(|e| e.seq == seq) else {
             return Ok(());
         };
-        let found = Found::of(outcome);
+        let found = ObservedOutcome::of(outcome);
         let wrong = |what: &str, found: String, stated: String| {
             Err(format!("lookup {seq}: {what} is {found}; stated: {stated}"))
         };
@@ -176,7 +176,7 @@
         Ok(())
     }
 
-    fn end_lookup(&self, e: &LookupExpect) -> Result<(), String> {
+    fn end_lookup(&self, e: &LookupExpectation) -> Result<(), String> {
         let seq = e.seq;
         let found = self.outcomes.get(&seq).copied();
         if found.unwrap_or(OutcomeKind::Pending) != e.outcome {
@@ -196,7 +196,7 @@
 }
 
 /// Whether a dispatch counts for a stated server.
-fn counts(e: &ServerExpect, at: Duration, d: &Dispatch) -> bool {
+fn counts(e: &ServerExpectation, at: Duration, d: &Dispatch) -> bool {
     e.name == d.server.name
         && at >= e.after
         && e.before.is_none_or(|before| at < before)
--- a/crates/trace/src/expect.rs
+++ b/crates/trace/src/expectations.rs
@@ -32,10 +32,10 @@
 pub struct Expectations {
     /// Stated lookups.
     #[serde(default)]
-    pub lookup: Vec<LookupExpect>,
+    pub lookup: Vec<LookupExpectation>,
     /// Stated backend servers.
     #[serde(default)]
-    pub server: Vec<ServerExpect>,
+    pub server: Vec<ServerExpectation>,
 }
 
 impl Expectations {
@@ -83,7 +83,7 @@
 /// What a lookup must come to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct LookupExpect {
+pub struct LookupExpectation {
     /// The lookup.
     pub seq: LookupSeq,
     /// How it ends.
@@ -116,7 +116,7 @@
 /// What a backend server must be given, or not.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub struct ServerExpect {
+pub struct ServerExpectation {
     /// The server.
     pub name: ServerName,
     /// Only dispatches from this time on count.
--- a/crates/trace/src/frame.rs
+++ b/crates/trace/src/frame.rs
@@ -7,7 +7,7 @@
 use gs_types::prelude::*;
 
 /// The largest payload in bytes; what claims to be larger is not a trace.
-pub const MAX_RECORD: u32 = 4 << 20;
+pub const RECORD_MAX_BYTES: u32 = 4 << 20;
 
 /// Bytes before the payload.
 pub(crate) const HEAD: u64 = 8;
@@ -16,7 +16,7 @@
 pub(crate) fn write(out: &mut dyn Write, payload: &[u8]) -> io::Result<u64> {
     let len = u32::try_from(payload.len())
         .ok()
-        .filter(|n| *n <= MAX_RECORD)
+        .filter(|n| *n <= RECORD_MAX_BYTES)
         .ok_or_else(|| io::Error::other("the record is too large for a trace"))?;
     out.write_all(&len.to_le_bytes())?;
     out.write_all(&crc32fast::hash(payload).to_le_bytes())?;
@@ -72,9 +72,11 @@
     };
     let len = u32::from_le_bytes([l0, l1, l2, l3]);
     let crc = u32::from_le_bytes([c0, c1, c2, c3]);
-    if len > MAX_RECORD {
+    if len > RECORD_MAX_BYTES {
         return Err(place
-            .error(&format!("it claims {len} bytes, more than {MAX_RECORD}"))
+            .error(&format!(
+                "it claims {len} bytes, more than {RECORD_MAX_BYTES}"
+            ))
             .with_hint("the trace is corrupt; copy it again"));
     }
     buf.clear();
--- a/crates/trace/src/header.rs
+++ b/crates/trace/src/header.rs
@@ -11,7 +11,7 @@
 use crate::frame;
 
 /// The version of the format; a reader refuses every other.
-pub const FORMAT: u16 = 1;
+pub const FORMAT_VERSION: u16 = 1;
 
 /// The first bytes of every trace.
 pub(crate) const MAGIC: [u8; 8] = *b"GSTRACE\n";
@@ -41,7 +41,7 @@
     /// Writes the beginning of a trace, up to the first record, and tells its length in bytes.
     pub(crate) fn write(&self, out: &mut dyn Write) -> io::Result<u64> {
         out.write_all(&MAGIC)?;
-        out.write_all(&FORMAT.to_le_bytes())?;
+        out.write_all(&FORMAT_VERSION.to_le_bytes())?;
         let len = frame::write(out, &serde_json::to_vec(self)?)?;
         Ok(START + len)
     }
--- a/crates/trace/src/promises.rs
+++ b/crates/trace/src/invariants.rs
@@ -9,8 +9,8 @@
 //! the replay is not of the same decisions.
 
 mod drains;
+mod lookup_history;
 mod lookups;
-mod seen;
 
 use std::time::Duration;
 
@@ -26,12 +26,12 @@
 
 /// The state that the promises are judged by.
 #[derive(Debug, Default)]
-pub(crate) struct Promises {
+pub(crate) struct Invariants {
     lookups: Lookups,
     drains: Drains,
 }
 
-impl Promises {
+impl Invariants {
     pub(crate) fn on(&mut self, step: &Step) -> Result<(), String> {
         self.drains.on(step)?;
         self.lookups.on(step)
--- a/crates/trace/src/promises/lookups.rs
+++ b/crates/trace/src/invariants/lookups.rs
@@ -13,9 +13,9 @@
 use gs_types::prelude::*;
 
 use super::ANSWER_GRACE;
-use super::seen::Attempt;
-use super::seen::Run;
-use super::seen::Seen;
+use super::lookup_history::Attempt;
+use super::lookup_history::Run;
+use super::lookup_history::Seen;
 use crate::replay::Step;
 
 /// All lookups of a trace.
--- a/crates/trace/src/machine.rs
+++ b/crates/trace/src/machine.rs
@@ -26,7 +26,7 @@
 /// # Errors
 ///
 /// [`ErrorKind::BadInput`] if the header's options are out of range.
-pub fn engine(header: &Header) -> Result<Engine> {
+pub fn build_engine(header: &Header) -> Result<Engine> {
     Engine::builder()
         .vm(header.vm.clone())
         .incarnation(header.incarnation)
--- a/crates/trace/src/found.rs
+++ b/crates/trace/src/observed_outcome.rs
@@ -2,11 +2,11 @@
 
 use gs_types::prelude::*;
 
-use crate::expect::LookupExpect;
-use crate::expect::OutcomeKind;
+use crate::expectations::LookupExpectation;
+use crate::expectations::OutcomeKind;
 
 /// An outcome in the terms of the stated ones.
-pub(crate) struct Found {
+pub(crate) struct ObservedOutcome {
     pub(crate) kind: OutcomeKind,
     reason: Option<RefusalReason>,
     retry_after: Option<bool>,
@@ -17,7 +17,7 @@
 /// What differs: the name, what was found and what was stated.
 pub(crate) type Difference = (&'static str, String, String);
 
-impl Found {
+impl ObservedOutcome {
     /// Takes an outcome apart.
     pub(crate) fn of(outcome: &Outcome) -> Self {
         let (missing, refusal, page) = match outcome {
@@ -35,7 +35,7 @@
     }
 
     /// The first thing that is stated and differs.
-    pub(crate) fn compare(&self, e: &LookupExpect) -> Result<(), Difference> {
+    pub(crate) fn compare(&self, e: &LookupExpectation) -> Result<(), Difference> {
         let page = self.page.as_ref();
         let docs = page.map(|p| p.hits.iter().map(|h| h.doc.to_string()).collect());
         same("reason", e.reason.as_ref(), self.reason.as_ref())?;
--- a/crates/trace/src/reader.rs
+++ b/crates/trace/src/reader.rs
@@ -6,7 +6,7 @@
 
 use crate::frame;
 use crate::frame::Place;
-use crate::header::FORMAT;
+use crate::header::FORMAT_VERSION;
 use crate::header::Header;
 use crate::header::MAGIC;
 use crate::header::START;
@@ -132,10 +132,10 @@
             .with_hint("name a file written by `serve --record`, or a script that ends in `.toml`")
     })?;
     match version.try_into().map(u16::from_le_bytes) {
-        Ok(FORMAT) => Ok(()),
+        Ok(FORMAT_VERSION) => Ok(()),
         Ok(other) => Err(Error::new(
             ErrorKind::Version,
-            format!("byte 8: the trace is of format {other}, this program reads {FORMAT}"),
+            format!("byte 8: the trace is of format {other}, this program reads {FORMAT_VERSION}"),
         )
         .at("read trace")
         .with_hint("replay it with the version that recorded it")),
--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -35,14 +35,14 @@
 #[derive(Debug)]
 pub struct Recorder {
     tx: SyncSender<Item>,
-    writer: JoinHandle<io::Result<Recorded>>,
+    writer: JoinHandle<io::Result<RecordingStats>>,
     start: Instant,
     lost: u64,
 }
 
 /// What a finished recording holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Recorded {
+pub struct RecordingStats {
     /// Events written.
     pub events: u64,
     /// Events and actions lost.
@@ -77,9 +77,9 @@
         let (tx, rx) = mpsc::sync_channel(QUEUE);
         let sink = Sink {
             out,
-            done: Recorded {
+            done: RecordingStats {
                 size: Bytes(written),
-                ..Recorded::default()
+                ..RecordingStats::default()
             },
             did: None,
         };
@@ -96,13 +96,13 @@
     }
 
     /// Records that the engine is told `event` at `now`; call it just before the engine's `on`.
-    pub fn record(&mut self, now: Instant, event: &Event) {
+    pub fn record_event(&mut self, now: Instant, event: &Event) {
         let at = now.duration_since(self.start);
         self.put(What::Event(at, event.clone()));
     }
 
     /// Records that the engine did this about the event recorded last, for an exact replay.
-    pub fn acted(&mut self, action: &Action) {
+    pub fn record_action(&mut self, action: &Action) {
         self.put(What::Action(action.clone()));
     }
 
@@ -119,7 +119,7 @@
     /// # Errors
     ///
     /// [`ErrorKind::Io`] if a write failed; the trace then ends early and says so when it is read.
-    pub fn finish(self) -> Result<Recorded> {
+    pub fn finish(self) -> Result<RecordingStats> {
         let Self {
             tx, writer, lost, ..
         } = self;
@@ -143,13 +143,13 @@
 /// The writer's side.
 struct Sink<W: Write> {
     out: BufWriter<W>,
-    done: Recorded,
+    done: RecordingStats,
     /// What the engine did about the event written last; `None` for nothing.
     did: Option<ActionDigest>,
 }
 
 impl<W: Write> Sink<W> {
-    fn run(mut self, rx: &Receiver<Item>) -> io::Result<Recorded> {
+    fn run(mut self, rx: &Receiver<Item>) -> io::Result<RecordingStats> {
         while let Some(item) = self.next(rx)? {
             self.write_item(item)?;
         }
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -24,14 +24,14 @@
     /// What it wants done.
     pub actions: Vec<Action>,
     /// The digest of what the run that recorded did here; `None` if the trace does not tell.
-    pub recorded: Option<u32>,
+    pub recorded_digest: Option<u32>,
 }
 
 impl Step {
     /// Whether the run that recorded did the same here; `None` if the trace does not tell.
     #[must_use]
-    pub fn is_same(&self) -> Option<bool> {
-        let recorded = self.recorded?;
+    pub fn matches_recording(&self) -> Option<bool> {
+        let recorded = self.recorded_digest?;
         Some(recorded == ActionDigest::of(&self.actions))
     }
 }
@@ -97,13 +97,13 @@
             at,
             event,
             actions,
-            recorded: self.recorded(),
+            recorded_digest: self.take_recorded_digest(),
         })
     }
 
     /// Takes the digest that follows an event. Another event there means that nothing was done; at
     /// the end of a trace that was cut short, that is not known.
-    fn recorded(&mut self) -> Option<u32> {
+    fn take_recorded_digest(&mut self) -> Option<u32> {
         match self.records.peek() {
             Some(Ok(Record::Acted { digest })) => {
                 let digest = *digest;
--- a/crates/trace/src/script.rs
+++ b/crates/trace/src/script.rs
@@ -1,8 +1,8 @@
 //! A trace written by hand: a TOML file with its story, so that a person can review it.
 
-mod fleet;
-mod reply;
-mod specs;
+mod event_specs;
+mod map_spec;
+mod reply_spec;
 mod step;
 
 use std::io::Write;
--- a/crates/trace/src/script/step.rs
+++ b/crates/trace/src/script/step.rs
@@ -9,16 +9,16 @@
 use serde::Deserialize;
 
 use super::Script;
-use super::fleet::MapSpec;
-use super::reply::ReplySpec;
-use super::specs::ArriveSpec;
-use super::specs::ConfigSpec;
-use super::specs::DrainSpec;
-use super::specs::LeaveSpec;
-use super::specs::QuarantineSpec;
-use super::specs::ReportSpec;
-use super::specs::SharesSpec;
-use super::specs::TickSpec;
+use super::event_specs::ArriveSpec;
+use super::event_specs::ConfigSpec;
+use super::event_specs::DrainSpec;
+use super::event_specs::LeaveSpec;
+use super::event_specs::QuarantineSpec;
+use super::event_specs::ReportSpec;
+use super::event_specs::SharesSpec;
+use super::event_specs::TickSpec;
+use super::map_spec::MapSpec;
+use super::reply_spec::ReplySpec;
 
 /// One `[[step]]`; names just one of the events.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
--- a/crates/trace/tests/memory.rs
+++ b/crates/trace/tests/memory.rs
@@ -2,7 +2,7 @@
 //!
 //! In a test program of its own, as the peak is the whole process's.
 
-use gs_trace::MAX_RECORD;
+use gs_trace::RECORD_MAX_BYTES;
 use gs_trace::Reader;
 use gs_trace::Script;
 
@@ -51,7 +51,7 @@
     let before = peak();
     for _ in 0..100 {
         // The largest record claimed, and more than that, with a few bytes there.
-        refused(start, &frame(MAX_RECORD, b"abc"));
+        refused(start, &frame(RECORD_MAX_BYTES, b"abc"));
         refused(start, &frame(u32::MAX, b"abc"));
     }
     // For each kind of record and event: lists that claim to be as long as numbers go, in a record
--- a/crates/trace/tests/trace/common.rs
+++ b/crates/trace/tests/trace/common.rs
@@ -92,7 +92,7 @@
             at,
             event,
             actions: actions.next().unwrap_or_default(),
-            recorded: None,
+            recorded_digest: None,
         })?;
     }
     checker.end()
--- a/crates/trace/tests/trace/recording.rs
+++ b/crates/trace/tests/trace/recording.rs
@@ -84,7 +84,7 @@
     let now = Instant::now();
     let mut recorder = Recorder::start(file.clone(), &header(), now).expect("started");
     for (at, event) in &events {
-        recorder.record(now + *at, event);
+        recorder.record_event(now + *at, event);
     }
     let done = recorder.finish().expect("written");
     let expected = events
@@ -103,11 +103,11 @@
     let now = Instant::now();
     let mut recorder = Recorder::start(file.clone(), &header(), now).expect("started");
     for ms in [3, 5] {
-        recorder.record(now, &Event::Tick);
-        recorder.acted(&wake(ms));
+        recorder.record_event(now, &Event::Tick);
+        recorder.record_action(&wake(ms));
     }
-    recorder.record(now, &Event::Tick);
-    recorder.record(now, &Event::Leave);
+    recorder.record_event(now, &Event::Tick);
+    recorder.record_event(now, &Event::Leave);
     recorder.finish().expect("written");
     let machine = Told(wakes.map(|ms| vec![wake(ms)]).into_iter().collect());
     let bytes = file.bytes();
@@ -140,10 +140,10 @@
     let (held, is_held) = mpsc::channel();
     let (let_go, go) = mpsc::channel();
     *file.gate.lock().expect("the gate") = Some(Gate { held, go });
-    recorder.record(now, &Event::Tick);
+    recorder.record_event(now, &Event::Tick);
     is_held.recv().expect("the writer stands still");
     for _ in 0..20_000 {
-        recorder.record(now, &Event::Tick);
+        recorder.record_event(now, &Event::Tick);
     }
     let_go.send(()).expect("let go");
     let done = recorder.finish().expect("written");
@@ -174,7 +174,7 @@
     }
     let now = Instant::now();
     let mut recorder = Recorder::start(Full(0), &header(), now).expect("started");
-    recorder.record(now + Duration::from_millis(1), &Event::Tick);
+    recorder.record_event(now + Duration::from_millis(1), &Event::Tick);
     let e = recorder.finish().expect_err("refused");
     assert_eq!(e.to_string(), "no space left (step: record)");
 }
--- a/src/commands/replay.rs
+++ b/src/commands/replay.rs
@@ -106,7 +106,7 @@
         false => records,
     };
     let judged = judge(&header, records, &mut checker, m.get_flag(STEPS))?;
-    if m.get_flag(EXACT) && checker.compared() == 0 {
+    if m.get_flag(EXACT) && checker.compared_steps() == 0 {
         return Err(nothing_to_compare().into());
     }
     tell(&checker, &judged, wants_json(m));
@@ -176,7 +176,7 @@
     checker: &mut Checker,
     show: bool,
 ) -> Result<Result<u64, Diverged>> {
-    let engine = gs_trace::engine(header)?;
+    let engine = gs_trace::build_engine(header)?;
     let mut last = 0;
     for step in Replay::new(records, engine, Instant::now()) {
         let step = step?;
--- a/src/commands/version.rs
+++ b/src/commands/version.rs
@@ -21,7 +21,7 @@
 
 /// Runs the command.
 pub(crate) fn run(m: &ArgMatches) -> Result<Exit, Failure> {
-    let (version, format) = (env!("CARGO_PKG_VERSION"), gs_trace::FORMAT);
+    let (version, format) = (env!("CARGO_PKG_VERSION"), gs_trace::FORMAT_VERSION);
     match wants_json(m) {
         true => output::json(&json!({ "version": version, "trace-format": format })),
         false => output::line(&format!("gentiansill {version}, trace format {format}")),
--- a/tests/process/recording.rs
+++ b/tests/process/recording.rs
@@ -27,14 +27,18 @@
 fn replayed(trace: &Path) -> usize {
     let file = File::open(trace).expect("a trace");
     let reader = Reader::new(BufReader::new(file)).expect("a header");
-    let engine = gs_trace::engine(reader.header()).expect("an engine");
+    let engine = gs_trace::build_engine(reader.header()).expect("an engine");
     let mut checker = Checker::new(Expectations::default()).exact();
     for step in Replay::new(reader, engine, Instant::now()) {
         let step = step.expect("a step");
         checker.on(&step).expect("the same, and the promises hold");
     }
     checker.end().expect("the promises hold");
-    assert!(checker.compared() > 100, "{}", checker.compared());
+    assert!(
+        checker.compared_steps() > 100,
+        "{}",
+        checker.compared_steps()
+    );
     checker.count(OutcomeKind::Answered)
 }
 
