--- a/crates/trace/src/script.rs
+++ b/crates/trace/src/script.rs
@@ -35,7 +35,7 @@
     /// The VM's data centre.
     pub data_centre: DataCentre,
     /// The incarnation of its process.
-    #[serde(default = "first_incarnation")]
+    #[serde(default = "first_run")]
     pub incarnation: Incarnation,
     /// The seed of the engine's random numbers.
     pub seed: u64,
@@ -50,7 +50,8 @@
     step: Vec<ScriptStep>,
 }
 
-fn first_incarnation() -> Incarnation {
+/// Returns the default of [`Script::incarnation`].
+fn first_run() -> Incarnation {
     Incarnation(1)
 }
 
--- a/crates/trace/src/script/map_spec.rs
+++ b/crates/trace/src/script/map_spec.rs
@@ -22,17 +22,19 @@
     /// The data centres of the servers that are not in the VM's data centre.
     #[serde(default)]
     elsewhere: BTreeMap<ServerName, DataCentre>,
-    #[serde(default = "default_slots")]
+    #[serde(default = "two")]
     slots: u32,
-    #[serde(default = "default_connections")]
+    #[serde(default = "twenty_five")]
     connections: u32,
 }
 
-fn default_slots() -> u32 {
+/// Returns the default of `slots`.
+fn two() -> u32 {
     2
 }
 
-fn default_connections() -> u32 {
+/// Returns the default of `connections`.
+fn twenty_five() -> u32 {
     25
 }
 
--- a/src/client.rs
+++ b/src/client.rs
@@ -23,49 +23,51 @@
 
 use crate::input;
 
-/// The longest that connecting may take.
-const CONNECT: Duration = Duration::from_secs(2);
-/// The largest answer read; a fleet's dump is the longest.
-const ANSWER_MAX: usize = 64 << 20;
+/// The timeout of connecting.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// The largest response body, in bytes; the dump of a fleet is the largest response.
+const RESPONSE_MAX_BYTES: usize = 64 << 20;
 
-/// An answer: its status and its JSON.
-pub(crate) struct Reply {
+/// A response: its status and its JSON body.
+pub(crate) struct Response {
     pub(crate) status: StatusCode,
     pub(crate) body: Value,
     peer: SocketAddr,
 }
 
-/// Talks to one process's administration API.
+/// A client of one process's administration API.
 pub(crate) struct Client {
     addr: SocketAddr,
-    /// `team:key`, from a file and never from the command line, which other users can list.
+    /// The credentials, as `team:key`. They are read from a file and never given on the command
+    /// line, which other users of the machine can list.
     key: Option<String>,
     timeout: Duration,
 }
 
 impl Client {
-    /// Prepares a client; the key file holds one line, `team:key`.
+    /// Creates a client; the key file holds one line, `team:key`.
     pub(crate) fn new(addr: SocketAddr, key: Option<&Path>, timeout: Duration) -> Result<Self> {
         let key = key.map(read_key).transpose()?;
         Ok(Self { addr, key, timeout })
     }
 
-    /// Reads a path.
+    /// Sends a GET request, and returns the body of a successful response.
     pub(crate) fn get(&self, path: &str) -> Result<Value> {
-        self.call(Method::GET, path, Buf::new())
-            .and_then(Reply::into_ok)
+        self.send(Method::GET, path, Buf::new())
+            .and_then(Response::into_ok)
     }
 
-    /// Sends a body to a path.
+    /// Sends a POST request, and returns the response whatever its status.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Unavailable`] if nothing was sent, [`ErrorKind::Unknown`] if the answer is lost.
-    pub(crate) fn post(&self, path: &str, body: String) -> Result<Reply> {
-        self.call(Method::POST, path, body.into())
+    /// [`ErrorKind::Unavailable`] if nothing was sent, [`ErrorKind::Unknown`] if no response was
+    /// received after sending.
+    pub(crate) fn post(&self, path: &str, body: String) -> Result<Response> {
+        self.send(Method::POST, path, body.into())
     }
 
-    fn call(&self, method: Method, path: &str, body: Buf) -> Result<Reply> {
+    fn send(&self, method: Method, path: &str, body: Buf) -> Result<Response> {
         let rt = runtime::Builder::new_current_thread()
             .enable_all()
             .build()
@@ -74,32 +76,32 @@
             .map_err(|e| e.from_peer(self.addr.to_string()))
     }
 
-    async fn exchange(&self, method: Method, path: &str, body: Buf) -> Result<Reply> {
+    async fn exchange(&self, method: Method, path: &str, body: Buf) -> Result<Response> {
         let stream = self.connect().await?;
         let (mut tx, conn) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(|e| unavailable(e.to_string()))?;
         let conn = tokio::spawn(conn);
-        let changes_nothing = method == Method::GET;
-        let req = self.request(method, path, body)?;
-        let reply = time::timeout(self.timeout, send(&mut tx, req)).await;
+        let is_read_only = method == Method::GET;
+        let req = self.build_request(method, path, body)?;
+        let response = time::timeout(self.timeout, send_request(&mut tx, req)).await;
         conn.abort();
-        let reply = match reply {
-            Ok(Ok((status, buf))) => self.reply(status, &buf),
+        let response = match response {
+            Ok(Ok((status, buf))) => self.parse_response(status, &buf),
             Ok(Err(text)) => Err(text),
             Err(_) => Err(format!("no answer within {:?}", self.timeout)),
         };
-        reply.map_err(|text| match changes_nothing {
+        response.map_err(|text| match is_read_only {
             true => unavailable(text),
-            // The request is on its way, so it may take effect although no answer is seen.
+            // The request may have been sent, so it may take effect although there is no response.
             false => Error::new(ErrorKind::Unknown, text).at("await answer"),
         })
     }
 
-    fn reply(&self, status: StatusCode, buf: &[u8]) -> Result<Reply, String> {
+    fn parse_response(&self, status: StatusCode, buf: &[u8]) -> Result<Response, String> {
         let body = serde_json::from_slice(buf)
-            .map_err(|e| format!("the answer, of status {status}, does not read: {e}"))?;
-        Ok(Reply {
+            .map_err(|e| format!("the response with status {status} is not valid JSON: {e}"))?;
+        Ok(Response {
             status,
             body,
             peer: self.addr,
@@ -107,14 +109,16 @@
     }
 
     async fn connect(&self) -> Result<TcpStream> {
-        match time::timeout(CONNECT, TcpStream::connect(self.addr)).await {
+        match time::timeout(CONNECT_TIMEOUT, TcpStream::connect(self.addr)).await {
             Ok(Ok(stream)) => Ok(stream),
             Ok(Err(e)) => Err(unavailable(e.to_string())),
-            Err(_) => Err(unavailable(format!("no connection within {CONNECT:?}"))),
+            Err(_) => Err(unavailable(format!(
+                "no connection within {CONNECT_TIMEOUT:?}"
+            ))),
         }
     }
 
-    fn request(&self, method: Method, path: &str, body: Buf) -> Result<Request<Full<Buf>>> {
+    fn build_request(&self, method: Method, path: &str, body: Buf) -> Result<Request<Full<Buf>>> {
         let mut req = Request::builder()
             .method(method)
             .uri(path)
@@ -128,26 +132,28 @@
     }
 }
 
-/// Sends a request and reads its whole answer; an error says in words why there is none.
-async fn send(
+/// Sends a request and reads the complete response; the error is a description.
+async fn send_request(
     tx: &mut SendRequest<Full<Buf>>,
     req: Request<Full<Buf>>,
 ) -> Result<(StatusCode, Buf), String> {
     let res = tx.send_request(req).await.map_err(|e| e.to_string())?;
     let status = res.status();
-    let body = Limited::new(res.into_body(), ANSWER_MAX);
+    let body = Limited::new(res.into_body(), RESPONSE_MAX_BYTES);
     let body = body.collect().await.map_err(|e| e.to_string())?;
     Ok((status, body.to_bytes()))
 }
 
+/// Returns the error of a process that could not be reached.
 fn unavailable(text: String) -> Error {
     Error::new(ErrorKind::Unavailable, text)
         .at("ask the process")
         .with_hint("check that it runs and that `--admin` is its `listen.admin`")
 }
 
+/// Reads a key file and checks its form; errors never contain its text.
 fn read_key(path: &Path) -> Result<String> {
-    let text = input::text(path, "read key")?;
+    let text = input::read_text(path, "read key")?;
     let key = text.trim_end();
     let (team, secret) = key.split_once(':').unwrap_or((key, ""));
     let visible = secret.bytes().all(|b| b.is_ascii_graphic());
@@ -160,8 +166,8 @@
     Ok(key.to_owned())
 }
 
-impl Reply {
-    /// The body of a good answer.
+impl Response {
+    /// Returns the body of a successful response, or its error.
     pub(crate) fn into_ok(self) -> Result<Value> {
         match self.status.is_success() {
             true => Ok(self.body),
@@ -169,13 +175,13 @@
         }
     }
 
-    /// The error that the answer tells, or one made of its status.
+    /// Returns the error in the response's body, or else an error made from its status.
     pub(crate) fn into_error(self) -> Error {
         let status = || format!("status {}", self.status);
         let text = self.text("error").map_or_else(status, str::to_owned);
-        // The text ends with its step and peer, which the error made here shows by itself.
-        let place = self.error("").to_string();
-        let text = text.strip_suffix(&place).unwrap_or(&text);
+        // The text ends with its step and peer, which the new error adds to its own text.
+        let suffix = self.error("").to_string();
+        let text = text.strip_suffix(&suffix).unwrap_or(&text);
         let e = self.error(text).from_peer(self.peer.to_string());
         match (self.text("hint"), self.status) {
             (_, StatusCode::UNAUTHORIZED) => e.with_hint("give the team's key by `--key-file`"),
@@ -184,7 +190,7 @@
         }
     }
 
-    /// An error of the kind, the step and the peer that the answer names.
+    /// Returns an error with the kind, the step and the peer named in the response.
     fn error(&self, text: &str) -> Error {
         let kind = self.text("kind").and_then(|k| k.parse().ok());
         let mut e = Error::new(kind.unwrap_or_else(|| kind_of(self.status)), text);
@@ -202,6 +208,7 @@
     }
 }
 
+/// Returns the kind of error that a status stands for.
 fn kind_of(status: StatusCode) -> ErrorKind {
     match status {
         StatusCode::UNAUTHORIZED | StatusCode::FORBIDDEN => ErrorKind::Forbidden,
--- a/src/commands/admin.rs
+++ b/src/commands/admin.rs
@@ -1,4 +1,4 @@
-//! What the commands that ask a running process have in common.
+//! The options and the client that the commands for a running process share.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,8 +17,8 @@
 const KEY_FILE: &str = "key-file";
 const TIMEOUT: &str = "timeout";
 
-/// Adds the options that name the process and the team.
-pub(super) fn options(c: Command, timeout: &'static str) -> Command {
+/// Adds the options that select the process, the team's key and the timeout.
+pub(super) fn add_options(c: Command, timeout: &'static str) -> Command {
     c.arg(
         Arg::new(ADMIN)
             .long("admin")
@@ -46,12 +46,12 @@
     .arg(json_arg())
 }
 
-/// How long to wait.
+/// Returns the timeout of a request.
 pub(super) fn timeout(m: &ArgMatches) -> Duration {
     m.get_one(TIMEOUT).copied().unwrap_or_default()
 }
 
-/// Prepares a client from the options.
+/// Creates a client from the options.
 pub(super) fn client(m: &ArgMatches) -> Result<Client> {
     let key = m.get_one::<PathBuf>(KEY_FILE);
     let addr = m.get_one::<SocketAddr>(ADMIN).copied();
--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `check`: what is wrong with a settings file or a patch, before anything uses it.
+//! `check`: checks a settings file or a patch before it is used.
 
 use std::path::PathBuf;
 
@@ -49,7 +49,7 @@
         ))
 }
 
-/// The `--settings` option, for `serve` too.
+/// Declares the `--settings` option, which other commands use too.
 pub(super) fn settings_arg() -> Arg {
     path_arg(
         SETTINGS,
@@ -57,6 +57,7 @@
     )
 }
 
+/// Declares an option that takes the path of a file.
 fn path_arg(name: &'static str, help: &'static str) -> Arg {
     Arg::new(name)
         .long(name)
@@ -65,12 +66,12 @@
         .help(help)
 }
 
-/// The settings file named.
+/// Returns the path given with `--settings`.
 pub(super) fn settings_path(m: &ArgMatches) -> PathBuf {
     m.get_one::<PathBuf>(SETTINGS).cloned().unwrap_or_default()
 }
 
-/// Reads the settings file named.
+/// Loads the settings file given with `--settings`.
 pub(super) fn load(m: &ArgMatches) -> Result<Settings, Faults> {
     gs_settings::load(&settings_path(m))
 }
@@ -79,10 +80,10 @@
 pub(crate) fn run(m: &ArgMatches) -> Result<Exit, Failure> {
     let json = wants_json(m);
     if m.contains_id(SETTINGS) {
-        tell_settings(&load(m)?, json);
+        print_settings_result(&load(m)?, json);
     }
     if let Some(path) = m.get_one::<PathBuf>(PATCH) {
-        tell_patch(
+        print_patch_result(
             &patch_file::check(path, m.get_one::<PathBuf>(CONFIG))?,
             json,
         );
@@ -90,20 +91,20 @@
     Ok(Exit::Done)
 }
 
-fn tell_settings(settings: &Settings, json: bool) {
+fn print_settings_result(settings: &Settings, json: bool) {
     match json {
-        true => output::json(&json!({ "settings": settings })),
-        false => output::line("the settings are good"),
+        true => output::print_json(&json!({ "settings": settings })),
+        false => output::print_line("the settings are good"),
     }
 }
 
-fn tell_patch(warnings: &[String], json: bool) {
+fn print_patch_result(warnings: &[String], json: bool) {
     if json {
-        output::json(&json!({ "warnings": warnings }));
+        output::print_json(&json!({ "warnings": warnings }));
         return;
     }
     for w in warnings {
-        output::line(&format!("warning: {w}"));
+        output::print_line(&format!("warning: {w}"));
     }
-    output::line("the patch is good");
+    output::print_line("the patch is good");
 }
--- a/src/commands/dump.rs
+++ b/src/commands/dump.rs
@@ -1,4 +1,4 @@
-//! `dump`: the whole state of one process, or of all through one.
+//! `dump`: the complete state of one process, or of the fleet through one process.
 
 use clap::Arg;
 use clap::ArgAction;
@@ -13,10 +13,10 @@
 use crate::output;
 
 const FLEET: &str = "fleet";
-/// Where the process tells its own state.
-const OWN: &str = "/dump";
-/// Where it tells every VM's.
-const ALL: &str = "/dump/fleet";
+/// The path of the process's own state.
+const DUMP_PATH: &str = "/dump";
+/// The path of the states of all VMs.
+const FLEET_DUMP_PATH: &str = "/dump/fleet";
 
 /// Declares the command.
 pub(crate) fn command() -> Command {
@@ -26,25 +26,27 @@
             Arg::new(FLEET)
                 .long("fleet")
                 .action(ArgAction::SetTrue)
-                .help("Show every VM's; one that does not answer stands with its error"),
+                .help(
+                    "Show the state of every VM; one that does not answer is listed with its error",
+                ),
         )
         .after_help(after_help(
             "  gentiansill dump --admin 10.0.0.1:8002 --key-file team.key\n  \
              gentiansill dump --admin 10.0.0.1:8002 --key-file team.key --fleet --json",
         ));
-    admin::options(c, "15s")
+    admin::add_options(c, "15s")
 }
 
 /// Runs the command.
 pub(crate) fn run(m: &ArgMatches) -> Result<Exit, Failure> {
     let path = match m.get_flag(FLEET) {
-        true => ALL,
-        false => OWN,
+        true => FLEET_DUMP_PATH,
+        false => DUMP_PATH,
     };
     let dump = admin::client(m)?.get(path)?;
     match wants_json(m) {
-        true => output::json(&dump),
-        false => output::flat(&dump),
+        true => output::print_json(&dump),
+        false => output::print_flat(&dump),
     }
     Ok(Exit::Done)
 }
--- a/src/commands/explain.rs
+++ b/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: the story of one request, from the logs of all VMs.
+//! `explain`: what happened to one request, from the logs of all VMs.
 
 use std::fs;
 use std::path::Path;
@@ -19,9 +19,10 @@
 const ID: &str = "id";
 const FILES: &str = "files";
 
-/// One line of a log about the request.
-struct Line {
+/// A line of a log about the request.
+struct LogLine {
     time: String,
+    /// The name of the log file without its extension, which names the VM.
     from: String,
     text: String,
 }
@@ -29,7 +30,7 @@
 /// Declares the command.
 pub(crate) fn command() -> Command {
     Command::new("explain")
-        .about("Tells the story of one request from the logs of all VMs, in the order of time")
+        .about("Shows what happened to one request, in the order of time, from the logs of all VMs")
         .arg(
             Arg::new(ID)
                 .value_name("ID")
@@ -56,28 +57,28 @@
     let files = m.get_many::<PathBuf>(FILES).into_iter().flatten();
     let mut lines = Vec::new();
     for file in files {
-        lines.extend(read(file, &id)?);
+        lines.extend(read_lines(file, &id)?);
     }
     if lines.is_empty() {
         let text = format!("no line about `{id}`");
         return Err(Error::new(ErrorKind::NotFound, text)
             .at("explain")
             .with_hint(
-                "whole requests that were on time leave no line; so do some of many that went \
-                 wrong in one second: look for `left_out=` near its time",
+                "complete requests that ended on time are not logged; of many failures in one \
+                 second only some are: look for `left_out=` near its time",
             )
             .into());
     }
     lines.sort_by(|a, b| a.time.cmp(&b.time));
     for line in &lines {
-        output::line(&format!("{} {} {}", line.time, line.from, line.text));
+        output::print_line(&format!("{} {} {}", line.time, line.from, line.text));
     }
-    output::line(&conclusion(&lines));
+    output::print_line(&summarize(&lines));
     Ok(Exit::Done)
 }
 
-/// The lines of a log about the request.
-fn read(file: &Path, id: &str) -> Result<Vec<Line>> {
+/// Returns the lines of a log about the request.
+fn read_lines(file: &Path, id: &str) -> Result<Vec<LogLine>> {
     let failed = |e: std::io::Error| {
         Error::new(ErrorKind::Io, e.to_string())
             .at("read log")
@@ -85,40 +86,40 @@
             .with_hint("name the logs that the VMs wrote on standard output")
     };
     let bytes = fs::read(file).map_err(failed)?;
-    // A log cut off in the middle of a character is still worth reading.
+    // A log that is cut off within a character is still read.
     let text = String::from_utf8_lossy(&bytes);
     let from = file
         .file_stem()
         .map_or_else(String::new, |s| s.to_string_lossy().into_owned());
     let wanted = format!(" id={id} ");
     let about = text.lines().filter(|l| l.contains(&wanted));
-    Ok(about.filter_map(|l| parse(l, &from)).collect())
+    Ok(about.filter_map(|l| parse_line(l, &from)).collect())
 }
 
-/// A line as `time=… level=… event=…`; `None` for one that is damaged.
-fn parse(line: &str, from: &str) -> Option<Line> {
+/// Parses a line of the form `time=… level=… event=…`; returns `None` for a damaged one.
+fn parse_line(line: &str, from: &str) -> Option<LogLine> {
     let at = line.find("time=")?;
     let (time, rest) = line[at + "time=".len()..].split_once(' ')?;
     let text = rest.split_once("event=")?.1;
-    Some(Line {
+    Some(LogLine {
         time: time.to_owned(),
         from: from.to_owned(),
         text: text.to_owned(),
     })
 }
 
-/// What the last word on the request was, and the attempts that held it up.
-fn conclusion(lines: &[Line]) -> String {
-    let value = |l: &Line, key: &str| {
+/// Returns a line with the final response to the request and the attempts that did not answer.
+fn summarize(lines: &[LogLine]) -> String {
+    let value = |l: &LogLine, key: &str| {
         let mut words = l.text.split(' ');
         let found = words.find_map(|w| w.strip_prefix(key)?.strip_prefix('='));
         found.unwrap_or("").to_owned()
     };
-    let is_end = |l: &&Line| l.text.starts_with("request-end ") && value(l, "handed") != "true";
+    let is_end = |l: &&LogLine| l.text.starts_with("request-end ") && value(l, "handed") != "true";
     let Some(end) = lines.iter().rfind(is_end) else {
-        return "conclusion: its last word is not in these logs".to_owned();
+        return "conclusion: the final response is not in these logs".to_owned();
     };
-    let is_bad = |l: &&Line| {
+    let is_bad = |l: &&LogLine| {
         let how = value(l, "end");
         l.text.starts_with("request-attempt ") && how != "answered" && how != "paged"
     };
@@ -127,13 +128,13 @@
         .filter(is_bad)
         .map(|l| format!("{} ({})", value(l, "server"), value(l, "end")))
         .collect();
-    let held_up = if servers.is_empty() {
+    let unanswered = if servers.is_empty() {
         String::new()
     } else {
         format!("; attempts that did not answer: {}", servers.join(", "))
     };
     format!(
-        "conclusion: {} {} after {} ms, objective {} ms, parts {}, routes of version {}{held_up}",
+        "conclusion: {} {} after {} ms, objective {} ms, parts {}, routes of version {}{unanswered}",
         value(end, "outcome"),
         value(end, "reason"),
         value(end, "took_ms"),
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands: each module declares one and runs it.
+//! The commands; each is declared and run by the module of its name.
 
 mod admin;
 mod check;
@@ -23,15 +23,15 @@
 use crate::failure::Failure;
 use crate::output;
 
-/// The flag for programs that read the output.
+/// The id of the `--json` flag, for programs that read the output.
 const JSON: &str = "json";
 
-/// The whole command line.
+/// Declares the command line.
 pub(crate) fn command() -> Command {
     Command::new("gentiansill")
         .version(env!("CARGO_PKG_VERSION"))
         .about("A query tier over many shards that answers for outcomes")
-        .after_help(exit::HELP)
+        .after_help(exit::EXIT_CODES_HELP)
         .subcommand_required(true)
         .arg_required_else_help(true)
         .subcommands([
@@ -47,7 +47,7 @@
         ])
 }
 
-/// Runs the command named; a failure is reported on stderr, and as JSON on stdout if asked.
+/// Runs the selected command; reports a failure on stderr, or with `--json` as JSON on stdout.
 pub(crate) fn run(matches: &ArgMatches) -> Exit {
     let Some((name, m)) = matches.subcommand() else {
         return Exit::BadInput;
@@ -66,21 +66,21 @@
     match done {
         Ok(exit) => exit,
         Err(failure) => {
-            tell(&failure, wants_json(m));
+            print_failure(&failure, wants_json(m));
             failure.exit()
         }
     }
 }
 
-fn tell(failure: &Failure, json: bool) {
+fn print_failure(failure: &Failure, json: bool) {
     if json {
-        output::json(&failure.json());
+        output::print_json(&failure.to_json());
     } else {
-        eprint!("{}", failure.report());
+        eprint!("{}", failure.render_report());
     }
 }
 
-/// The `--json` flag.
+/// Declares the `--json` flag.
 fn json_arg() -> Arg {
     Arg::new(JSON)
         .long("json")
@@ -88,11 +88,12 @@
         .help("Write JSON, errors too, for a program to read")
 }
 
+/// Returns whether `--json` was given.
 fn wants_json(m: &ArgMatches) -> bool {
     matches!(m.try_get_one(JSON), Ok(Some(true)))
 }
 
-/// A command's help: its examples and the exit codes.
+/// Returns the text after a command's help: its examples and the exit codes.
 fn after_help(examples: &str) -> String {
-    format!("Examples:\n{examples}\n\n{}", exit::HELP)
+    format!("Examples:\n{examples}\n\n{}", exit::EXIT_CODES_HELP)
 }
--- a/src/commands/patch.rs
+++ b/src/commands/patch.rs
@@ -1,4 +1,4 @@
-//! `patch`: a change of the configuration, to its verdict.
+//! `patch`: sends a configuration patch and shows its outcome.
 
 use std::path::PathBuf;
 use std::thread;
@@ -25,17 +25,17 @@
 const FILE: &str = "file";
 const DRY_RUN: &str = "dry-run";
 const WAIT: &str = "wait";
-/// Where the process takes patches.
-const PATH: &str = "/admin/v1/patches";
-/// Where it only checks them.
-const DRY_PATH: &str = "/admin/v1/patches?dry-run=true";
-/// The time between two sendings of the same patch under `--wait`.
-const AGAIN: Duration = Duration::from_millis(500);
+/// The path to which patches are sent.
+const PATCHES_PATH: &str = "/admin/v1/patches";
+/// The path to which patches are sent that are only checked.
+const DRY_RUN_PATH: &str = "/admin/v1/patches?dry-run=true";
+/// The interval at which `--wait` sends the same patch again.
+const RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Declares the command.
 pub(crate) fn command() -> Command {
     let c = Command::new("patch")
-        .about("Sends a patch against a numbered version, and shows its verdict")
+        .about("Sends a patch against a numbered version, and shows its outcome")
         .arg(
             Arg::new(FILE)
                 .value_name("FILE")
@@ -60,7 +60,7 @@
             "  gentiansill patch --admin 10.0.0.1:8002 --key-file team.key change.json --dry-run\n  \
              gentiansill patch --admin 10.0.0.1:8002 --key-file team.key change.json --wait",
         ));
-    admin::options(c, "15s")
+    admin::add_options(c, "15s")
 }
 
 /// Runs the command.
@@ -71,47 +71,48 @@
         .map_err(|e| Error::new(ErrorKind::BadInput, e.to_string()).at("write patch"))?;
     let client = admin::client(m)?;
     let path = match m.get_flag(DRY_RUN) {
-        true => DRY_PATH,
-        false => PATH,
+        true => DRY_RUN_PATH,
+        false => PATCHES_PATH,
     };
-    let verdict = match m.get_flag(WAIT) {
+    let outcome = match m.get_flag(WAIT) {
         true => wait(&client, path, &body, admin::timeout(m))?,
         false => send(&client, path, &body)?,
     };
-    show(&verdict, wants_json(m));
-    Ok(exit(&verdict))
+    print_outcome(&outcome, wants_json(m));
+    Ok(exit_status(&outcome))
 }
 
-/// Sends the patch once. A verdict comes with any status; an answer without one is about the call
-/// and no word on the patch.
+/// Sends the patch once. A response with any status can contain the outcome of the patch; one
+/// without it concerns only the call and says nothing about the patch.
 fn send(client: &Client, path: &str, body: &str) -> Result<PatchOutcome> {
     let reply = client.post(path, body.to_owned())?;
     match serde_json::from_value(reply.body.clone()) {
-        Ok(verdict) => Ok(verdict),
+        Ok(outcome) => Ok(outcome),
         Err(e) if reply.status.is_success() => {
-            let text = format!("the answer is no verdict: {e}");
-            Err(Error::new(ErrorKind::Unknown, text).at("read verdict"))
+            let text = format!("the response is not a patch outcome: {e}");
+            Err(Error::new(ErrorKind::Unknown, text).at("read outcome"))
         }
         Err(_) => Err(reply.into_error()),
     }
 }
 
-/// Sends the patch until its verdict is final and no VM is awaited, or the time is over.
+/// Sends the patch until its outcome is final and no VM is awaited, or the timeout expires.
 ///
-/// The platform keeps the patch's id with the version that it made, so a patch whose answer was lost
-/// is recognised and not applied a second time.
+/// The platform stores the patch's id with the version that the patch created, so a patch whose
+/// response was lost is recognised and not applied a second time.
 fn wait(client: &Client, path: &str, body: &str, timeout: Duration) -> Result<PatchOutcome> {
     let start = Instant::now();
     loop {
         let last = send(client, path, body);
-        if settled(&last) || start.elapsed() + AGAIN > timeout {
+        if is_final(&last) || start.elapsed() + RESEND_INTERVAL > timeout {
             return last;
         }
-        thread::sleep(AGAIN);
+        thread::sleep(RESEND_INTERVAL);
     }
 }
 
-fn settled(last: &Result<PatchOutcome>) -> bool {
+/// Returns whether sending the patch again cannot change its outcome.
+fn is_final(last: &Result<PatchOutcome>) -> bool {
     match last {
         Ok(PatchOutcome::Accepted { awaiting, .. }) => awaiting.is_empty(),
         Ok(PatchOutcome::Checked { .. } | PatchOutcome::Refused { .. }) => true,
@@ -120,65 +121,65 @@
     }
 }
 
-fn exit(verdict: &PatchOutcome) -> Exit {
-    match verdict {
+fn exit_status(outcome: &PatchOutcome) -> Exit {
+    match outcome {
         PatchOutcome::Accepted { .. } | PatchOutcome::Checked { .. } => Exit::Done,
         PatchOutcome::Refused { .. } => Exit::Refused,
         PatchOutcome::Undecided { .. } => Exit::Unknown,
     }
 }
 
-fn show(verdict: &PatchOutcome, json: bool) {
+fn print_outcome(outcome: &PatchOutcome, json: bool) {
     if json {
-        output::json(&serde_json::to_value(verdict).unwrap_or_default());
+        output::print_json(&serde_json::to_value(outcome).unwrap_or_default());
         return;
     }
-    match verdict {
+    match outcome {
         PatchOutcome::Accepted {
             version,
             in_force,
             awaiting,
             warnings,
         } => {
-            output::line(&format!("accepted: version {version}"));
-            output::line(&format!("in force on: {}", names(in_force)));
+            output::print_line(&format!("accepted: version {version}"));
+            output::print_line(&format!("in force on: {}", join_names(in_force)));
             if !awaiting.is_empty() {
-                output::line(&format!("awaiting: {}", names(awaiting)));
+                output::print_line(&format!("awaiting: {}", join_names(awaiting)));
             }
-            warn(warnings);
+            print_warnings(warnings);
         }
         PatchOutcome::Checked { version, warnings } => {
-            output::line(&format!("would be accepted: version {version}"));
-            warn(warnings);
+            output::print_line(&format!("would be accepted: version {version}"));
+            print_warnings(warnings);
         }
         PatchOutcome::Refused { error, against } => {
-            output::line(&format!("refused: {error}"));
+            output::print_line(&format!("refused: {error}"));
             for o in against {
-                output::line(&format!("against it: {}: {}", o.vm, o.reason));
+                output::print_line(&format!("against it: {}: {}", o.vm, o.reason));
             }
-            hint(error);
+            print_hint(error);
         }
         PatchOutcome::Undecided { error } => {
-            output::line(&format!("undecided: {error}"));
-            output::line("send the same file again to learn its verdict; `--wait` does so");
-            hint(error);
+            output::print_line(&format!("undecided: {error}"));
+            output::print_line("send the same file again to learn its outcome; `--wait` does so");
+            print_hint(error);
         }
     }
 }
 
-fn warn(warnings: &[String]) {
+fn print_warnings(warnings: &[String]) {
     for w in warnings {
-        output::line(&format!("warning: {w}"));
+        output::print_line(&format!("warning: {w}"));
     }
 }
 
-fn hint(error: &Error) {
+fn print_hint(error: &Error) {
     if let Some(hint) = error.hint() {
-        output::line(&format!("hint: {hint}"));
+        output::print_line(&format!("hint: {hint}"));
     }
 }
 
-fn names(vms: &[VmId]) -> String {
+fn join_names(vms: &[VmId]) -> String {
     let names: Vec<_> = vms.iter().map(VmId::as_str).collect();
     names.join(", ")
 }
--- a/src/commands/patch_file.rs
+++ b/src/commands/patch_file.rs
@@ -1,4 +1,4 @@
-//! Reading a patch file, and the rules that can be checked without the fleet.
+//! Reads a patch file and checks the rules that do not depend on the fleet.
 
 use std::path::Path;
 use std::path::PathBuf;
@@ -17,20 +17,20 @@
     parse(path, "read patch")
 }
 
-/// Checks a patch file, against a configuration if one is named, and gives the warnings.
+/// Checks a patch file, against a configuration if one is given, and returns the warnings.
 pub(super) fn check(path: &Path, config: Option<&PathBuf>) -> Result<Vec<String>> {
     let patch = read(path)?;
     let config = match config {
         Some(path) => parse(path, "read configuration")?,
-        None => base(&patch)?,
+        None => minimal_config(&patch)?,
     };
     let (_, warnings) = gs_conf::check_patch(&config, &patch, None)?;
-    let spell = |w: Problem| format!("{}: {}; {}", w.place, w.text, w.hint);
-    Ok(warnings.into_iter().map(spell).collect())
+    let describe = |w: Problem| format!("{}: {}; {}", w.place, w.text, w.hint);
+    Ok(warnings.into_iter().map(describe).collect())
 }
 
 fn parse<T: DeserializeOwned>(path: &Path, step: &str) -> Result<T> {
-    let text = input::text(path, step)?;
+    let text = input::read_text(path, step)?;
     serde_json::from_str(&text).map_err(|e| {
         Error::new(ErrorKind::BadInput, format!("{}: {e}", path.display()))
             .at(step)
@@ -38,9 +38,9 @@
     })
 }
 
-/// The least configuration that the patch could be against: all that it removes or changes is
-/// there, and a team that may do so. Only the fleet knows the true one.
-fn base(patch: &Patch) -> Result<Config> {
+/// Returns the smallest configuration that the patch can apply to: it contains everything that the
+/// patch removes or changes, and a team that may change teams. Only the fleet has the real one.
+fn minimal_config(patch: &Patch) -> Result<Config> {
     let mut config = Config {
         version: patch.against,
         ..Config::default()
@@ -48,24 +48,26 @@
     for change in &patch.changes {
         match change {
             Change::RemoveFront(name) => {
-                front(&mut config, name);
+                front_mut(&mut config, name);
             }
             Change::PutLookup { front: name, .. } => {
-                front(&mut config, name);
+                front_mut(&mut config, name);
             }
             Change::RemoveLookup {
                 front: name,
                 lookup,
             } => {
-                let lookup = placeholder(lookup)?;
-                front(&mut config, name).lookups.push(lookup);
+                let lookup = placeholder_lookup(lookup)?;
+                front_mut(&mut config, name).lookups.push(lookup);
             }
-            Change::RemoveTeam(name) => config.teams.push(team(name, false)),
+            Change::RemoveTeam(name) => config.teams.push(placeholder_team(name, false)),
             Change::PutFront(_) | Change::PutTeam(_) => {}
         }
     }
     if patch.changes.iter().any(touches_teams) {
-        config.teams.push(team(&"any-admin".parse()?, true));
+        config
+            .teams
+            .push(placeholder_team(&"any-admin".parse()?, true));
     }
     Ok(config)
 }
@@ -74,19 +76,20 @@
     matches!(change, Change::PutTeam(_) | Change::RemoveTeam(_))
 }
 
-fn front<'a>(config: &'a mut Config, name: &FrontName) -> &'a mut Front {
-    let at = config.fronts.iter().position(|f| f.name == *name);
-    let at = at.unwrap_or_else(|| {
+/// Returns the front of this name, added if it is missing.
+fn front_mut<'a>(config: &'a mut Config, name: &FrontName) -> &'a mut Front {
+    let index = config.fronts.iter().position(|f| f.name == *name);
+    let index = index.unwrap_or_else(|| {
         config.fronts.push(Front {
             name: name.clone(),
             lookups: Vec::new(),
         });
         config.fronts.len() - 1
     });
-    &mut config.fronts[at]
+    &mut config.fronts[index]
 }
 
-fn team(name: &TeamName, admin: bool) -> Team {
+fn placeholder_team(name: &TeamName, admin: bool) -> Team {
     Team {
         name: name.clone(),
         key_sha256: "0".repeat(64),
@@ -95,7 +98,7 @@
     }
 }
 
-fn placeholder(name: &LookupName) -> Result<Lookup> {
+fn placeholder_lookup(name: &LookupName) -> Result<Lookup> {
     Ok(Lookup {
         name: name.clone(),
         group: "any".parse()?,
--- a/src/commands/relay.rs
+++ b/src/commands/relay.rs
@@ -1,4 +1,4 @@
-//! `relay`: one entry VM's process on the platform.
+//! `relay`: runs one entry VM's process on the platform.
 
 use std::path::PathBuf;
 
@@ -32,7 +32,8 @@
     Ok(Exit::Done)
 }
 
-/// One thread: a VM has a part of one core, and each hand-over between threads costs it a wake-up.
+/// Runs the relay on a single thread: a VM has a fraction of one core, and each hand-off between
+/// threads costs a wake-up.
 fn serve(settings: EdgeSettings, path: PathBuf) -> Result<()> {
     let rt = runtime::Builder::new_current_thread()
         .enable_all()
--- a/src/commands/replay.rs
+++ b/src/commands/replay.rs
@@ -1,4 +1,4 @@
-//! `replay`: a trace through the decisions, judged.
+//! `replay`: replays a trace through the engine and checks the result.
 
 use std::fs::File;
 use std::io::BufReader;
@@ -46,13 +46,13 @@
 /// Declares the command.
 pub(crate) fn command() -> Command {
     Command::new("replay")
-        .about("Runs a trace through the decisions and compares the outcomes with the stated ones")
+        .about("Replays a trace through the engine and compares the outcomes with the stated ones")
         .long_about(
-            "Runs a trace through the decisions and compares the outcomes with the stated ones.\n\n\
-             What must always hold is judged in any case: each lookup has one outcome, each page \
-             is of one snapshot with a true coverage, `not-run` is true, an at-most-once lookup runs \
-             at most once, and a draining server gets no new work. The first step that differs is \
-             shown.",
+            "Replays a trace through the engine and compares the outcomes with the stated ones.\n\n\
+             The invariants of every trace are checked in any case: each lookup has one outcome, \
+             each page comes from one snapshot with a correct coverage, the outcome `not-run` is \
+             correct, an at-most-once lookup runs at most once, and a draining server gets no new \
+             work. The first step that differs is shown.",
         )
         .arg(
             Arg::new(TRACE)
@@ -72,13 +72,13 @@
             Arg::new(PARTIAL)
                 .long("partial")
                 .action(ArgAction::SetTrue)
-                .help("Replay the whole records of a trace that is cut short or corrupt further on"),
+                .help("Replay the complete records of a trace that is cut short or corrupt further on"),
         )
         .arg(
             Arg::new(EXACT)
                 .long("exact")
                 .action(ArgAction::SetTrue)
-                .help("Also compare each step with what it did when recorded; for the same build"),
+                .help("Also compare the actions of each step with the recorded ones; for the same build"),
         )
         .arg(
             Arg::new(STEPS)
@@ -100,29 +100,29 @@
 pub(crate) fn run(m: &ArgMatches) -> Result<Exit, Failure> {
     let path = m.get_one::<PathBuf>(TRACE).cloned().unwrap_or_default();
     let mut checker = checker(m)?;
-    let (header, records) = open(&path)?;
+    let (header, records) = open_trace(&path)?;
     let records: Records = match m.get_flag(PARTIAL) {
-        true => Box::new(records.map_while(whole)),
+        true => Box::new(records.map_while(until_unreadable)),
         false => records,
     };
-    let judged = judge(&header, records, &mut checker, m.get_flag(STEPS))?;
+    let result = replay_and_check(&header, records, &mut checker, m.get_flag(STEPS))?;
     if m.get_flag(EXACT) && checker.compared_steps() == 0 {
         return Err(nothing_to_compare().into());
     }
-    tell(&checker, &judged, wants_json(m));
-    Ok(match judged {
+    print_result(&checker, &result, wants_json(m));
+    Ok(match result {
         Ok(_) => Exit::Done,
         Err(_) => Exit::Refused,
     })
 }
 
-/// The checker for the outcomes stated and the flags given.
+/// Creates a checker for the expected outcomes and the flags.
 fn checker(m: &ArgMatches) -> Result<Checker> {
-    let stated = match m.get_one::<PathBuf>(EXPECT) {
-        Some(path) => Expectations::parse(&input::text(path, "read outcomes")?)?,
+    let expectations = match m.get_one::<PathBuf>(EXPECT) {
+        Some(path) => Expectations::parse(&input::read_text(path, "read outcomes")?)?,
         None => Expectations::default(),
     };
-    let checker = Checker::new(stated);
+    let checker = Checker::new(expectations);
     Ok(match m.get_flag(EXACT) {
         true => checker.exact(),
         false => checker,
@@ -130,15 +130,18 @@
 }
 
 fn nothing_to_compare() -> Error {
-    Error::new(ErrorKind::BadInput, "the trace does not tell what was done")
-        .at("replay")
-        .with_hint("leave out `--exact`; only a trace of `serve --record` can be compared")
+    Error::new(
+        ErrorKind::BadInput,
+        "the trace does not contain the actions",
+    )
+    .at("replay")
+    .with_hint("leave out `--exact`; only a trace of `serve --record` can be compared")
 }
 
 /// Opens a trace or a script.
-fn open(path: &Path) -> Result<(Header, Records)> {
+fn open_trace(path: &Path) -> Result<(Header, Records)> {
     if path.extension().is_some_and(|e| e == "toml") {
-        let script = Script::parse(&input::text(path, "read script")?)?;
+        let script = Script::parse(&input::read_text(path, "read script")?)?;
         let events = script.events()?.into_iter();
         let records = events.map(|(at, event)| Ok(Record::Event { at, event }));
         return Ok((script.header(), Box::new(records)));
@@ -152,8 +155,8 @@
     Ok((reader.header().clone(), Box::new(reader)))
 }
 
-/// A record that can be read; ends a partial replay with the reason at the first that cannot.
-fn whole(record: Result<Record>) -> Option<Result<Record>> {
+/// Passes on readable records; prints the error of the first unreadable one and ends there.
+fn until_unreadable(record: Result<Record>) -> Option<Result<Record>> {
     match record {
         Ok(r) => Some(Ok(r)),
         Err(e) => {
@@ -163,31 +166,31 @@
     }
 }
 
-/// A divergence, with its step spelled out if it is one step's.
+/// A divergence, with the text of its step if it belongs to one step.
 struct Diverged {
     divergence: Divergence,
     step: Option<String>,
 }
 
-/// Replays and judges; gives the number of steps, or the first divergence.
-fn judge(
+/// Replays and checks a trace; returns the number of steps, or the first divergence.
+fn replay_and_check(
     header: &Header,
     records: Records,
     checker: &mut Checker,
-    show: bool,
+    show_steps: bool,
 ) -> Result<Result<u64, Diverged>> {
     let engine = gs_trace::build_engine(header)?;
     let mut last = 0;
     for step in Replay::new(records, engine, Instant::now()) {
         let step = step?;
-        if show {
-            output::line(&steps::spell(&step));
+        if show_steps {
+            output::print_line(&steps::format_step(&step));
         }
         last = step.number;
         if let Err(divergence) = checker.on(&step) {
             return Ok(Err(Diverged {
                 divergence,
-                step: Some(steps::spell(&step)),
+                step: Some(steps::format_step(&step)),
             }));
         }
     }
@@ -198,7 +201,7 @@
     Ok(checker.end().map(|()| last).map_err(diverged))
 }
 
-fn tell(checker: &Checker, judged: &Result<u64, Diverged>, json: bool) {
+fn print_result(checker: &Checker, result: &Result<u64, Diverged>, json: bool) {
     let (answered, not_run, unknown, attempts) = (
         checker.count(OutcomeKind::Answered),
         checker.count(OutcomeKind::NotRun),
@@ -206,9 +209,9 @@
         checker.attempts(),
     );
     if json {
-        output::json(&json!({
-            "steps": judged.as_ref().ok(),
-            "diverges": judged.as_ref().err().map(diverged_json),
+        output::print_json(&json!({
+            "steps": result.as_ref().ok(),
+            "diverges": result.as_ref().err().map(diverged_json),
             "answered": answered,
             "not-run": not_run,
             "unknown": unknown,
@@ -216,15 +219,15 @@
         }));
         return;
     }
-    match judged {
-        Ok(steps) => output::line(&format!(
+    match result {
+        Ok(steps) => output::print_line(&format!(
             "as stated: {steps} steps, {answered} answered, {not_run} not run, {unknown} unknown, \
              {attempts} attempts"
         )),
         Err(d) => {
-            output::line(&format!("diverges at {}", d.divergence));
+            output::print_line(&format!("diverges at {}", d.divergence));
             if let Some(step) = &d.step {
-                output::line(step);
+                output::print_line(step);
             }
         }
     }
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: one entry VM's process.
+//! `serve`: runs one entry VM's process.
 
 use std::path::PathBuf;
 
@@ -28,7 +28,7 @@
                 .long("record")
                 .value_name("FILE")
                 .value_parser(value_parser!(PathBuf))
-                .help("Write what the decisions are told as a trace for `replay`"),
+                .help("Record the events that the engine processes as a trace for `replay`"),
         )
         .after_help(after_help(
             "  gentiansill serve --settings vm.toml\n  \
--- a/src/commands/status.rs
+++ b/src/commands/status.rs
@@ -10,8 +10,8 @@
 use crate::failure::Failure;
 use crate::output;
 
-/// Where the process tells it.
-const PATH: &str = "/status";
+/// The path of the summary.
+const STATUS_PATH: &str = "/status";
 
 /// Declares the command.
 pub(crate) fn command() -> Command {
@@ -21,15 +21,15 @@
             "  gentiansill status --admin 10.0.0.1:8002 --key-file team.key\n  \
              gentiansill status --admin 10.0.0.1:8002 --key-file team.key --json",
         ));
-    admin::options(c, "5s")
+    admin::add_options(c, "5s")
 }
 
 /// Runs the command.
 pub(crate) fn run(m: &ArgMatches) -> Result<Exit, Failure> {
-    let status = admin::client(m)?.get(PATH)?;
+    let status = admin::client(m)?.get(STATUS_PATH)?;
     match wants_json(m) {
-        true => output::json(&status),
-        false => output::flat(&status),
+        true => output::print_json(&status),
+        false => output::print_flat(&status),
     }
     Ok(Exit::Done)
 }
--- a/src/commands/steps.rs
+++ b/src/commands/steps.rs
@@ -1,4 +1,4 @@
-//! A step of a replay in a few words.
+//! Formats the steps of a replay as text.
 
 use std::fmt::Write as _;
 
@@ -8,17 +8,21 @@
 use gs_trace::Step;
 use gs_types::prelude::*;
 
-/// The step with its event and its actions, a line each.
-pub(super) fn spell(step: &Step) -> String {
+/// Returns the step with its event and its actions, a line each.
+pub(super) fn format_step(step: &Step) -> String {
     let at = humantime::format_duration(step.at);
-    let mut s = format!("step {} at {at}: {}", step.number, event(&step.event));
+    let mut s = format!(
+        "step {} at {at}: {}",
+        step.number,
+        format_event(&step.event)
+    );
     for a in &step.actions {
-        let _ = write!(s, "\n    -> {}", action(a));
+        let _ = write!(s, "\n    -> {}", format_action(a));
     }
     s
 }
 
-fn event(e: &Event) -> String {
+fn format_event(e: &Event) -> String {
     match e {
         Event::Config(c) => format!("config version {}", c.version),
         Event::Group(m) => {
@@ -33,23 +37,23 @@
             let LookupRequest { lookup, query, .. } = &a.req;
             format!("lookup {} arrives: {lookup} {query:?}", a.seq)
         }
-        Event::Claim(seq, verdict) => format!("claim of lookup {seq}: {verdict:?}"),
+        Event::Claim(seq, decision) => format!("claim of lookup {seq}: {decision:?}"),
         Event::Sent(id) => format!("{id} is sent"),
         Event::Reply(id, PartReply::Whole { snapshot, part, .. }) => {
             format!(
                 "{id} ends: whole from snapshot {snapshot}, docs [{}]",
-                docs(&part.hits)
+                format_docs(&part.hits)
             )
         }
         Event::Reply(id, reply) => format!("{id} ends: {reply:?}"),
-        Event::Gone(seq) => format!("the caller of lookup {seq} is gone"),
+        Event::Gone(seq) => format!("the caller of lookup {seq} disconnected"),
         Event::Connection(server, true) => format!("connection to {server} opened"),
         Event::Connection(server, false) => format!("connection to {server} closed"),
         other => format!("{other:?}"),
     }
 }
 
-fn action(a: &Action) -> String {
+fn format_action(a: &Action) -> String {
     match a {
         Action::Dispatch(d) => {
             let (id, server, snapshot) = (&d.attempt, &d.server.name, d.snapshot);
@@ -60,43 +64,47 @@
         }
         Action::Cancel(id) => format!("cancel {id}"),
         Action::Claim(c) => format!("claim {} for lookup {}", c.key, c.seq),
-        Action::Answer(seq, outcome) => format!("lookup {seq}: {}", spell_outcome(outcome)),
+        Action::Answer(seq, outcome) => format!("lookup {seq}: {}", format_outcome(outcome)),
         Action::Wake(after) => format!("wake after {after:?}"),
         Action::Warm(server, n) => format!("hold {n} connections to {server}"),
-        Action::Spread(sign) => format!("tell peers: {sign:?}"),
+        Action::Spread(notice) => format!("send to peers: {notice:?}"),
     }
 }
 
-fn spell_outcome(outcome: &Outcome) -> String {
+fn format_outcome(outcome: &Outcome) -> String {
     match outcome {
         Outcome::Answered(a) => {
             let Coverage { shards, whole, .. } = a.coverage;
             format!(
                 "answered from snapshot {}, {whole} of {shards} shards, missing [{}], docs [{}]",
                 a.snapshot,
-                missing(&a.coverage.missing),
-                docs(&a.hits)
+                format_missing(&a.coverage.missing),
+                format_docs(&a.hits)
             )
         }
-        Outcome::NotRun(r) => format!("not run: {}", spell_refusal(r)),
-        Outcome::Unknown(r) => format!("unknown: {}", spell_refusal(r)),
+        Outcome::NotRun(r) => format!("not run: {}", format_refusal(r)),
+        Outcome::Unknown(r) => format!("unknown: {}", format_refusal(r)),
     }
 }
 
-fn spell_refusal(r: &Refusal) -> String {
-    let again = match r.retry_after {
-        Some(after) => format!("again after {after:?}"),
-        None => "never again".to_owned(),
+fn format_refusal(r: &Refusal) -> String {
+    let retry = match r.retry_after {
+        Some(after) => format!("retry after {after:?}"),
+        None => "no retry".to_owned(),
     };
-    format!("{}, {again}, missing [{}]", r.reason, missing(&r.missing))
+    format!(
+        "{}, {retry}, missing [{}]",
+        r.reason,
+        format_missing(&r.missing)
+    )
 }
 
-fn missing(list: &[MissingShard]) -> String {
-    let spell = |m: &MissingShard| format!("{} {}", m.shard, m.reason);
-    list.iter().map(spell).collect::<Vec<_>>().join(", ")
+fn format_missing(list: &[MissingShard]) -> String {
+    let describe = |m: &MissingShard| format!("{} {}", m.shard, m.reason);
+    list.iter().map(describe).collect::<Vec<_>>().join(", ")
 }
 
-fn docs(hits: &[Hit]) -> String {
+fn format_docs(hits: &[Hit]) -> String {
     let docs: Vec<_> = hits.iter().map(|h| &*h.doc).collect();
     docs.join(", ")
 }
--- a/src/commands/version.rs
+++ b/src/commands/version.rs
@@ -1,4 +1,4 @@
-//! `version`: what this program is.
+//! `version`: the versions of the program and of the trace format.
 
 use clap::ArgMatches;
 use clap::Command;
@@ -23,8 +23,8 @@
 pub(crate) fn run(m: &ArgMatches) -> Result<Exit, Failure> {
     let (version, format) = (env!("CARGO_PKG_VERSION"), gs_trace::FORMAT_VERSION);
     match wants_json(m) {
-        true => output::json(&json!({ "version": version, "trace-format": format })),
-        false => output::line(&format!("gentiansill {version}, trace format {format}")),
+        true => output::print_json(&json!({ "version": version, "trace-format": format })),
+        false => output::print_line(&format!("gentiansill {version}, trace format {format}")),
     }
     Ok(Exit::Done)
 }
--- a/src/exit.rs
+++ b/src/exit.rs
@@ -1,26 +1,26 @@
-//! What the program tells a script by its exit code.
+//! The exit codes of the program.
 
 use std::process::ExitCode;
 
 use gs_types::prelude::*;
 
-/// The end of a command.
+/// The exit status of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Exit {
-    /// It is done.
+    /// The command succeeded.
     Done,
     /// A patch was refused, a key was not accepted, or a replay diverged.
     Refused,
-    /// The command line or a file does not read.
+    /// The command line or a file is invalid.
     BadInput,
     /// The peer could not be reached or is not ready.
     Unavailable,
-    /// A patch was handed over, and its verdict is not known.
+    /// A patch was sent, and its outcome is not known.
     Unknown,
 }
 
-/// The exit codes, as every command's help shows them.
-pub(crate) const HELP: &str = "\
+/// The exit codes as shown in the help of every command.
+pub(crate) const EXIT_CODES_HELP: &str = "\
 Exit codes:
   0  done
   1  refused: the patch, the key, or a replay that diverges
@@ -29,7 +29,7 @@
   4  the outcome is not known; sending the same patch again is safe";
 
 impl Exit {
-    /// The end that an error of this kind leads to.
+    /// Returns the exit status for an error of this kind.
     pub(crate) fn of(kind: ErrorKind) -> Self {
         match kind {
             ErrorKind::Conflict | ErrorKind::Forbidden => Self::Refused,
--- a/src/failure.rs
+++ b/src/failure.rs
@@ -1,4 +1,4 @@
-//! Errors for people: a report on stderr, and its exit code.
+//! The errors of commands: their report on stderr, their JSON and their exit code.
 
 use std::fmt;
 use std::io::IsTerminal;
@@ -12,19 +12,19 @@
 use crate::exit::Exit;
 
 /// The width of a report, in columns.
-const WIDTH: usize = 100;
+const REPORT_COLUMNS: usize = 100;
 
 /// Why a command failed.
 #[derive(Debug)]
 pub(crate) enum Failure {
-    /// A step failed.
+    /// A step of the command failed.
     Step(Error),
-    /// The settings are at fault.
+    /// The settings file has faults.
     Settings(Faults),
 }
 
 impl Failure {
-    /// The exit code's meaning.
+    /// Returns the exit status of the command.
     pub(crate) fn exit(&self) -> Exit {
         match self {
             Self::Step(e) => Exit::of(e.kind()),
@@ -32,22 +32,22 @@
         }
     }
 
-    /// The report for a person, coloured on a terminal only.
-    pub(crate) fn report(&self) -> String {
+    /// Returns the report for a person, coloured only on a terminal.
+    pub(crate) fn render_report(&self) -> String {
         let theme = match std::io::stderr().is_terminal() {
             true => GraphicalTheme::unicode(),
             false => GraphicalTheme::unicode_nocolor(),
         };
         let mut s = String::new();
-        let handler = GraphicalReportHandler::new_themed(theme).with_width(WIDTH);
+        let handler = GraphicalReportHandler::new_themed(theme).with_width(REPORT_COLUMNS);
         match handler.render_report(&mut s, self.diagnostic()) {
             Ok(()) => s,
             Err(_) => format!("{self}\n"),
         }
     }
 
-    /// The error for a program, in the form of the administration API.
-    pub(crate) fn json(&self) -> serde_json::Value {
+    /// Returns the error for a program, in the form of the administration API.
+    pub(crate) fn to_json(&self) -> serde_json::Value {
         match self {
             Self::Step(e) => serde_json::json!({
                 "kind": e.kind(),
--- a/src/input.rs
+++ b/src/input.rs
@@ -1,4 +1,4 @@
-//! Reading the small files that commands name.
+//! Reads the small files that are named on the command line.
 
 use std::fs::File;
 use std::io::Read;
@@ -6,11 +6,11 @@
 
 use gs_types::prelude::*;
 
-/// The largest file that a command reads whole: a configuration fills at most one platform object.
-const FILE_MAX: u64 = 4 << 20;
+/// The largest file that a command reads, in bytes: a configuration fits into one platform object.
+const FILE_MAX_BYTES: u64 = 4 << 20;
 
-/// Reads a text file of a bounded size.
-pub(crate) fn text(path: &Path, step: &str) -> Result<String> {
+/// Reads a text file of at most [`FILE_MAX_BYTES`]; `step` names the step in errors.
+pub(crate) fn read_text(path: &Path, step: &str) -> Result<String> {
     let name = path.display();
     let fail = |kind, text: String| Error::new(kind, text).at(step);
     let io = |e: std::io::Error| {
@@ -18,9 +18,11 @@
     };
     let mut buf = Vec::new();
     let file = File::open(path).map_err(io)?;
-    file.take(FILE_MAX + 1).read_to_end(&mut buf).map_err(io)?;
-    if buf.len() as u64 > FILE_MAX {
-        let text = format!("{name} is larger than {FILE_MAX} bytes");
+    file.take(FILE_MAX_BYTES + 1)
+        .read_to_end(&mut buf)
+        .map_err(io)?;
+    if buf.len() as u64 > FILE_MAX_BYTES {
+        let text = format!("{name} is larger than {FILE_MAX_BYTES} bytes");
         return Err(fail(ErrorKind::TooMuch, text));
     }
     String::from_utf8(buf).map_err(|e| {
--- a/src/logging/queue.rs
+++ b/src/logging/queue.rs
@@ -1,7 +1,8 @@
-//! A log that never holds the process up: lines wait in a bounded queue for a thread that writes them.
+//! A log writer that never blocks the process: a thread writes the lines from a bounded queue.
 //!
-//! Standard output may be a pipe whose reader has stopped. A process that writes to it directly then
-//! stands still with all of its requests; here lines are left out, counted, and told of later.
+//! Standard output may be a pipe whose reader has stopped. A process that wrote to it directly
+//! would then block with all of its requests. Here lines are suppressed and counted instead, and a
+//! later line reports the count.
 
 use std::io;
 use std::io::Write;
@@ -20,57 +21,58 @@
 
 use super::write_line;
 
-/// The most lines that wait; at 300 bytes a line, about a megabyte.
+/// The most lines in the queue; at 300 bytes a line, about 1 MB.
 const LINES_MAX: usize = 4096;
 
-/// The most bytes that are written at once.
-const WRITE_MAX: usize = 64 * 1024;
+/// The size at which gathered lines are written, in bytes.
+const WRITE_BYTES: usize = 64 * 1024;
 
-/// The longest that the end of the process waits for the last lines.
-const FLUSH_MAX: Duration = Duration::from_secs(1);
+/// The longest wait for the last lines to be written when the process ends.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What waits in the queue.
+/// An element of the queue.
 enum Entry {
     Line(Vec<u8>),
-    /// Answered once everything before it is written.
+    /// A request to signal when everything before it is written.
     Flush(SyncSender<()>),
 }
 
-/// Hands lines to a thread of its own.
-pub(super) struct Queue {
+/// A log writer that queues its lines for a thread.
+pub(super) struct LogQueue {
     tx: SyncSender<Entry>,
-    left_out: AtomicU64,
+    suppressed: AtomicU64,
 }
 
-impl Queue {
+impl LogQueue {
     /// Starts the thread that writes to `out`.
     ///
     /// # Errors
     ///
-    /// If no thread can be started.
+    /// Returns an error if the thread cannot be started.
     pub(super) fn start(out: impl Write + Send + 'static) -> io::Result<Self> {
         let (tx, rx) = mpsc::sync_channel(LINES_MAX);
         thread::Builder::new()
             .name("log".to_owned())
-            .spawn(move || run(&rx, out))?;
+            .spawn(move || write_queued(&rx, out))?;
         Ok(Self {
             tx,
-            left_out: AtomicU64::new(0),
+            suppressed: AtomicU64::new(0),
         })
     }
 
+    /// Queues a line, or counts it as suppressed if the queue is full.
     fn send(&self, mut line: Vec<u8>) {
-        let left_out = self.left_out.swap(0, Ordering::Relaxed);
-        if left_out > 0 {
-            line.extend_from_slice(format!("event=log-left-out lines={left_out}\n").as_bytes());
+        let suppressed = self.suppressed.swap(0, Ordering::Relaxed);
+        if suppressed > 0 {
+            line.extend_from_slice(format!("event=log-left-out lines={suppressed}\n").as_bytes());
         }
         if let Err(TrySendError::Full(_)) = self.tx.try_send(Entry::Line(line)) {
-            self.left_out.fetch_add(left_out + 1, Ordering::Relaxed);
+            self.suppressed.fetch_add(suppressed + 1, Ordering::Relaxed);
         }
     }
 }
 
-impl LogWriter for Queue {
+impl LogWriter for LogQueue {
     fn write(&self, now: &mut DeferredNow, record: &Record<'_>) -> io::Result<()> {
         let mut line = Vec::with_capacity(256);
         write_line(&mut line, now, record)?;
@@ -81,16 +83,16 @@
 
     fn flush(&self) -> io::Result<()> {
         let (done, written) = mpsc::sync_channel(1);
-        // A full queue or a stuck reader must not keep the process from ending.
+        // A full queue or a stopped reader must not prevent the process from exiting.
         if self.tx.try_send(Entry::Flush(done)).is_ok() {
-            let _ = written.recv_timeout(FLUSH_MAX);
+            let _ = written.recv_timeout(FLUSH_TIMEOUT);
         }
         Ok(())
     }
 }
 
-/// Writes what has gathered in one piece, so that a burst of lines is a few writes.
-fn run(rx: &Receiver<Entry>, mut out: impl Write) {
+/// Writes the queued lines in batches, so that a burst of lines takes few writes.
+fn write_queued(rx: &Receiver<Entry>, mut out: impl Write) {
     let mut buf = Vec::new();
     while let Ok(entry) = rx.recv() {
         let mut flushes = Vec::new();
@@ -100,13 +102,13 @@
                 Entry::Line(line) => buf.extend_from_slice(&line),
                 Entry::Flush(done) => flushes.push(done),
             }
-            next = if buf.len() < WRITE_MAX {
+            next = if buf.len() < WRITE_BYTES {
                 rx.try_recv().ok()
             } else {
                 None
             };
         }
-        // There is nobody to tell that the log itself cannot be written.
+        // A failure to write the log cannot be reported anywhere.
         let _ = out.write_all(&buf).and_then(|()| out.flush());
         buf.clear();
         for done in flushes {
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `gentiansill` program: the command line in front of the process and of what an operator does.
+//! The `gentiansill` program: runs the VM's process and offers the commands for operators.
 
 mod client;
 mod commands;
--- a/src/output.rs
+++ b/src/output.rs
@@ -1,41 +1,44 @@
-//! Writing to stdout, where a reader may go away at any time.
+//! Writes results to stdout, whose reader may close the pipe at any time.
 
 use std::io::Write;
 
 use serde_json::Value;
 
-/// Writes a line; a pipe that was closed, as by `head`, is no fault of ours.
-pub(crate) fn line(text: &str) {
+/// Writes a line; ignores errors, because a reader such as `head` may close the pipe early.
+pub(crate) fn print_line(text: &str) {
     let _ = writeln!(std::io::stdout().lock(), "{text}");
 }
 
-/// Writes a value on lines of its own, for people and programs alike.
-pub(crate) fn json(value: &Value) {
-    line(&format!("{value:#}"));
+/// Writes a value as indented JSON.
+pub(crate) fn print_json(value: &Value) {
+    print_line(&format!("{value:#}"));
 }
 
 /// Writes a value as one `key.key = value` line for each leaf.
-pub(crate) fn flat(value: &Value) {
+pub(crate) fn print_flat(value: &Value) {
     let mut lines = Vec::new();
     flatten("", value, &mut lines);
     for l in lines {
-        line(&l);
+        print_line(&l);
     }
 }
 
-fn flatten(at: &str, value: &Value, out: &mut Vec<String>) {
-    let deeper = |name: &str| match at {
+/// Appends the lines of a value at a path of keys.
+fn flatten(path: &str, value: &Value, out: &mut Vec<String>) {
+    let child_path = |name: &str| match path {
         "" => name.to_owned(),
-        at => format!("{at}.{name}"),
+        path => format!("{path}.{name}"),
     };
     match value {
-        Value::Object(map) => map.iter().for_each(|(k, v)| flatten(&deeper(k), v, out)),
+        Value::Object(map) => map
+            .iter()
+            .for_each(|(k, v)| flatten(&child_path(k), v, out)),
         Value::Array(list) if !list.is_empty() => {
             for (i, v) in list.iter().enumerate() {
-                flatten(&deeper(&i.to_string()), v, out);
+                flatten(&child_path(&i.to_string()), v, out);
             }
         }
-        Value::String(s) => out.push(format!("{at} = {s}")),
-        other => out.push(format!("{at} = {other}")),
+        Value::String(s) => out.push(format!("{path} = {s}")),
+        other => out.push(format!("{path} = {other}")),
     }
 }
--- a/tests/cli/explain.rs
+++ b/tests/cli/explain.rs
@@ -69,7 +69,7 @@
     assert_eq!(r.code, 0, "{}", r.stderr);
     assert!(
         r.stdout
-            .contains("conclusion: its last word is not in these logs"),
+            .contains("conclusion: the final response is not in these logs"),
         "{}",
         r.stdout
     );
--- a/tests/cli/help.rs
+++ b/tests/cli/help.rs
@@ -18,9 +18,9 @@
   check    Checks a settings file or a patch and starts nothing
   status   Shows a summary of a process, one `key = value` a line
   dump     Shows the whole state of a process, or of the fleet through it
-  patch    Sends a patch against a numbered version, and shows its verdict
-  explain  Tells the story of one request from the logs of all VMs, in the order of time
-  replay   Runs a trace through the decisions and compares the outcomes with the stated ones
+  patch    Sends a patch against a numbered version, and shows its outcome
+  explain  Shows what happened to one request, in the order of time, from the logs of all VMs
+  replay   Replays a trace through the engine and compares the outcomes with the stated ones
   version  Shows the version, and that of the trace format
   help     Print this message or the help of the given subcommand(s)
 
--- a/tests/cli/operators.rs
+++ b/tests/cli/operators.rs
@@ -106,7 +106,7 @@
     "503 Service Unavailable",
     r#"{"verdict":"undecided","error":{"kind":"unavailable","text":"the platform is away","step":null,"peer":null,"hint":null}}"#,
     4,
-    "undecided: the platform is away\nsend the same file again to learn its verdict; `--wait` does so"
+    "undecided: the platform is away\nsend the same file again to learn its outcome; `--wait` does so"
 )]
 fn a_verdict(#[case] status: &str, #[case] body: &str, #[case] code: i32, #[case] shown: &str) {
     let (addr, served) = api(&[&answer(status, body)]);
