--- a/crates/trace/tests/trace/common.rs
+++ b/crates/trace/tests/trace/common.rs
@@ -1,4 +1,4 @@
-//! A header, a script and a machine that does what a test tells it.
+//! Test support: a header, the head of a script and a machine with given actions.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -26,7 +26,8 @@
     }
 }
 
-/// The lookups `quote` (urgent), `audit` (complete) and `levy` (at most once), and two shards.
+/// The start of a script: the lookups `quote` (urgent), `audit` (complete) and `levy` (at most
+/// once), and two shards.
 pub const HEAD: &str = r#"
 story = "A story."
 vm = "hobart-1"
@@ -63,28 +64,28 @@
 map = { group = "g", revision = 1, snapshots = { 7 = [["a0", "a1"], ["b0", "b1"]] } }
 "#;
 
-/// A script's events after its configuration and map.
+/// Returns a script's events after its configuration and map.
 pub fn events(steps: &str) -> Vec<(Duration, Event)> {
     let script = Script::parse(&format!("{HEAD}{steps}")).expect("a script");
     script.events().expect("events").split_off(2)
 }
 
-/// Does at each event what a test lists for it.
+/// A machine that performs at each event the actions listed for it.
 #[derive(Default)]
-pub struct Told(pub VecDeque<Vec<Action>>);
+pub struct ScriptedMachine(pub VecDeque<Vec<Action>>);
 
-impl Machine for Told {
+impl Machine for ScriptedMachine {
     fn on(&mut self, _: Instant, _: Event, out: &mut Vec<Action>) {
         out.extend(self.0.pop_front().unwrap_or_default());
     }
 }
 
-/// Judges a script's steps, each with the actions that a test lists for it.
-pub fn judge(stated: &str, steps: &str, actions: Vec<Vec<Action>>) -> Result<(), Divergence> {
+/// Checks a script's steps, each with the actions listed for it, and the expected outcomes.
+pub fn check(expected: &str, steps: &str, actions: Vec<Vec<Action>>) -> Result<(), Divergence> {
     let script = Script::parse(&format!("{HEAD}{steps}")).expect("a script");
     let events = script.events().expect("events");
-    let mut checker = Checker::new(Expectations::parse(stated).expect("outcomes"));
-    // The configuration and the map come first.
+    let mut checker = Checker::new(Expectations::parse(expected).expect("outcomes"));
+    // The configuration and the map are the first two events.
     let mut actions = [vec![], vec![]].into_iter().chain(actions);
     for (number, (at, event)) in (1..).zip(events) {
         checker.on(&Step {
--- a/crates/trace/tests/trace/stated.rs
+++ b/crates/trace/tests/trace/expectations.rs
@@ -1,8 +1,8 @@
-//! The judge names what is not as stated.
+//! The checker reports what differs from the expected outcomes.
 
 use rstest::rstest;
 
-use crate::common::judge;
+use crate::common::check;
 use crate::samples::ARRIVE;
 use crate::samples::dispatch;
 use crate::samples::page;
@@ -29,12 +29,17 @@
 )]
 fn another_outcome_than_stated(#[case] stated: &str, #[case] expected: &str) {
     let steps = format!("{ARRIVE}{}", whole(0, 7, "a"));
-    let asked = vec![
+    let dispatched = vec![
         dispatch("1/0/0", "a0", false),
         dispatch("1/1/0", "b0", false),
     ];
     let stated = format!("[[lookup]]\nseq = 1\n{stated}\n");
-    let d = judge(&stated, &steps, vec![asked, vec![page(&["a"], 2, &[1])]]).expect_err("diverges");
+    let d = check(
+        &stated,
+        &steps,
+        vec![dispatched, vec![page(&["a"], 2, &[1])]],
+    )
+    .expect_err("diverges");
     assert_eq!(d.step, 4);
     assert!(d.text.starts_with(&format!("lookup 1: {expected}")), "{d}");
 }
@@ -62,6 +67,6 @@
 )]
 fn another_course_than_stated(#[case] stated: &str, #[case] step: u64, #[case] expected: &str) {
     let actions = vec![vec![dispatch("1/0/0", "a0", false)]];
-    let d = judge(stated, ARRIVE, actions).expect_err("diverges");
+    let d = check(stated, ARRIVE, actions).expect_err("diverges");
     assert_eq!((d.step, d.text.as_str()), (step, expected));
 }
--- a/crates/trace/tests/trace/fuzz.rs
+++ b/crates/trace/tests/trace/fuzz.rs
@@ -1,4 +1,4 @@
-//! Any bytes at all are read or refused; never a panic, and memory grows with the bytes there are.
+//! Arbitrary bytes are read or rejected without a panic, and yield no more records than bytes.
 
 use gs_trace::Expectations;
 use gs_trace::Reader;
@@ -22,7 +22,7 @@
     }
 }
 
-/// Reads to the end or the first error.
+/// Reads to the end or the first error; a record needs at least one byte.
 fn read(buf: &[u8]) {
     if let Ok(reader) = Reader::new(buf) {
         let records = reader.count();
--- a/crates/trace/tests/trace/judge.rs
+++ b/crates/trace/tests/trace/invariants.rs
@@ -1,10 +1,10 @@
-//! The judge names the first step at which a promise is broken.
+//! The checker reports the first step that breaks an invariant.
 
 use gs_query::Action;
 use gs_types::prelude::*;
 use rstest::rstest;
 
-use crate::common::judge;
+use crate::common::check;
 use crate::samples::ARRIVE;
 use crate::samples::dispatch;
 use crate::samples::page;
@@ -25,14 +25,14 @@
 
 const SENT: &str = "[[step]]\nat = \"1ms\"\nsent = [\"1/0/0\"]\n";
 
-/// Both shards asked; both answer, the second from `snapshot`.
+/// Queries both shards, of which the second answers from `snapshot`, and checks the action `last`.
 fn scatter(lookup: &str, snapshot: u32, last: Action) -> Result<(), String> {
     let steps = format!("{lookup}{}{}", whole(0, 7, "a"), whole(1, snapshot, "b"));
-    let asked = vec![
+    let dispatched = vec![
         dispatch("1/0/0", "a0", false),
         dispatch("1/1/0", "b0", false),
     ];
-    judge("", &steps, vec![asked, vec![], vec![last]]).map_err(|d| d.to_string())
+    check("", &steps, vec![dispatched, vec![], vec![last]]).map_err(|d| d.to_string())
 }
 
 #[test]
@@ -66,7 +66,7 @@
     page(&["a"], 2, &[1]),
     "step 5 at 5ms: lookup 1: it must be complete but lacks shards"
 )]
-#[case::missing_told_twice(
+#[case::missing_listed_twice(
     ARRIVE,
     7,
     page(&["a"], 3, &[1, 1]),
@@ -78,7 +78,7 @@
     refusal(Outcome::NotRun),
     "step 5 at 5ms: lookup 1: the outcome is `not-run` but attempt hobart-1/1/1/0/0 may have run"
 )]
-fn an_untrue_word(
+fn an_outcome_that_breaks_an_invariant(
     #[case] lookup: &str,
     #[case] snapshot: u32,
     #[case] last: Action,
@@ -94,7 +94,7 @@
         dispatch("1/0/0", "a0", false),
         refusal(Outcome::NotRun),
     ]];
-    let d = judge("", &steps, actions).expect_err("diverges");
+    let d = check("", &steps, actions).expect_err("diverges");
     assert_eq!(
         d.to_string(),
         "step 4 at 1ms: attempt hobart-1/1/1/0/0 is sent after the outcome `not-run`"
@@ -104,14 +104,14 @@
 #[test]
 fn answered_twice() {
     let twice = vec![refusal(Outcome::Unknown), refusal(Outcome::Unknown)];
-    let d = judge("", ARRIVE, vec![twice]).expect_err("diverges");
+    let d = check("", ARRIVE, vec![twice]).expect_err("diverges");
     assert_eq!(d.to_string(), "step 3 at 0s: lookup 1 is answered twice");
 }
 
 #[test]
 fn never_answered() {
     let steps = format!("{ARRIVE}[[step]]\nat = \"2s\"\nleave = {{}}\n");
-    let d = judge("", &steps, vec![]).expect_err("diverges");
+    let d = check("", &steps, vec![]).expect_err("diverges");
     assert_eq!(
         d.to_string(),
         "step 4 at 2s: lookup 1 is past its deadline without an answer"
@@ -121,7 +121,7 @@
 #[test]
 fn a_machine_that_goes_another_way_than_the_one_that_recorded() {
     let steps = format!("{ARRIVE}{SENT}");
-    let d = judge("", &steps, vec![]).expect_err("diverges");
+    let d = check("", &steps, vec![]).expect_err("diverges");
     assert_eq!(
         d.to_string(),
         "step 4 at 1ms: attempt hobart-1/1/1/0/0 is in the recording, but this replay did not dispatch it"
@@ -133,7 +133,7 @@
 #[test]
 fn at_most_once_without_a_claim() {
     let actions = vec![vec![dispatch("1/0/0", "a0", true)]];
-    let d = judge("", LEVY, actions).expect_err("diverges");
+    let d = check("", LEVY, actions).expect_err("diverges");
     assert_eq!(
         d.to_string(),
         "step 3 at 0s: attempt hobart-1/1/1/0/0 must run at most once but has no claim"
@@ -157,7 +157,7 @@
     ];
     let expected = "step 6 at 2ms: attempt hobart-1/1/1/0/1 must run at most once but \
                     hobart-1/1/1/0/0 may have run";
-    let found = judge("", &steps, actions).map_err(|d| d.to_string());
+    let found = check("", &steps, actions).map_err(|d| d.to_string());
     match allowed {
         true => assert_eq!(found, Ok(())),
         false => assert_eq!(found, Err(expected.to_owned())),
@@ -173,13 +173,13 @@
 drain = { server = "a0", incarnation = 4, from = "peer" }
 "#;
 
-/// A lookup arrives at `at` and is dispatched to `a0`, which drains since 1 s.
+/// Checks a lookup that arrives at `at` and is dispatched to `a0`, which drains from 1 s on.
 fn drained(at: &str, between: &str) -> Result<(), String> {
     let steps = format!("{DRAIN}{between}{}", ARRIVE.replace("0s", at));
     let before = 2 + between.matches("[[step]]").count();
     let mut actions = vec![vec![]; before];
     actions.push(vec![dispatch("1/0/0", "a0", false)]);
-    judge("", &steps, actions).map_err(|d| d.to_string())
+    check("", &steps, actions).map_err(|d| d.to_string())
 }
 
 #[test]
--- a/crates/trace/tests/trace/main.rs
+++ b/crates/trace/tests/trace/main.rs
@@ -1,11 +1,11 @@
-//! Traces: recorded, read back, replayed and judged.
+//! Tests that record, read, replay and check traces.
 
 mod common;
+mod expectations;
 mod fuzz;
-mod judge;
+mod invariants;
 mod reading;
 mod recording;
 mod replaying;
 mod samples;
 mod scripts;
-mod stated;
--- a/crates/trace/tests/trace/reading.rs
+++ b/crates/trace/tests/trace/reading.rs
@@ -1,4 +1,4 @@
-//! Corrupt, truncated and foreign files are refused with their place.
+//! Corrupt, truncated and foreign files are rejected with the position of the fault.
 
 use gs_trace::Reader;
 use gs_trace::Script;
@@ -7,7 +7,7 @@
 
 use crate::common::HEAD;
 
-/// A trace of three events.
+/// Returns a trace of three events.
 fn trace() -> Vec<u8> {
     let script = Script::parse(&format!(
         "{HEAD}\n[[step]]\nat = \"1ms\"\ntick = {{ every = \"1ms\", until = \"1ms\" }}\n"
@@ -17,11 +17,11 @@
     buf
 }
 
-/// Reads all and tells the first error.
-fn refused(buf: &[u8]) -> Error {
+/// Reads a trace and returns its first error.
+fn first_error(buf: &[u8]) -> Error {
     match Reader::new(buf) {
         Err(e) => e,
-        Ok(reader) => reader.filter_map(Result::err).next().expect("refused"),
+        Ok(reader) => reader.filter_map(Result::err).next().expect("an error"),
     }
 }
 
@@ -50,14 +50,14 @@
     "record 0 at byte 10: it declares 4294967295 bytes, more than 4194304 (step: read trace)"
 )]
 fn a_file_that_is_no_trace(#[case] buf: &[u8], #[case] expected: &str) {
-    assert_eq!(refused(buf).to_string(), expected);
+    assert_eq!(first_error(buf).to_string(), expected);
 }
 
 #[test]
 fn a_trace_cut_anywhere_is_refused() {
     let buf = trace();
     for len in 0..buf.len() {
-        let e = refused(&buf[..len]);
+        let e = first_error(&buf[..len]);
         assert_eq!(e.kind(), ErrorKind::BadInput, "{e}");
     }
 }
@@ -68,7 +68,7 @@
     for at in 0..buf.len() {
         let mut bad = buf.clone();
         bad[at] ^= 0x40;
-        refused(&bad);
+        first_error(&bad);
     }
 }
 
@@ -77,7 +77,7 @@
     let mut buf = trace();
     // The end mark is a frame of 8 bytes and its payload of 2.
     buf.truncate(buf.len() - 10);
-    let e = refused(&buf);
+    let e = first_error(&buf);
     assert!(e.to_string().starts_with("record 4 at byte "), "{e}");
     assert!(
         e.to_string()
@@ -94,7 +94,7 @@
 fn bytes_after_the_end_are_refused() {
     let mut buf = trace();
     buf.push(0);
-    let e = refused(&buf);
+    let e = first_error(&buf);
     assert!(
         e.to_string().contains("there is data after the end mark"),
         "{e}"
--- a/crates/trace/tests/trace/recording.rs
+++ b/crates/trace/tests/trace/recording.rs
@@ -1,4 +1,4 @@
-//! What is recorded is read back as it was; what is lost is told.
+//! Recorded events are read back unchanged, and lost ones are counted.
 
 use std::io;
 use std::io::Write;
@@ -17,21 +17,21 @@
 use gs_trace::Recorder;
 use gs_trace::Replay;
 
-use crate::common::Told;
+use crate::common::ScriptedMachine;
 use crate::common::events;
 use crate::common::header;
 
-/// A file in memory, whose next write can be held up.
+/// A file in memory whose next write can be blocked.
 #[derive(Clone)]
 struct File {
     buf: Arc<Mutex<Vec<u8>>>,
     gate: Arc<Mutex<Option<Gate>>>,
 }
 
-/// Tells that a write has come, and holds it until it may go on.
+/// Signals that a write has started, and blocks it until it is released.
 struct Gate {
-    held: mpsc::Sender<()>,
-    go: mpsc::Receiver<()>,
+    blocked: mpsc::Sender<()>,
+    released: mpsc::Receiver<()>,
 }
 
 impl File {
@@ -51,8 +51,8 @@
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
         let gate = self.gate.lock().expect("the gate").take();
         if let Some(gate) = gate {
-            gate.held.send(()).expect("told");
-            gate.go.recv().expect("let go");
+            gate.blocked.send(()).expect("signalled");
+            gate.released.recv().expect("released");
         }
         self.buf.lock().expect("the file").extend_from_slice(buf);
         Ok(buf.len())
@@ -96,7 +96,7 @@
     assert_eq!(read(&file.bytes()), expected);
 }
 
-/// Records a tick and a wake-up, then replays against a machine that asks for `wakes`.
+/// Records ticks with wake-ups, and replays them exactly with a machine that requests `wakes`.
 fn replayed(wakes: [u64; 2]) -> Result<(), String> {
     let wake = |ms| Action::Wake(Duration::from_millis(ms));
     let file = File::new();
@@ -109,7 +109,7 @@
     recorder.record_event(now, &Event::Tick);
     recorder.record_event(now, &Event::Leave);
     recorder.finish().expect("written");
-    let machine = Told(wakes.map(|ms| vec![wake(ms)]).into_iter().collect());
+    let machine = ScriptedMachine(wakes.map(|ms| vec![wake(ms)]).into_iter().collect());
     let bytes = file.bytes();
     let reader = Reader::new(bytes.as_slice()).expect("a trace");
     let mut checker = Checker::new(Expectations::default()).exact();
@@ -132,20 +132,20 @@
 
 #[test]
 fn a_slow_disk_loses_events_and_never_holds_the_process_up() {
-    // Story: the file stands still for a while, so the queue fills up. The process must not wait;
-    // the events that find no room are counted, and the trace says where they are missing.
+    // A write to the file blocks, so the queue fills up. The process must not block; the events
+    // that do not fit are counted, and the trace contains a gap where they are missing.
     let file = File::new();
     let now = Instant::now();
     let mut recorder = Recorder::start(file.clone(), &header(), now).expect("started");
-    let (held, is_held) = mpsc::channel();
-    let (let_go, go) = mpsc::channel();
-    *file.gate.lock().expect("the gate") = Some(Gate { held, go });
+    let (blocked, is_blocked) = mpsc::channel();
+    let (release, released) = mpsc::channel();
+    *file.gate.lock().expect("the gate") = Some(Gate { blocked, released });
     recorder.record_event(now, &Event::Tick);
-    is_held.recv().expect("the writer stands still");
+    is_blocked.recv().expect("the writer is blocked");
     for _ in 0..20_000 {
         recorder.record_event(now, &Event::Tick);
     }
-    let_go.send(()).expect("let go");
+    release.send(()).expect("released");
     let done = recorder.finish().expect("written");
     // The queue holds 8,192 events.
     assert_eq!((done.events, done.lost), (1 + 8192, 20_000 - 8192));
@@ -175,6 +175,6 @@
     let now = Instant::now();
     let mut recorder = Recorder::start(Full(0), &header(), now).expect("started");
     recorder.record_event(now + Duration::from_millis(1), &Event::Tick);
-    let e = recorder.finish().expect_err("refused");
+    let e = recorder.finish().expect_err("an error");
     assert_eq!(e.to_string(), "no space left (step: record)");
 }
--- a/crates/trace/tests/trace/replaying.rs
+++ b/crates/trace/tests/trace/replaying.rs
@@ -1,4 +1,4 @@
-//! A replay does again what was done, and stops where it cannot.
+//! A replay feeds the recorded events to the machine, and ends with an error where it cannot.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,7 +9,7 @@
 use gs_trace::Replay;
 use gs_types::prelude::*;
 
-use crate::common::Told;
+use crate::common::ScriptedMachine;
 
 fn at(ms: u64) -> Result<Record> {
     Ok(Record::Event {
@@ -21,19 +21,23 @@
 #[test]
 fn each_event_reaches_the_machine_with_its_time() {
     let wake = Action::Wake(Duration::from_millis(3));
-    let machine = Told([vec![wake.clone()], vec![]].into());
+    let machine = ScriptedMachine([vec![wake.clone()], vec![]].into());
     let steps: Vec<_> = Replay::new([at(1), at(2)].into_iter(), machine, Instant::now())
         .collect::<Result<_>>()
         .expect("steps");
-    let told: Vec<_> = steps.iter().map(|s| (s.number, s.at.as_millis())).collect();
-    assert_eq!(told, [(1, 1), (2, 2)]);
+    let found: Vec<_> = steps.iter().map(|s| (s.number, s.at.as_millis())).collect();
+    assert_eq!(found, [(1, 1), (2, 2)]);
     assert_eq!(steps[0].actions, [wake]);
 }
 
 #[test]
 fn a_gap_ends_the_replay() {
     let records = [at(1), Ok(Record::Gap { lost: 9 }), at(2)];
-    let mut replay = Replay::new(records.into_iter(), Told::default(), Instant::now());
+    let mut replay = Replay::new(
+        records.into_iter(),
+        ScriptedMachine::default(),
+        Instant::now(),
+    );
     assert!(replay.next().expect("a step").is_ok());
     let e = replay.next().expect("an error").expect_err("refused");
     assert_eq!(
@@ -45,7 +49,11 @@
 
 #[test]
 fn time_that_runs_backwards_ends_the_replay() {
-    let mut replay = Replay::new([at(2), at(1)].into_iter(), Told::default(), Instant::now());
+    let mut replay = Replay::new(
+        [at(2), at(1)].into_iter(),
+        ScriptedMachine::default(),
+        Instant::now(),
+    );
     assert!(replay.next().expect("a step").is_ok());
     let e = replay.next().expect("an error").expect_err("refused");
     assert_eq!(
--- a/crates/trace/tests/trace/samples.rs
+++ b/crates/trace/tests/trace/samples.rs
@@ -1,4 +1,4 @@
-//! Steps and actions that the judge is shown.
+//! Sample steps and actions for the tests of the checker.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,14 +7,14 @@
 use gs_query::Dispatch;
 use gs_types::prelude::*;
 
-/// Lookup 1 arrives.
+/// The arrival of lookup 1.
 pub const ARRIVE: &str = r#"
 [[step]]
 at = "0s"
 arrive = { seq = 1, lookup = "quote", query = "salmon" }
 "#;
 
-/// The whole part of a shard from a snapshot, with one document.
+/// Returns the reply with a complete part of a shard from a snapshot, with one document.
 pub fn whole(shard: u32, snapshot: u32, doc: &str) -> String {
     format!(
         "[[step]]\nat = \"5ms\"\nreply = {{ to = [\"1/{shard}/0\"], whole = {{ snapshot = \
@@ -22,7 +22,7 @@
     )
 }
 
-/// An attempt at a server.
+/// Returns the dispatch of an attempt to a server.
 pub fn dispatch(short: &str, server: &str, once: bool) -> Action {
     let addr = "127.0.0.1:9000".parse().expect("an address");
     let server = ServerDecl {
@@ -46,7 +46,7 @@
     })
 }
 
-/// The page of lookup 1 from snapshot 7, without these shards.
+/// Returns the page of lookup 1 from snapshot 7, without the `missing` shards.
 pub fn page(docs: &[&str], shards: u32, missing: &[u32]) -> Action {
     let hit = |d: &&str| Hit {
         doc: (*d).into(),
@@ -72,7 +72,7 @@
     Action::Answer(LookupSeq(1), Outcome::Answered(answer))
 }
 
-/// A refusal of lookup 1.
+/// Returns a refusal of lookup 1.
 pub fn refusal(run: fn(Refusal) -> Outcome) -> Action {
     let refusal = Refusal::new(RefusalReason::Failed, None);
     Action::Answer(LookupSeq(1), run(refusal))
--- a/crates/trace/tests/trace/scripts.rs
+++ b/crates/trace/tests/trace/scripts.rs
@@ -22,10 +22,10 @@
         leave = {}
         "#,
     );
-    let told: Vec<_> = events.iter().map(|(at, e)| (at.as_millis(), e)).collect();
+    let found: Vec<_> = events.iter().map(|(at, e)| (at.as_millis(), e)).collect();
     let gone = Event::Gone(gs_types::ids::LookupSeq(1));
     assert_eq!(
-        told,
+        found,
         [
             (1, &Event::Tick),
             (1, &Event::Leave),
@@ -58,7 +58,7 @@
 )]
 fn a_step_that_is_refused(#[case] step: &str, #[case] expected: &str) {
     let script = Script::parse(&format!("{HEAD}\n[[step]]\n{step}\n")).expect("a script");
-    let e = script.events().expect_err("refused");
+    let e = script.events().expect_err("an error");
     assert_eq!(e.to_string(), expected);
 }
 
@@ -72,7 +72,7 @@
     "unknown variant `well`"
 )]
 fn a_script_that_does_not_read(#[case] step: &str, #[case] line: u32, #[case] expected: &str) {
-    let e = Script::parse(&format!("{HEAD}\n[[step]]\n{step}\n")).expect_err("refused");
+    let e = Script::parse(&format!("{HEAD}\n[[step]]\n{step}\n")).expect_err("an error");
     assert!(e.to_string().contains(expected), "{e}");
     assert!(e.to_string().contains(&format!("line {line},")), "{e}");
 }
--- a/src/commands/steps.rs
+++ b/src/commands/steps.rs
@@ -41,7 +41,7 @@
         Event::Sent(id) => format!("{id} is sent"),
         Event::Reply(id, PartReply::Whole { snapshot, part, .. }) => {
             format!(
-                "{id} ends: whole from snapshot {snapshot}, docs [{}]",
+                "{id} ends: complete part from snapshot {snapshot}, docs [{}]",
                 format_docs(&part.hits)
             )
         }
