--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -25,7 +25,7 @@
     },
     /// The recorder fell behind and lost events here, so the records after it cannot be replayed.
     Gap {
-        /// The number of events lost.
+        /// The number of events and actions lost.
         lost: u64,
     },
     /// The end mark of a finished recording; a trace without it was cut short.
