--- a/src/commands/replay.rs
+++ b/src/commands/replay.rs
@@ -132,7 +132,7 @@
 fn nothing_to_compare() -> Error {
     Error::new(
         ErrorKind::BadInput,
-        "the trace does not contain the actions",
+        "the trace contains no recorded actions",
     )
     .at("replay")
     .with_hint("leave out `--exact`; only a trace of `serve --record` can be compared")
--- a/tests/cli/replay.rs
+++ b/tests/cli/replay.rs
@@ -127,7 +127,7 @@
 fn a_script_cannot_be_compared_with_a_run() {
     let dir = files(&[("t.toml", SCRIPT)]);
     let r = run_in(dir.path(), &["replay", "t.toml", "--exact"]);
-    let expected = "  × the trace does not contain the actions (step: replay)
+    let expected = "  × the trace contains no recorded actions (step: replay)
   help: leave out `--exact`; only a trace of `serve --record` can be compared";
     assert_eq!((r.code, r.stderr.as_str()), (2, expected));
 }
