--- a/crates/node/src/recording.rs
+++ b/crates/node/src/recording.rs
@@ -35,14 +35,14 @@
     /// Records one event; called just before the engine processes it.
     pub(crate) fn record_event(&self, now: Instant, ev: &Event) {
         if let Some(recorder) = lock(&self.0).as_mut() {
-            recorder.record(now, ev);
+            recorder.record_event(now, ev);
         }
     }
 
     /// Records one action of the engine.
     pub(crate) fn record_action(&self, action: &Action) {
         if let Some(recorder) = lock(&self.0).as_mut() {
-            recorder.acted(action);
+            recorder.record_action(action);
         }
     }
 
