--- a/crates/rig/src/control.rs
+++ b/crates/rig/src/control.rs
@@ -63,7 +63,7 @@
         /// The server.
         server: Option<ServerName>,
         /// How.
-        how: Spoilage,
+        how: ReplyFault,
         /// The share, 0 to 1.
         share: f64,
     },
@@ -100,7 +100,7 @@
 /// How a reply is spoilt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Spoilage {
+pub enum ReplyFault {
     /// Left alone.
     #[default]
     None,
--- a/crates/rig/src/cost.rs
+++ b/crates/rig/src/cost.rs
@@ -202,7 +202,7 @@
     let mut asked = JoinSet::new();
     for _ in 0..IN_FLIGHT {
         let (caller, ask, addr) = (caller.clone(), mix.draw(), vm.plan().callers);
-        asked.spawn(async move { caller.ask(addr, &ask).await });
+        asked.spawn(async move { caller.request(addr, &ask).await });
     }
     tokio::time::sleep(WARM_UP).await;
     let busy = vm.usage()?.resident;
--- a/crates/rig/src/deployment.rs
+++ b/crates/rig/src/deployment.rs
@@ -17,9 +17,9 @@
 use crate::deploy::config;
 use crate::deploy::plan_vms;
 use crate::link::Link;
-use crate::load::AskMix;
 use crate::load::Caller;
 use crate::load::Checker;
+use crate::load::LookupMix;
 use crate::load::Targets;
 use crate::net::Net;
 use crate::net::Site;
@@ -108,7 +108,7 @@
             d.vms.push(vm);
         }
         for vm in &mut d.vms {
-            let after = vm.until_ready(START_LIMIT).await?;
+            let after = vm.wait_until_ready(START_LIMIT).await?;
             d.ready_after.push(after);
         }
         Ok(d)
@@ -208,8 +208,8 @@
 
     /// A mix of lookups over this deployment's text.
     #[must_use]
-    pub fn mix(&self, seed: u64) -> AskMix {
-        AskMix::new(&self.shape, &self.corpus, seed)
+    pub fn mix(&self, seed: u64) -> LookupMix {
+        LookupMix::new(&self.shape, &self.corpus, seed)
     }
 
     /// Cuts a data centre off from the others and from the platform.
@@ -247,7 +247,7 @@
         let plan = self.vms[vm].plan().clone();
         self.vms[vm].kill();
         self.vms[vm] = self.start_process(plan)?;
-        self.vms[vm].until_ready(START_LIMIT).await?;
+        self.vms[vm].wait_until_ready(START_LIMIT).await?;
         Ok(())
     }
 
--- a/crates/rig/src/load/ask.rs
+++ b/crates/rig/src/load/ask.rs
@@ -23,7 +23,7 @@
 
 /// One lookup as a caller asks it.
 #[derive(Clone, Debug)]
-pub struct LookupAsk {
+pub struct LookupRequest {
     /// The front.
     pub front: &'static str,
     /// The lookup and what it is promised.
@@ -42,7 +42,7 @@
 
 /// Draws lookups by their weights, over words and books that the text holds.
 #[derive(Debug)]
-pub struct AskMix {
+pub struct LookupMix {
     front: &'static str,
     lookups: Vec<LookupShape>,
     queries: Vec<Arc<str>>,
@@ -52,7 +52,7 @@
     rng: ChaCha8Rng,
 }
 
-impl AskMix {
+impl LookupMix {
     /// Starts a mix over this deployment and text.
     #[must_use]
     pub fn new(shape: &Shape, corpus: &Corpus, seed: u64) -> Self {
@@ -90,7 +90,7 @@
     }
 
     /// Draws the next lookup.
-    pub fn draw(&mut self) -> LookupAsk {
+    pub fn draw(&mut self) -> LookupRequest {
         self.drawn += 1;
         let lookup = self.draw_lookup();
         let keyed = lookup.scope == Scope::Keyed;
@@ -103,7 +103,7 @@
             query = format!("{} {word}", self.queries[0]).into();
         }
         let book = self.books[self.rng.random_range(0..self.books.len())].clone();
-        LookupAsk {
+        LookupRequest {
             front: self.front,
             lookup,
             query,
--- a/crates/rig/src/load/caller.rs
+++ b/crates/rig/src/load/caller.rs
@@ -14,7 +14,7 @@
 use serde::Deserialize;
 use serde_json::json;
 
-use super::ask::LookupAsk;
+use super::ask::LookupRequest;
 
 /// How long a caller waits beyond any deadline before it takes the request for cut.
 const PATIENCE: Duration = Duration::from_secs(15);
@@ -112,8 +112,8 @@
     }
 
     /// Asks one lookup of the VM at this address.
-    pub async fn ask(&self, vm: SocketAddr, ask: &LookupAsk) -> Reply {
-        let req = match request(vm, ask) {
+    pub async fn request(&self, vm: SocketAddr, ask: &LookupRequest) -> Reply {
+        let req = match build_request(vm, ask) {
             Ok(req) => req,
             Err(e) => return Reply::Cut(e.to_string()),
         };
@@ -170,7 +170,7 @@
     }
 }
 
-fn request(vm: SocketAddr, ask: &LookupAsk) -> Result<Request<Full<Bytes>>> {
+fn build_request(vm: SocketAddr, ask: &LookupRequest) -> Result<Request<Full<Bytes>>> {
     let mut body = json!({ "query": ask.query });
     if let Some(key) = &ask.key {
         body["key"] = json!(key);
--- a/crates/rig/src/load/check.rs
+++ b/crates/rig/src/load/check.rs
@@ -6,7 +6,7 @@
 
 use gs_types::prelude::*;
 
-use super::ask::LookupAsk;
+use super::ask::LookupRequest;
 use super::caller::CallerAnswer;
 use super::caller::Reply;
 use crate::deploy::Snapshots;
@@ -56,7 +56,7 @@
 
     /// Finds the first thing wrong with a reply, if any.
     #[must_use]
-    pub fn check(&self, ask: &LookupAsk, reply: &Reply) -> Option<Fault> {
+    pub fn check(&self, ask: &LookupRequest, reply: &Reply) -> Option<Fault> {
         match reply {
             Reply::Outcome { answer, .. } => self.check_answer(ask, answer),
             Reply::Cut(_) => Some(Fault::Cut),
@@ -75,7 +75,7 @@
         }
     }
 
-    fn check_answer(&self, ask: &LookupAsk, answer: &CallerAnswer) -> Option<Fault> {
+    fn check_answer(&self, ask: &LookupRequest, answer: &CallerAnswer) -> Option<Fault> {
         if answer.front != ask.front || answer.lookup != ask.lookup.name {
             return Some(Fault::Crossed);
         }
@@ -93,7 +93,7 @@
         ran.then_some(Fault::NotRunButRan)
     }
 
-    fn check_page(&self, ask: &LookupAsk, page: &Answer) -> Option<Fault> {
+    fn check_page(&self, ask: &LookupRequest, page: &Answer) -> Option<Fault> {
         let shards = self.snapshots.shards(ask.lookup.group, page.snapshot);
         let asked = match ask.lookup.scope {
             Scope::Scatter => shards,
@@ -123,7 +123,7 @@
 
     fn check_hits(
         &self,
-        ask: &LookupAsk,
+        ask: &LookupRequest,
         page: &Answer,
         shards: u32,
         missing: &BTreeSet<ShardId>,
--- a/crates/rig/src/load/mod.rs
+++ b/crates/rig/src/load/mod.rs
@@ -8,8 +8,8 @@
 mod table;
 mod tally;
 
-pub use ask::AskMix;
-pub use ask::LookupAsk;
+pub use ask::LookupMix;
+pub use ask::LookupRequest;
 pub use caller::Caller;
 pub use caller::CallerAnswer;
 pub use caller::Reply;
--- a/crates/rig/src/load/run.rs
+++ b/crates/rig/src/load/run.rs
@@ -17,8 +17,8 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-use super::ask::AskMix;
-use super::ask::LookupAsk;
+use super::ask::LookupMix;
+use super::ask::LookupRequest;
 use super::caller::Caller;
 use super::caller::Reply;
 use super::check::Checker;
@@ -97,7 +97,7 @@
 /// Runs load, waits until every request has ended, and gives the tallies by lookup.
 pub async fn run(
     spec: LoadSpec,
-    mut mix: AskMix,
+    mut mix: LookupMix,
     targets: Arc<Targets>,
     checker: Option<Checker>,
 ) -> BTreeMap<&'static str, Tally> {
@@ -129,7 +129,7 @@
 }
 
 /// One request with its resends; its latency counts from when it was due to arrive.
-async fn one(shared: Shared, ask: LookupAsk, due: Instant) {
+async fn one(shared: Shared, ask: LookupRequest, due: Instant) {
     let mut left = shared.spec.resends.map_or(0, |r| r.most);
     loop {
         let reply = send(&shared, &ask).await;
@@ -159,7 +159,7 @@
     }
 }
 
-async fn send(shared: &Shared, ask: &LookupAsk) -> Reply {
+async fn send(shared: &Shared, ask: &LookupRequest) -> Reply {
     let delay = shared.spec.to_callers;
     let Some(vm) = shared.targets.next() else {
         return Reply::Unreachable;
@@ -167,7 +167,7 @@
     if !delay.is_zero() {
         tokio::time::sleep(delay).await;
     }
-    let reply = shared.caller.ask(vm, ask).await;
+    let reply = shared.caller.request(vm, ask).await;
     if !delay.is_zero() {
         tokio::time::sleep(delay).await;
     }
--- a/crates/rig/src/platform/control.rs
+++ b/crates/rig/src/platform/control.rs
@@ -22,7 +22,7 @@
     /// Answer so many milliseconds late; a write takes effect before the delay.
     pub delay_ms: Option<u64>,
     /// Drop the connection in place of an answer for the next writes that take effect.
-    pub lose: Option<Lose>,
+    pub lose: Option<AnswerLoss>,
     /// Take writes, but let them take effect only when this is set to false again. The caller's
     /// connection is dropped at once.
     pub stall_writes: Option<bool>,
@@ -47,7 +47,7 @@
 /// Which answers of writes to lose.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Lose {
+pub struct AnswerLoss {
     /// How many.
     pub count: u32,
     /// Only of objects under this prefix; empty for all.
--- a/crates/rig/src/platform/mod.rs
+++ b/crates/rig/src/platform/mod.rs
@@ -26,9 +26,9 @@
 mod server;
 mod vms;
 
+pub use control::AnswerLoss;
 pub use control::Control;
 pub use control::Limits;
-pub use control::Lose;
 pub use counts::Counts;
 pub use server::Platform;
 pub use server::PlatformOptions;
--- a/crates/rig/src/platform/server.rs
+++ b/crates/rig/src/platform/server.rs
@@ -22,9 +22,9 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
+use super::control::AnswerLoss;
 use super::control::Control;
 use super::control::Limits;
-use super::control::Lose;
 use super::counts::Counts;
 use super::counts::Kind;
 use super::http;
@@ -143,7 +143,7 @@
     pub(super) down: bool,
     pub(super) silent: bool,
     pub(super) delay: Duration,
-    pub(super) lose: Lose,
+    pub(super) lose: AnswerLoss,
     pub(super) stalled: Option<Vec<(String, u64, Bytes)>>,
     cut: Vec<IpAddr>,
     cut_data_centres: Vec<DataCentre>,
@@ -241,7 +241,7 @@
             down: false,
             silent: false,
             delay: options.delay,
-            lose: Lose::default(),
+            lose: AnswerLoss::default(),
             stalled: None,
             cut: Vec::new(),
             cut_data_centres: Vec::new(),
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -94,7 +94,7 @@
     /// # Errors
     ///
     /// If it exits, or is not ready within `limit`.
-    pub async fn until_ready(&mut self, limit: Duration) -> Result<Duration> {
+    pub async fn wait_until_ready(&mut self, limit: Duration) -> Result<Duration> {
         let caller = Caller::new();
         let end = Instant::now() + limit;
         loop {
@@ -133,7 +133,7 @@
     /// # Errors
     ///
     /// If it has not within `limit`.
-    pub async fn until_exit(&mut self, limit: Duration) -> Result<ExitStatus> {
+    pub async fn wait_for_exit(&mut self, limit: Duration) -> Result<ExitStatus> {
         let end = Instant::now() + limit;
         loop {
             match self.child.try_wait() {
--- a/crates/rig/src/server/faults.rs
+++ b/crates/rig/src/server/faults.rs
@@ -8,7 +8,7 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use crate::control::Spoilage;
+use crate::control::ReplyFault;
 
 /// Times slower than warm, at the first moment after a restart.
 const COLD_FACTOR: f64 = 4.0;
@@ -21,7 +21,7 @@
     pub(super) claimed_load: Option<u32>,
     pub(super) straggle_share: f64,
     pub(super) straggle_factor: f64,
-    pub(super) spoilage: Spoilage,
+    pub(super) spoilage: ReplyFault,
     pub(super) spoilage_share: f64,
     pub(super) snapshots: BTreeSet<SnapshotId>,
     pub(super) cold_since: Option<Instant>,
@@ -36,7 +36,7 @@
             claimed_load: None,
             straggle_share: 0.0,
             straggle_factor: 1.0,
-            spoilage: Spoilage::None,
+            spoilage: ReplyFault::None,
             spoilage_share: 0.0,
             snapshots: BTreeSet::new(),
             cold_since: None,
@@ -55,11 +55,11 @@
     }
 
     /// Draws how one reply is spoilt.
-    pub(super) fn spoil(&mut self) -> Spoilage {
+    pub(super) fn spoil(&mut self) -> ReplyFault {
         if self.draw(self.spoilage_share) {
             self.spoilage
         } else {
-            Spoilage::None
+            ReplyFault::None
         }
     }
 
--- a/crates/rig/src/server/reply.rs
+++ b/crates/rig/src/server/reply.rs
@@ -12,7 +12,7 @@
 use crate::body::Body;
 use crate::body::cut_short;
 use crate::body::whole;
-use crate::control::Spoilage;
+use crate::control::ReplyFault;
 
 /// When a server that sheds wants to be asked again.
 const SHED_RETRY: Duration = Duration::from_millis(50);
@@ -91,13 +91,13 @@
     let mut digest = digest.as_str();
     let crossed;
     match how {
-        Spoilage::Crossed => {
+        ReplyFault::Crossed => {
             (attempt, body) = cross(server, attempt, body);
             crossed = format!("{:016x}", xxh3_64(&body));
             digest = &crossed;
         }
-        Spoilage::Garbled => garble(&mut body),
-        Spoilage::None | Spoilage::Truncated => {}
+        ReplyFault::Garbled => garble(&mut body),
+        ReplyFault::None | ReplyFault::Truncated => {}
     }
     let (load, snapshot) = (server.told_load().to_string(), snapshot.to_string());
     let mut headers = vec![
@@ -111,7 +111,7 @@
     }
     let length = body.len();
     let mut resp = with_body(200, &headers, body);
-    if how == Spoilage::Truncated {
+    if how == ReplyFault::Truncated {
         cut_short(&mut resp, length, vec![b'['; length / 2].into());
     }
     resp
--- a/crates/rig/src/site/backend.rs
+++ b/crates/rig/src/site/backend.rs
@@ -160,7 +160,7 @@
     }
 
     /// Misbehaves from now on.
-    pub fn misbehave(&self, faults: BackendFaults) {
+    pub fn set_faults(&self, faults: BackendFaults) {
         *lock(&self.inner.faults) = faults;
     }
 
--- a/crates/rig/src/site/caller.rs
+++ b/crates/rig/src/site/caller.rs
@@ -19,7 +19,7 @@
 
 /// What became of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum CallOutcome {
     /// A right answer, with the shards that it left out.
     Right(usize),
     /// Refused as not run, with the time to come back in milliseconds.
@@ -32,13 +32,13 @@
     Wrong(String),
 }
 
-/// An answer and its verdict.
+/// An answer and its check result.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// The caller's id of the request.
     pub id: String,
     /// What became of it.
-    pub verdict: Verdict,
+    pub outcome: CallOutcome,
 }
 
 /// A caller with kept connections.
@@ -65,17 +65,17 @@
     }
 
     /// Asks a VM on a route, and checks the answer.
-    pub async fn ask(&self, vm: SocketAddr, route: &SiteRoute, id: &str) -> Answer {
+    pub async fn request(&self, vm: SocketAddr, route: &SiteRoute, id: &str) -> Answer {
         let target = format!("{}{id}", route.prefix);
         let limit = Duration::from_millis(3500);
         let asked = tokio::time::timeout(limit, self.send(vm, &target, id)).await;
-        let verdict = match asked {
+        let outcome = match asked {
             Ok(Some(res)) => check(&res, route, &target, id),
-            Ok(None) | Err(_) => Verdict::Cut,
+            Ok(None) | Err(_) => CallOutcome::Cut,
         };
         Answer {
             id: id.to_owned(),
-            verdict,
+            outcome,
         }
     }
 
@@ -94,23 +94,23 @@
     }
 }
 
-fn check(res: &Response<Bytes>, route: &SiteRoute, target: &str, id: &str) -> Verdict {
+fn check(res: &Response<Bytes>, route: &SiteRoute, target: &str, id: &str) -> CallOutcome {
     let text = |name: &str| res.headers().get(name).and_then(|v| v.to_str().ok());
     match res.status() {
         StatusCode::OK => {}
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
             let seconds: Option<f64> = text("retry-after").and_then(|s| s.parse().ok());
-            return Verdict::NotRun(seconds.map(|s| (s * 1000.0) as u64));
+            return CallOutcome::NotRun(seconds.map(|s| (s * 1000.0) as u64));
         }
-        s => return Verdict::Failed(s.as_u16()),
+        s => return CallOutcome::Failed(s.as_u16()),
     }
-    let wrong = |what: &str| Verdict::Wrong(format!("{what}: {res:?}"));
+    let wrong = |what: &str| CallOutcome::Wrong(format!("{what}: {res:?}"));
     let Some((page, share)) = route.page else {
         let service = &route.services[0];
         let stamped = text("answer-stamp").is_some_and(|s| is_of(s, service, id));
         let is_whole = res.body() == &part(service, target);
         return match stamped && is_whole {
-            true => Verdict::Right(0),
+            true => CallOutcome::Right(0),
             false => wrong("not the server's answer"),
         };
     };
@@ -140,7 +140,7 @@
     records.sort_unstable_by(|a, b| b.cmp(a));
     records.truncate(page);
     match res.body()[..] == records.concat() {
-        true => Verdict::Right(missing),
+        true => CallOutcome::Right(missing),
         false => wrong("not the greatest records of its parts"),
     }
 }
--- a/crates/rig/src/site/proxy.rs
+++ b/crates/rig/src/site/proxy.rs
@@ -15,7 +15,7 @@
 
 /// What happens to connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Harm {
+pub enum LinkFault {
     /// Nothing.
     #[default]
     None,
@@ -32,7 +32,7 @@
 /// A proxy; ends when dropped.
 pub struct FaultProxy {
     addr: SocketAddr,
-    harm: watch::Sender<Harm>,
+    harm: watch::Sender<LinkFault>,
     task: JoinHandle<()>,
 }
 
@@ -46,7 +46,7 @@
         let failed = |e: std::io::Error| Error::new(ErrorKind::Io, e.to_string()).at("start proxy");
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.map_err(failed)?;
         let addr = listener.local_addr().map_err(failed)?;
-        let (harm, seen) = watch::channel(Harm::None);
+        let (harm, seen) = watch::channel(LinkFault::None);
         let task = tokio::spawn(async move {
             let mut connections = tokio::task::JoinSet::new();
             loop {
@@ -68,7 +68,7 @@
     }
 
     /// Harms connections like this from now on.
-    pub fn harm(&self, harm: Harm) {
+    pub fn set_fault(&self, harm: LinkFault) {
         self.harm.send_replace(harm);
     }
 }
@@ -79,10 +79,10 @@
     }
 }
 
-async fn connection(near: TcpStream, target: SocketAddr, harm: watch::Receiver<Harm>) {
+async fn connection(near: TcpStream, target: SocketAddr, harm: watch::Receiver<LinkFault>) {
     // A zero linger turns the close into a reset.
     let reset = |tcp: &TcpStream| tcp.set_zero_linger();
-    if *harm.borrow() == Harm::Reset {
+    if *harm.borrow() == LinkFault::Reset {
         let _ = reset(&near);
         return;
     }
@@ -101,7 +101,7 @@
                 pump(far_r, near_w, harm.clone(), true),
             )
         } => {}
-        _ = resets.wait_for(|h| *h == Harm::Reset) => {}
+        _ = resets.wait_for(|h| *h == LinkFault::Reset) => {}
     }
 }
 
@@ -109,7 +109,7 @@
 async fn pump(
     mut r: OwnedReadHalf,
     mut w: OwnedWriteHalf,
-    mut harm: watch::Receiver<Harm>,
+    mut harm: watch::Receiver<LinkFault>,
     is_answer: bool,
 ) {
     let mut buf = vec![0; 16 * 1024];
@@ -119,16 +119,16 @@
         }
         let now = *harm.borrow();
         match now {
-            Harm::Delay(by) => tokio::time::sleep(by).await,
-            Harm::Silent => {
+            LinkFault::Delay(by) => tokio::time::sleep(by).await,
+            LinkFault::Silent => {
                 // What came during the silence is lost for good, and so is the connection.
                 std::future::pending::<()>().await;
             }
-            Harm::OneWay if is_answer => {
+            LinkFault::OneWay if is_answer => {
                 // A proxy that is gone harms nothing any more.
-                let _ = harm.wait_for(|h| *h != Harm::OneWay).await;
+                let _ = harm.wait_for(|h| *h != LinkFault::OneWay).await;
             }
-            Harm::None | Harm::Reset | Harm::OneWay => {}
+            LinkFault::None | LinkFault::Reset | LinkFault::OneWay => {}
         }
         if w.write_all(&buf[..n]).await.is_err() {
             break;
--- a/crates/rig/src/site/recovery.rs
+++ b/crates/rig/src/site/recovery.rs
@@ -6,8 +6,8 @@
 use futures_util::future::join_all;
 use tokio::time::Instant;
 
+use super::caller::CallOutcome;
 use super::caller::SiteCaller;
-use super::caller::Verdict;
 use super::config::SiteRoute;
 use super::whole::Site;
 
@@ -39,8 +39,10 @@
     let mut n = 0;
     loop {
         n += 1;
-        let answer = caller.ask(addr, route, &format!("recover-{vm}-{n}")).await;
-        if answer.verdict == Verdict::Right(0) {
+        let answer = caller
+            .request(addr, route, &format!("recover-{vm}-{n}"))
+            .await;
+        if answer.outcome == CallOutcome::Right(0) {
             return None;
         }
         if Instant::now() > end {
--- a/crates/rig/src/site/soak.rs
+++ b/crates/rig/src/site/soak.rs
@@ -20,11 +20,11 @@
 use tokio::time::Instant;
 
 use super::backend::BackendFaults;
-use super::caller::Verdict;
-use super::proxy::Harm;
+use super::caller::CallOutcome;
+use super::proxy::LinkFault;
 use super::recovery;
 use super::soak_load::Load;
-use super::soak_load::Seen;
+use super::soak_load::ObservedRequest;
 use super::store::StoreFault;
 use super::whole::Site;
 use super::whole::SiteOptions;
@@ -216,35 +216,35 @@
             _ => None,
         };
         if let Some(faults) = sick {
-            site.backends[server].misbehave(faults);
+            site.backends[server].set_faults(faults);
             return Ok(Some(Mend::ServerWell(server)));
         }
         let link = |harm| {
-            site.backends[server].link().harm(harm);
+            site.backends[server].link().set_fault(harm);
             Some(Mend::ServerLink(server))
         };
         let store = |fault| {
-            site.store.misbehave(fault);
+            site.store.set_fault(fault);
             Some(Mend::Store)
         };
         let store_link = |harm| {
-            site.store_links[vm].harm(harm);
+            site.store_links[vm].set_fault(harm);
             Some(Mend::StoreLink(vm))
         };
         Ok(match fault {
-            Fault::ServerLinkDelay => link(Harm::Delay(Duration::from_millis(80))),
-            Fault::ServerLinkReset => link(Harm::Reset),
-            Fault::ServerLinkSilent => link(Harm::Silent),
-            Fault::ServerLinkOneWay => link(Harm::OneWay),
+            Fault::ServerLinkDelay => link(LinkFault::Delay(Duration::from_millis(80))),
+            Fault::ServerLinkReset => link(LinkFault::Reset),
+            Fault::ServerLinkSilent => link(LinkFault::Silent),
+            Fault::ServerLinkOneWay => link(LinkFault::OneWay),
             Fault::StoreBusy => store(StoreFault::Busy),
             Fault::StoreSilent => store(StoreFault::Silent),
             Fault::StoreLost => store(StoreFault::Lost),
             Fault::StoreSlow => store(StoreFault::Slow(Duration::from_millis(400))),
-            Fault::StoreLinkReset => store_link(Harm::Reset),
-            Fault::StoreLinkSilent => store_link(Harm::Silent),
-            Fault::StoreLinkOneWay => store_link(Harm::OneWay),
+            Fault::StoreLinkReset => store_link(LinkFault::Reset),
+            Fault::StoreLinkSilent => store_link(LinkFault::Silent),
+            Fault::StoreLinkOneWay => store_link(LinkFault::OneWay),
             Fault::StoreForgets => {
-                site.store.forget();
+                site.store.drop_history();
                 None
             }
             Fault::Configure => {
@@ -292,7 +292,7 @@
         match mend {
             Mend::VmContinue(vm) => site.vms[vm].signal(Signal::CONT),
             Mend::VmRestart(vm) => {
-                let ended = site.vms[vm].until_ended(Duration::from_secs(8)).await;
+                let ended = site.vms[vm].wait_for_exit(Duration::from_secs(8)).await;
                 if let Err(e) = ended {
                     self.report
                         .violations
@@ -302,10 +302,10 @@
                 self.site.vms[vm] = self.site.launch(vm, plan)?;
             }
             Mend::ServerRestart(server) => site.backends[server].restart().await?,
-            Mend::ServerWell(server) => site.backends[server].misbehave(BackendFaults::default()),
-            Mend::ServerLink(server) => site.backends[server].link().harm(Harm::None),
-            Mend::Store => site.store.misbehave(StoreFault::None),
-            Mend::StoreLink(vm) => site.store_links[vm].harm(Harm::None),
+            Mend::ServerWell(server) => site.backends[server].set_faults(BackendFaults::default()),
+            Mend::ServerLink(server) => site.backends[server].link().set_fault(LinkFault::None),
+            Mend::Store => site.store.set_fault(StoreFault::None),
+            Mend::StoreLink(vm) => site.store_links[vm].set_fault(LinkFault::None),
         }
         Ok(())
     }
@@ -321,7 +321,7 @@
     }
 
     /// Checks what callers saw against what ran.
-    fn check(&mut self, seen: &[Seen]) {
+    fn check(&mut self, seen: &[ObservedRequest]) {
         let runs = self
             .site
             .runs
@@ -334,22 +334,24 @@
         let mut violations = Vec::new();
         for s in seen {
             let ran = ran.get(s.id.as_str()).copied().unwrap_or(0);
-            let kind = match &s.verdict {
-                Verdict::Right(0) => "whole",
-                Verdict::Right(_) => "partial",
-                Verdict::NotRun(_) => "not-run",
-                Verdict::Failed(_) => "failed",
-                Verdict::Cut => "cut",
-                Verdict::Wrong(_) => "wrong",
+            let kind = match &s.outcome {
+                CallOutcome::Right(0) => "whole",
+                CallOutcome::Right(_) => "partial",
+                CallOutcome::NotRun(_) => "not-run",
+                CallOutcome::Failed(_) => "failed",
+                CallOutcome::Cut => "cut",
+                CallOutcome::Wrong(_) => "wrong",
             };
             *self.report.ends.entry(kind).or_default() += 1;
-            match &s.verdict {
-                Verdict::Wrong(how) => violations.push(format!("{}: {how}", s.id)),
-                Verdict::NotRun(_) if s.is_once && ran > 0 => {
+            match &s.outcome {
+                CallOutcome::Wrong(how) => violations.push(format!("{}: {how}", s.id)),
+                CallOutcome::NotRun(_) if s.is_once && ran > 0 => {
                     violations.push(format!("{}: refused as not run, and ran {ran} times", s.id));
                 }
-                Verdict::NotRun(None) => violations.push(format!("{}: no time to come back", s.id)),
-                Verdict::Cut if !self.may_cut(s) => {
+                CallOutcome::NotRun(None) => {
+                    violations.push(format!("{}: no time to come back", s.id))
+                }
+                CallOutcome::Cut if !self.may_cut(s) => {
                     violations.push(format!("{}: cut by vm {}", s.id, s.vm));
                 }
                 _ if s.is_once && ran > 1 => violations.push(format!("{}: ran {ran} times", s.id)),
@@ -365,7 +367,7 @@
     }
 
     /// Whether a request may have been cut: its VM was killed or stood still, or was not there at all.
-    fn may_cut(&self, s: &Seen) -> bool {
+    fn may_cut(&self, s: &ObservedRequest) -> bool {
         let meets = |o: &Outage| o.vm == s.vm && s.begun < o.until && s.ended > o.from;
         let is_refused = s.ended - s.begun < Duration::from_millis(50);
         is_refused || self.outages.iter().any(meets)
--- a/crates/rig/src/site/soak_load.rs
+++ b/crates/rig/src/site/soak_load.rs
@@ -10,25 +10,25 @@
 
 use tokio::time::Instant;
 
+use super::caller::CallOutcome;
 use super::caller::SiteCaller;
-use super::caller::Verdict;
 use super::config::SiteRoute;
 use super::whole::Site;
 
 /// One request as a caller saw it.
-pub(super) struct Seen {
+pub(super) struct ObservedRequest {
     pub(super) id: String,
     pub(super) vm: usize,
     pub(super) begun: Instant,
     pub(super) ended: Instant,
     pub(super) is_once: bool,
-    pub(super) verdict: Verdict,
+    pub(super) outcome: CallOutcome,
 }
 
 /// Callers that go on asking every VM.
 pub(super) struct Load {
     stop: Arc<AtomicBool>,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    seen: Arc<Mutex<Vec<ObservedRequest>>>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
 
@@ -52,14 +52,14 @@
                         let n = next.fetch_add(1, Ordering::Relaxed);
                         let route: &SiteRoute = &routes[n as usize % routes.len()];
                         let begun = Instant::now();
-                        let answer = caller.ask(addr, route, &format!("s{n}")).await;
-                        let one = Seen {
+                        let answer = caller.request(addr, route, &format!("s{n}")).await;
+                        let one = ObservedRequest {
                             id: answer.id,
                             vm,
                             begun,
                             ended: Instant::now(),
                             is_once: !route.is_safe,
-                            verdict: answer.verdict,
+                            outcome: answer.outcome,
                         };
                         seen.lock()
                             .unwrap_or_else(PoisonError::into_inner)
@@ -72,7 +72,7 @@
         Self { stop, seen, tasks }
     }
 
-    pub(super) async fn stop(self) -> Vec<Seen> {
+    pub(super) async fn stop(self) -> Vec<ObservedRequest> {
         self.stop.store(true, Ordering::Relaxed);
         for task in self.tasks {
             // A caller that panicked has told of it on stderr.
--- a/crates/rig/src/site/store.rs
+++ b/crates/rig/src/site/store.rs
@@ -108,13 +108,13 @@
     }
 
     /// Forgets all history and cuts the watches that wait.
-    pub fn forget(&self) {
+    pub fn drop_history(&self) {
         lock(&self.inner.objects).forget();
         self.inner.changed.notify_waiters();
     }
 
     /// Misbehaves from now on.
-    pub fn misbehave(&self, fault: StoreFault) {
+    pub fn set_fault(&self, fault: StoreFault) {
         *lock(&self.inner.fault) = fault;
         self.inner.changed.notify_waiters();
     }
--- a/crates/rig/src/site/vm.rs
+++ b/crates/rig/src/site/vm.rs
@@ -92,7 +92,7 @@
     /// # Errors
     ///
     /// If it exits, or is not ready within `limit`.
-    pub async fn until_ready(&mut self, limit: Duration) -> Result<()> {
+    pub async fn wait_until_ready(&mut self, limit: Duration) -> Result<()> {
         let caller = Caller::new();
         let end = Instant::now() + limit;
         loop {
@@ -124,7 +124,7 @@
     /// # Errors
     ///
     /// If it does not end within `limit`.
-    pub async fn until_ended(&mut self, limit: Duration) -> Result<Option<i32>> {
+    pub async fn wait_for_exit(&mut self, limit: Duration) -> Result<Option<i32>> {
         let end = Instant::now() + limit;
         loop {
             if let Ok(Some(status)) = self.child.try_wait() {
--- a/crates/rig/src/site/whole.rs
+++ b/crates/rig/src/site/whole.rs
@@ -114,7 +114,7 @@
             site.vms.push(site.launch(n, plan)?);
         }
         for vm in &mut site.vms {
-            vm.until_ready(Duration::from_secs(10)).await?;
+            vm.wait_until_ready(Duration::from_secs(10)).await?;
         }
         Ok(site)
     }
--- a/crates/rig/src/site_demo.rs
+++ b/crates/rig/src/site_demo.rs
@@ -4,10 +4,10 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
+use gs_rig::site::CallOutcome;
 use gs_rig::site::Site;
 use gs_rig::site::SiteCaller;
 use gs_rig::site::SiteOptions;
-use gs_rig::site::Verdict;
 use gs_types::prelude::*;
 use tokio::time::Instant;
 
@@ -45,15 +45,15 @@
         let route = &site.config.routes[n % site.config.routes.len()];
         let vm = site.vms[n % site.vms.len()].plan().callers;
         let begun = Instant::now();
-        let answer = caller.ask(vm, route, &format!("demo-{n}")).await;
+        let answer = caller.request(vm, route, &format!("demo-{n}")).await;
         took.push(begun.elapsed());
-        let kind = match answer.verdict {
-            Verdict::Right(0) => "whole",
-            Verdict::Right(_) => "partial",
-            Verdict::NotRun(_) => "not-run",
-            Verdict::Failed(_) => "failed",
-            Verdict::Cut => "cut",
-            Verdict::Wrong(ref how) => {
+        let kind = match answer.outcome {
+            CallOutcome::Right(0) => "whole",
+            CallOutcome::Right(_) => "partial",
+            CallOutcome::NotRun(_) => "not-run",
+            CallOutcome::Failed(_) => "failed",
+            CallOutcome::Cut => "cut",
+            CallOutcome::Wrong(ref how) => {
                 wrong.push(how.clone());
                 "wrong"
             }
--- a/crates/rig/src/storm.rs
+++ b/crates/rig/src/storm.rs
@@ -8,7 +8,7 @@
 use gs_rig::deployment::Deployment;
 use gs_rig::deployment::DeploymentOptions;
 use gs_rig::load::Caller;
-use gs_rig::load::LookupAsk;
+use gs_rig::load::LookupRequest;
 use gs_rig::operator::Operator;
 use gs_types::prelude::*;
 use rand::RngExt;
@@ -231,12 +231,14 @@
             let (ask, manner) = (mix.draw(), phase.manner);
             let (caller, targets, checker) = (caller.clone(), targets.clone(), checker.clone());
             let delay = d.shape.to_callers;
-            let send = move |ask: LookupAsk| {
+            let send = move |ask: LookupRequest| {
                 let (caller, vm, checker) = (caller.clone(), targets.next(), checker.clone());
                 async move {
                     let sent = start.elapsed();
                     tokio::time::sleep(delay).await;
-                    let reply = caller.ask(vm.expect("a deployment has VMs"), &ask).await;
+                    let reply = caller
+                        .request(vm.expect("a deployment has VMs"), &ask)
+                        .await;
                     tokio::time::sleep(delay).await;
                     let page = reply.page();
                     let sample = Sample {
--- a/crates/rig/tests/backend.rs
+++ b/crates/rig/tests/backend.rs
@@ -23,7 +23,7 @@
     let work = Duration::from_millis(1);
     let server = Backend::start(&store, "i-0", "s", "east", work, Runs::default());
     let server = server.await.expect("a free port");
-    server.misbehave(BackendFaults {
+    server.set_faults(BackendFaults {
         truncates: true,
         ..BackendFaults::default()
     });
--- a/crates/rig/tests/checker.rs
+++ b/crates/rig/tests/checker.rs
@@ -6,11 +6,11 @@
 use gs_rig::corpus::Corpus;
 use gs_rig::deploy::Shape;
 use gs_rig::deploy::Snapshots;
-use gs_rig::load::AskMix;
 use gs_rig::load::CallerAnswer;
 use gs_rig::load::Checker;
 use gs_rig::load::Fault;
-use gs_rig::load::LookupAsk;
+use gs_rig::load::LookupMix;
+use gs_rig::load::LookupRequest;
 use gs_rig::load::Reply;
 use gs_rig::net::Net;
 use gs_rig::server::Servers;
@@ -25,7 +25,7 @@
 struct Bench {
     checker: Checker,
     truth: Arc<Truth>,
-    ask: LookupAsk,
+    ask: LookupRequest,
 }
 
 async fn bench(lookup: &str) -> Bench {
@@ -46,7 +46,7 @@
     Bench {
         checker: Checker::new(truth.clone(), snapshots, servers),
         truth,
-        ask: AskMix::new(&shape, &corpus, 1).only(&[lookup]).draw(),
+        ask: LookupMix::new(&shape, &corpus, 1).only(&[lookup]).draw(),
     }
 }
 
--- a/crates/rig/tests/servers.rs
+++ b/crates/rig/tests/servers.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use gs_rig::control::Command;
-use gs_rig::control::Spoilage;
+use gs_rig::control::ReplyFault;
 use gs_rig::corpus::Corpus;
 use gs_rig::index::SnapshotIndex;
 use gs_rig::net::Net;
@@ -123,7 +123,7 @@
     let servers = one_server(&Corpus::sample(50)).await;
     let spoil = Command::Spoil {
         server: None,
-        how: Spoilage::Garbled,
+        how: ReplyFault::Garbled,
         share: 1.0,
     };
     servers.apply(spoil).await.expect("applied");
@@ -139,7 +139,7 @@
     let servers = one_server(&Corpus::sample(50)).await;
     let command = Command::Spoil {
         server: None,
-        how: Spoilage::Truncated,
+        how: ReplyFault::Truncated,
         share: 1.0,
     };
     servers.apply(command).await.expect("applied");
--- a/crates/store/tests/store/lost_answer.rs
+++ b/crates/store/tests/store/lost_answer.rs
@@ -1,8 +1,8 @@
 //! Writes whose answer was lost.
 
 use bytes::Bytes;
+use gs_rig::platform::AnswerLoss;
 use gs_rig::platform::Control;
-use gs_rig::platform::Lose;
 use gs_store::Platform;
 use gs_store::Version;
 use gs_store::write_identified;
@@ -12,7 +12,7 @@
 
 fn lose(count: u32) -> Control {
     Control {
-        lose: Some(Lose {
+        lose: Some(AnswerLoss {
             count,
             prefix: String::new(),
         }),
--- a/tests/process/floors.rs
+++ b/tests/process/floors.rs
@@ -1,6 +1,6 @@
 //! A caller's floor: the newest snapshot that it has seen.
 
-use gs_rig::load::LookupAsk;
+use gs_rig::load::LookupRequest;
 use gs_rig::platform::Control;
 use gs_types::prelude::*;
 use rstest::rstest;
@@ -29,7 +29,7 @@
     let mut s = Session::default();
     let mut newest: Option<SnapshotId> = None;
     for step in 0..STEPS {
-        let lookup = LookupAsk {
+        let lookup = LookupRequest {
             floor: newest.filter(|_| with_floor),
             ..ask(d, "placement", 50)
         };
--- a/tests/process/operators.rs
+++ b/tests/process/operators.rs
@@ -5,7 +5,7 @@
 
 use gs_rig::deploy::TEAM_KEY;
 use gs_rig::load::Caller;
-use gs_rig::load::LookupAsk;
+use gs_rig::load::LookupRequest;
 use gs_rig::operator::page_patch;
 use gs_rig::platform::Control;
 use gs_rig::process::VmProcess;
@@ -151,7 +151,7 @@
         assert!(reply.page().is_some(), "{reply:?}");
     }
     // A caller that makes names up, with a key so that the refusal is `unknown`, adds no series.
-    let made_up = LookupAsk {
+    let made_up = LookupRequest {
         front: "made-up",
         ..ask(&d, "renewal", 9)
     };
@@ -196,7 +196,7 @@
     let mut asked = ask(&d, "quote", 13);
     asked.front = "no-such-front";
     let refused = until("the lookup is refused", async || {
-        let reply = caller.ask(plan.callers, &asked).await;
+        let reply = caller.request(plan.callers, &asked).await;
         reason(&reply).as_deref() == Some("not-ready")
     });
     tokio::select! {
--- a/tests/process/pairs.rs
+++ b/tests/process/pairs.rs
@@ -5,7 +5,7 @@
 
 use gs_rig::control::Command;
 use gs_rig::load::Caller;
-use gs_rig::load::LookupAsk;
+use gs_rig::load::LookupRequest;
 use gs_rig::load::Reply;
 use gs_rig::load::Tally;
 use gs_rig::operator::Operator;
@@ -38,7 +38,7 @@
     }
 }
 
-fn key_of(ask: &LookupAsk) -> &str {
+fn key_of(ask: &LookupRequest) -> &str {
     ask.idempotency_key.as_deref().expect("a key")
 }
 
@@ -73,7 +73,7 @@
 }
 
 /// Sends a renewal until the platform has decided on its claim.
-async fn until_decided(d: &Running, vm: usize, renewal: &LookupAsk) -> Reply {
+async fn until_decided(d: &Running, vm: usize, renewal: &LookupRequest) -> Reply {
     let mut last = Reply::Unreachable;
     until("the claim is decided", async || {
         last = ask_vm(d, vm, renewal).await;
@@ -218,17 +218,17 @@
 }
 
 /// Sends a lookup to the first VM and kills it as soon as `when` holds.
-async fn kill_during(d: &mut Running, lookup: &LookupAsk, when: impl Fn(&Running) -> bool) {
+async fn kill_during(d: &mut Running, lookup: &LookupRequest, when: impl Fn(&Running) -> bool) {
     let (caller, vm) = (Caller::new(), d.vms[0].plan().callers);
     let lookup = lookup.clone();
-    let asked = tokio::spawn(async move { caller.ask(vm, &lookup).await });
+    let asked = tokio::spawn(async move { caller.request(vm, &lookup).await });
     until("the moment to kill", async || when(d)).await;
     d.vms[0].kill();
     let reply = asked.await.expect("joined");
     assert!(matches!(reply, Reply::Cut(_)), "{reply:?}");
 }
 
-async fn resend_through(d: &Running, vms: &[usize], renewal: &LookupAsk) {
+async fn resend_through(d: &Running, vms: &[usize], renewal: &LookupRequest) {
     for vm in vms {
         ask_vm(d, *vm, renewal).await;
     }
@@ -381,7 +381,7 @@
         for again in [Signal::TERM, Signal::INT] {
             d.vms[0].signal(again).expect("a running process");
         }
-        let status = d.vms[0].until_exit(Duration::from_secs(20)).await;
+        let status = d.vms[0].wait_for_exit(Duration::from_secs(20)).await;
         assert!(status.expect("it exits").success());
     };
     let (tally, ()) = tokio::join!(load, signals);
--- a/tests/process/patches.rs
+++ b/tests/process/patches.rs
@@ -4,8 +4,8 @@
 
 use gs_rig::operator::Operator;
 use gs_rig::operator::page_patch;
+use gs_rig::platform::AnswerLoss;
 use gs_rig::platform::Control;
-use gs_rig::platform::Lose;
 use rstest::rstest;
 use rustix::process::Signal;
 use serde_json::Value;
@@ -77,7 +77,7 @@
     let mut lookup = ask(d, "quote", 1);
     lookup.query = "larch salmon ledger spruce trout levy quota timber".into();
     let caller = gs_rig::load::Caller::new();
-    let reply = caller.ask(d.vms[vm].plan().callers, &lookup).await;
+    let reply = caller.request(d.vms[vm].plan().callers, &lookup).await;
     reply.page().map_or(0, |p| p.hits.len())
 }
 
@@ -90,7 +90,7 @@
 async fn a_patch_whose_write_lost_its_answer_makes_one_version() {
     let d = tiny().await;
     d.platform.control(Control {
-        lose: Some(Lose {
+        lose: Some(AnswerLoss {
             count: 1,
             prefix: "config/".to_owned(),
         }),
--- a/tests/process/platform_faults.rs
+++ b/tests/process/platform_faults.rs
@@ -4,8 +4,8 @@
 use std::time::Instant;
 
 use gs_rig::load::Caller;
+use gs_rig::platform::AnswerLoss;
 use gs_rig::platform::Control;
-use gs_rig::platform::Lose;
 use gs_types::prelude::*;
 use rstest::rstest;
 
@@ -70,7 +70,7 @@
 async fn a_claim_whose_answer_is_lost_runs_at_most_once(#[case] count: u32) {
     let d = tiny().await;
     d.platform.control(Control {
-        lose: Some(Lose {
+        lose: Some(AnswerLoss {
             count,
             prefix: "claims/".to_owned(),
         }),
@@ -113,7 +113,7 @@
     d.heal().expect("healed");
     let caller = Caller::new();
     until("full pages again", async || {
-        let reply = caller.ask(d.vms[cut].plan().callers, &quote).await;
+        let reply = caller.request(d.vms[cut].plan().callers, &quote).await;
         reply.page().is_some_and(|p: &Answer| p.coverage.is_full())
     })
     .await;
--- a/tests/process/recording.rs
+++ b/tests/process/recording.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use gs_rig::control::Command;
-use gs_rig::control::Spoilage;
+use gs_rig::control::ReplyFault;
 use gs_rig::deploy::Shape;
 use gs_rig::deployment::Deployment;
 use gs_trace::Checker;
@@ -56,9 +56,9 @@
         Command::Kill {
             server: dying.clone(),
         },
-        spoil(Spoilage::Garbled),
+        spoil(ReplyFault::Garbled),
         Command::Restart { server: dying },
-        spoil(Spoilage::Crossed),
+        spoil(ReplyFault::Crossed),
     ];
     for fault in faults {
         let runs = || d.servers.counts().summary().total.runs;
@@ -84,7 +84,7 @@
     assert!(tally.answered > 100, "{tally:?}");
     for vm in &mut d.vms {
         vm.signal(Signal::TERM).expect("a running process");
-        let status = vm.until_exit(Duration::from_secs(40)).await;
+        let status = vm.wait_for_exit(Duration::from_secs(40)).await;
         assert!(status.expect("it exits").success());
     }
     let answered: usize = d
--- a/tests/process/server_faults.rs
+++ b/tests/process/server_faults.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use gs_rig::control::Command;
-use gs_rig::control::Spoilage;
+use gs_rig::control::ReplyFault;
 use gs_rig::load::Caller;
-use gs_rig::load::LookupAsk;
+use gs_rig::load::LookupRequest;
 use gs_types::prelude::*;
 use rstest::rstest;
 
@@ -35,7 +35,7 @@
         down_ms: 300,
     };
     d.servers.apply(poison).await.expect("applied");
-    let lookup = LookupAsk {
+    let lookup = LookupRequest {
         query: "larch crashingword".into(),
         ..ask(&d, name, 3)
     };
@@ -72,7 +72,7 @@
         down_ms: 600_000,
     };
     d.servers.apply(poison).await.expect("applied");
-    let lookup = LookupAsk {
+    let lookup = LookupRequest {
         query: "larch crashingword".into(),
         ..ask(&d, "placement", 3)
     };
@@ -115,11 +115,11 @@
 /// A share of the backend servers' replies is garbled, cut short, or carries the part of another
 /// attempt. The cause is a reply that is taken on trust.
 #[rstest]
-#[case::garbled(Spoilage::Garbled)]
-#[case::truncated(Spoilage::Truncated)]
-#[case::crossed(Spoilage::Crossed)]
+#[case::garbled(ReplyFault::Garbled)]
+#[case::truncated(ReplyFault::Truncated)]
+#[case::crossed(ReplyFault::Crossed)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn spoilt_replies_never_reach_a_page(#[case] how: Spoilage) {
+async fn spoilt_replies_never_reach_a_page(#[case] how: ReplyFault) {
     let d = tiny().await;
     let spoil = Command::Spoil {
         server: None,
@@ -167,7 +167,7 @@
     let caller = Caller::new();
     for vm in &d.vms {
         let probe = ask(&d, "placement", 8);
-        let reply = caller.ask(vm.plan().callers, &probe).await;
+        let reply = caller.request(vm.plan().callers, &probe).await;
         let snapshot = reply.page().map(|p| p.snapshot);
         assert_eq!(snapshot, Some(new), "{reply:?}");
     }
--- a/tests/process/support.rs
+++ b/tests/process/support.rs
@@ -12,10 +12,10 @@
 use gs_rig::deployment::Deployment;
 use gs_rig::deployment::DeploymentOptions;
 use gs_rig::load;
-use gs_rig::load::AskMix;
 use gs_rig::load::Caller;
 use gs_rig::load::LoadSpec;
-use gs_rig::load::LookupAsk;
+use gs_rig::load::LookupMix;
+use gs_rig::load::LookupRequest;
 use gs_rig::load::Reply;
 use gs_rig::load::Tally;
 use gs_rig::load::Targets;
@@ -83,7 +83,7 @@
 /// Runs checked load over this mix and gives the tallies' sum.
 pub async fn load_mix(
     d: &Deployment,
-    mix: AskMix,
+    mix: LookupMix,
     targets: Arc<Targets>,
     rate: f64,
     length: Duration,
@@ -121,13 +121,13 @@
 }
 
 /// Draws one lookup of this name.
-pub fn ask(d: &Deployment, lookup: &str, seed: u64) -> LookupAsk {
+pub fn ask(d: &Deployment, lookup: &str, seed: u64) -> LookupRequest {
     d.mix(seed).only(&[lookup]).draw()
 }
 
 /// Asks a VM by its number, and checks the answer.
-pub async fn ask_vm(d: &Deployment, vm: usize, ask: &LookupAsk) -> Reply {
-    let reply = Caller::new().ask(d.vms[vm].plan().callers, ask).await;
+pub async fn ask_vm(d: &Deployment, vm: usize, ask: &LookupRequest) -> Reply {
+    let reply = Caller::new().request(d.vms[vm].plan().callers, ask).await;
     assert_eq!(d.checker().check(ask, &reply), None, "{reply:?}");
     reply
 }
--- a/tests/process/vm_faults.rs
+++ b/tests/process/vm_faults.rs
@@ -124,7 +124,7 @@
         while !*stopped.borrow_and_update() {
             let (ask, vm) = (mix.draw(), targets.next().expect("a ready VM"));
             let caller = caller.clone();
-            asked.spawn(async move { (caller.ask(vm, &ask).await, ask) });
+            asked.spawn(async move { (caller.request(vm, &ask).await, ask) });
             tokio::time::sleep(Duration::from_millis(25)).await;
         }
         asked.join_all().await
@@ -135,7 +135,7 @@
             if vm == 0 {
                 d.vms[vm].signal(Signal::TERM).expect("a running process");
             }
-            let status = d.vms[vm].until_exit(Duration::from_secs(40)).await;
+            let status = d.vms[vm].wait_for_exit(Duration::from_secs(40)).await;
             assert!(status.expect("it exits").success());
             d.restart(vm).await.expect("it starts again");
         }
--- a/tests/relay/once.rs
+++ b/tests/relay/once.rs
@@ -1,7 +1,7 @@
 //! Requests that may run at most once.
 
 use gs_rig::site::BackendFaults;
-use gs_rig::site::Verdict;
+use gs_rig::site::CallOutcome;
 
 use crate::support::all;
 use crate::support::site;
@@ -19,11 +19,11 @@
         r.site
             .backend(&format!("i-desk-{n}"))
             .expect("a server")
-            .misbehave(loses);
+            .set_faults(loses);
     }
     let route = r.route("/once/");
     let answers = r.ask_all(5, &route).await;
-    all(&answers, |v| matches!(v, Verdict::Failed(502)));
+    all(&answers, |v| matches!(v, CallOutcome::Failed(502)));
     for a in &answers {
         assert_eq!(r.ran(&a.id), 1, "{a:?}");
     }
@@ -41,11 +41,11 @@
         r.site
             .backend(&format!("i-desk-{n}"))
             .expect("a server")
-            .misbehave(sheds);
+            .set_faults(sheds);
     }
     let route = r.route("/once/");
     let answers = r.ask_all(3, &route).await;
-    all(&answers, |v| matches!(v, Verdict::NotRun(Some(1..))));
+    all(&answers, |v| matches!(v, CallOutcome::NotRun(Some(1..))));
     for a in &answers {
         assert_eq!(r.ran(&a.id), 0, "{a:?}");
     }
--- a/tests/relay/register.rs
+++ b/tests/relay/register.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use gs_rig::site::Harm;
+use gs_rig::site::CallOutcome;
+use gs_rig::site::LinkFault;
 use gs_rig::site::SiteRoute;
 use gs_rig::site::StoreFault;
-use gs_rig::site::Verdict;
 use rstest::rstest;
 use rustix::process::Signal;
 
@@ -46,7 +46,7 @@
 
 /// Begins an outage of the store, and waits until all VMs know of it.
 async fn begin_outage(r: &Running) {
-    r.site.store.misbehave(StoreFault::Busy);
+    r.site.store.set_fault(StoreFault::Busy);
     r.until("all know of the outage", |r| {
         r.logs().matches("event=directory-lost").count() >= VMS
     })
@@ -66,7 +66,7 @@
 async fn until_in_force(r: &mut Running, vms: &[usize], route: &SiteRoute) -> Duration {
     let begun = Instant::now();
     for vm in vms {
-        while !matches!(r.ask(*vm, route).await.verdict, Verdict::Right(_)) {
+        while !matches!(r.ask(*vm, route).await.outcome, CallOutcome::Right(_)) {
             assert!(begun.elapsed() < APPLY, "VM {vm} does not know the route");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -121,7 +121,7 @@
 async fn a_change_comes_to_the_followers_of_askers_that_are_cut_from_the_store() {
     let mut r = settled().await;
     for vm in ASKERS {
-        r.site.store_links[vm].harm(Harm::Reset);
+        r.site.store_links[vm].set_fault(LinkFault::Reset);
     }
     r.until("the followers have turned to another", |r| {
         let asker_names = ASKERS.map(|vm| r.site.vms[vm].plan().name.clone());
@@ -141,7 +141,7 @@
     #[values(ASKERS[0], ASKERS[1])] asker: usize,
 ) {
     let mut r = settled().await;
-    r.site.store_links[asker].harm(Harm::Silent);
+    r.site.store_links[asker].set_fault(LinkFault::Silent);
     let route = add_route(&mut r, "/new/");
     until_in_force(&mut r, &all_but(&[asker]), &route).await;
 }
@@ -150,7 +150,7 @@
 #[tokio::test]
 async fn a_follower_that_is_cut_from_the_store_stays_in_step() {
     let mut r = settled().await;
-    r.site.store_links[FOLLOWER].harm(Harm::Silent);
+    r.site.store_links[FOLLOWER].set_fault(LinkFault::Silent);
     let route = add_route(&mut r, "/new/");
     until_in_force(&mut r, &[FOLLOWER], &route).await;
 }
@@ -163,7 +163,7 @@
     begin_outage(&r).await;
     let sources: Vec<_> = (0..VMS).map(|vm| r.source(vm)).collect();
     let before = r.calls("GET /api/objects/servers");
-    r.site.store.misbehave(StoreFault::None);
+    r.site.store.set_fault(StoreFault::None);
     let route = add_route(&mut r, "/new/");
     until_in_force(&mut r, &all_but(&[]), &route).await;
     r.until("all know that it is over", |r| {
@@ -248,7 +248,7 @@
 #[tokio::test]
 async fn a_change_comes_to_all_after_history_is_lost() {
     let mut r = settled().await;
-    r.site.store.forget();
+    r.site.store.drop_history();
     let route = add_route(&mut r, "/new/");
     until_in_force(&mut r, &all_but(&[]), &route).await;
 }
--- a/tests/relay/servers.rs
+++ b/tests/relay/servers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use gs_rig::site::BackendFaults;
-use gs_rig::site::Verdict;
+use gs_rig::site::CallOutcome;
 use rstest::rstest;
 
 use crate::support::all;
@@ -24,7 +24,7 @@
     r.site
         .backend("i-shard0-0")
         .expect("a server")
-        .misbehave(pauses);
+        .set_faults(pauses);
     let begun = tokio::time::Instant::now();
     let answers = r.ask_all(2, &route).await;
     all(&answers, is_whole);
@@ -48,7 +48,7 @@
     let route = r.route("/page/");
     for shard in [0, 3] {
         let id = format!("i-shard{shard}-0");
-        r.site.backend(&id).expect("a server").misbehave(faults);
+        r.site.backend(&id).expect("a server").set_faults(faults);
     }
     all(&r.ask_all(8, &route).await, is_whole);
 }
@@ -108,18 +108,18 @@
         loses: true,
         ..BackendFaults::default()
     };
-    r.site.backends.iter().for_each(|b| b.misbehave(loses));
+    r.site.backends.iter().for_each(|b| b.set_faults(loses));
     let first = r.site.vms[0].plan().callers;
-    let answer = r.caller.ask(first, &route, "poison").await;
-    assert!(!is_right(&answer.verdict), "{answer:?}");
+    let answer = r.caller.request(first, &route, "poison").await;
+    assert!(!is_right(&answer.outcome), "{answer:?}");
     let well = BackendFaults::default();
-    r.site.backends.iter().for_each(|b| b.misbehave(well));
+    r.site.backends.iter().for_each(|b| b.set_faults(well));
     for vm in &r.site.vms {
         let addr = vm.plan().callers;
         let end = tokio::time::Instant::now() + Duration::from_secs(4);
         loop {
-            let answer = r.caller.ask(addr, &route, "poison").await;
-            if matches!(answer.verdict, Verdict::NotRun(Some(_))) {
+            let answer = r.caller.request(addr, &route, "poison").await;
+            if matches!(answer.outcome, CallOutcome::NotRun(Some(_))) {
                 break;
             }
             assert!(tokio::time::Instant::now() < end, "{answer:?}");
--- a/tests/relay/store.rs
+++ b/tests/relay/store.rs
@@ -36,12 +36,12 @@
 async fn pages_go_on_while_the_store_is_away_and_changes_come_after_it(#[case] fault: StoreFault) {
     let mut r = site().await;
     let route = r.route("/page/");
-    r.site.store.misbehave(fault);
+    r.site.store.set_fault(fault);
     all(&r.ask_all(5, &route).await, is_whole);
     r.site
         .configure(|c| c.routes[0].prefix = "/other/".to_owned());
     tokio::time::sleep(Duration::from_secs(2)).await;
-    r.site.store.misbehave(StoreFault::None);
+    r.site.store.set_fault(StoreFault::None);
     let route = r.route("/other/");
     for vm in 0..3 {
         r.until_whole(vm, &route, Duration::from_secs(6)).await;
@@ -60,12 +60,12 @@
 ) {
     let mut r = site().await;
     let route = r.route("/page/");
-    r.site.store.misbehave(fault);
+    r.site.store.set_fault(fault);
     r.kill(2).await;
     r.start(2).await;
     r.until_whole(2, &route, Duration::from_secs(5)).await;
     r.site.store.delete("servers", "i-shard1-1");
-    r.site.store.misbehave(StoreFault::None);
+    r.site.store.set_fault(StoreFault::None);
     r.until("the store is back", |r| {
         r.logs().contains("event=directory-regained")
     })
@@ -82,7 +82,7 @@
 /// Begins a fault of the store that swallows a VM's next watch, then moves the first route to `/second/`.
 async fn change_unheard(r: &mut Running, fault: StoreFault) {
     let watches = r.calls(WATCH);
-    r.site.store.misbehave(fault);
+    r.site.store.set_fault(fault);
     // The watch that is open hears of this change; the one after it is swallowed.
     r.site
         .configure(|c| c.routes[0].prefix = "/first/".to_owned());
@@ -102,7 +102,7 @@
     change_unheard(&mut r, fault).await;
     r.until("a look is swallowed", |r| r.calls(LOOK) > looks)
         .await;
-    r.site.store.misbehave(StoreFault::None);
+    r.site.store.set_fault(StoreFault::None);
     let route = r.route("/second/");
     r.until_whole(0, &route, APPLY).await;
 }
@@ -122,7 +122,7 @@
         r.calls(BEAT) > 3 || begun.elapsed() >= BETWEEN_LOOKS
     })
     .await;
-    r.site.store.misbehave(StoreFault::None);
+    r.site.store.set_fault(StoreFault::None);
     let route = r.route("/second/");
     r.until_whole(0, &route, APPLY).await;
 }
@@ -133,7 +133,7 @@
     let mut r = site().await;
     r.site
         .configure(|c| c.routes[0].prefix = "/other/".to_owned());
-    r.site.store.forget();
+    r.site.store.drop_history();
     let route = r.route("/other/");
     for vm in 0..3 {
         r.until_whole(vm, &route, Duration::from_secs(6)).await;
--- a/tests/relay/support.rs
+++ b/tests/relay/support.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use gs_rig::site::Answer;
+use gs_rig::site::CallOutcome;
 use gs_rig::site::Site;
 use gs_rig::site::SiteCaller;
 use gs_rig::site::SiteOptions;
 use gs_rig::site::SiteRoute;
-use gs_rig::site::Verdict;
 use rustix::process::Signal;
 use tempfile::TempDir;
 use tokio::sync::Semaphore;
@@ -69,7 +69,7 @@
         self.next += 1;
         let id = format!("q{}", self.next);
         let addr = self.site.vms[vm].plan().callers;
-        self.caller.ask(addr, route, &id).await
+        self.caller.request(addr, route, &id).await
     }
 
     /// Asks each VM in turn, `rounds` times; gives all answers.
@@ -86,7 +86,7 @@
         let end = tokio::time::Instant::now() + limit;
         loop {
             let answer = self.ask(vm, route).await;
-            if answer.verdict == Verdict::Right(0) {
+            if answer.outcome == CallOutcome::Right(0) {
                 return;
             }
             let lines = || self.lines(&["event=directory-", "event=vms", "event=routes "]);
@@ -97,7 +97,9 @@
     /// Kills a VM.
     pub async fn kill(&mut self, vm: usize) {
         self.site.vms[vm].signal(Signal::KILL);
-        let ended = self.site.vms[vm].until_ended(Duration::from_secs(5)).await;
+        let ended = self.site.vms[vm]
+            .wait_for_exit(Duration::from_secs(5))
+            .await;
         ended.expect("it ends");
     }
 
@@ -105,7 +107,7 @@
     pub async fn start(&mut self, vm: usize) {
         let plan = self.site.vms[vm].plan().clone();
         let mut again = self.site.launch(vm, plan).expect("it starts again");
-        let ready = again.until_ready(Duration::from_secs(5)).await;
+        let ready = again.wait_until_ready(Duration::from_secs(5)).await;
         ready.expect("it is ready");
         self.site.vms[vm] = again;
     }
@@ -188,15 +190,15 @@
 }
 
 /// Fails if an answer is wrong, or is not of the kind wanted.
-pub fn all(answers: &[Answer], wanted: impl Fn(&Verdict) -> bool) {
-    let bad: Vec<&Answer> = answers.iter().filter(|a| !wanted(&a.verdict)).collect();
+pub fn all(answers: &[Answer], wanted: impl Fn(&CallOutcome) -> bool) {
+    let bad: Vec<&Answer> = answers.iter().filter(|a| !wanted(&a.outcome)).collect();
     assert!(bad.is_empty(), "{bad:?}");
 }
 
-pub fn is_right(v: &Verdict) -> bool {
-    matches!(v, Verdict::Right(_))
+pub fn is_right(v: &CallOutcome) -> bool {
+    matches!(v, CallOutcome::Right(_))
 }
 
-pub fn is_whole(v: &Verdict) -> bool {
-    *v == Verdict::Right(0)
+pub fn is_whole(v: &CallOutcome) -> bool {
+    *v == CallOutcome::Right(0)
 }
--- a/tests/relay/vms.rs
+++ b/tests/relay/vms.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use gs_rig::site::BackendFaults;
-use gs_rig::site::Verdict;
+use gs_rig::site::CallOutcome;
 use rustix::process::Signal;
 
 use crate::support::Running;
@@ -21,15 +21,15 @@
     let asked: Vec<_> = (0..20)
         .map(|n| {
             let (caller, route) = (r.caller.clone(), route.clone());
-            tokio::spawn(async move { caller.ask(addr, &route, &format!("t{n}")).await })
+            tokio::spawn(async move { caller.request(addr, &route, &format!("t{n}")).await })
         })
         .collect();
     r.site.vms[0].signal(Signal::TERM);
     for a in asked {
         let answer = a.await.expect("the task ends");
-        assert!(is_right(&answer.verdict), "{answer:?}");
+        assert!(is_right(&answer.outcome), "{answer:?}");
     }
-    let code = r.site.vms[0].until_ended(Duration::from_secs(6)).await;
+    let code = r.site.vms[0].wait_for_exit(Duration::from_secs(6)).await;
     assert_eq!(code.expect("it ends"), Some(0));
 }
 
@@ -43,7 +43,7 @@
     r.kill(2).await;
     for n in 0..10 {
         let answer = r.ask(n % 2, &route).await;
-        assert!(is_right(&answer.verdict), "{answer:?}");
+        assert!(is_right(&answer.outcome), "{answer:?}");
     }
     r.start(2).await;
     for vm in 0..3 {
@@ -77,8 +77,11 @@
     let mut whole = 0;
     for n in 0..12 {
         let answer = r.ask((n % 2) * 2, &route).await;
-        assert!(!matches!(answer.verdict, Verdict::Wrong(_)), "{answer:?}");
-        whole += usize::from(is_whole(&answer.verdict));
+        assert!(
+            !matches!(answer.outcome, CallOutcome::Wrong(_)),
+            "{answer:?}"
+        );
+        whole += usize::from(is_whole(&answer.outcome));
     }
     r.site.vms[1].signal(Signal::CONT);
     assert!(whole >= 6, "only {whole} of 12 were whole");
@@ -112,13 +115,13 @@
         pause: Some(Duration::from_millis(150)),
         ..BackendFaults::default()
     };
-    r.site.backends.iter().for_each(|b| b.misbehave(pauses));
+    r.site.backends.iter().for_each(|b| b.set_faults(pauses));
     for round in 0..5 {
         let (caller, route) = (r.caller.clone(), route.clone());
         let vm = &r.site.vms[round % 3];
         let addr = vm.plan().callers;
         let id = format!("frozen-{round}");
-        let asked = tokio::spawn(async move { caller.ask(addr, &route, &id).await });
+        let asked = tokio::spawn(async move { caller.request(addr, &route, &id).await });
         tokio::time::sleep(Duration::from_millis(50)).await;
         vm.signal(Signal::STOP);
         tokio::time::sleep(Duration::from_millis(600)).await;
