--- a/crates/rig/examples/patches.rs
+++ b/crates/rig/examples/patches.rs
@@ -1,5 +1,5 @@
-//! Measures patches on nine VMs: from an operator's call to the verdict, with every VM's word that the
-//! version is in force, and the calls to the platform that they cost.
+//! Measures patches on nine VMs: the time from an operator's call until every VM has confirmed that the
+//! version is in force, and the number of calls to the platform.
 //!
 //! `cargo run --release -p gs-rig --example patches -- target/release/gentiansill 200`
 
@@ -36,7 +36,7 @@
     Ok(())
 }
 
-/// Sends patches one after the other, through each VM in turn, and prints a line of the table.
+/// Sends patches one after the other, to each VM in turn, and prints a line of the table.
 async fn measure(name: &str, shape: Shape, bin: PathBuf, count: u64) -> Result<()> {
     let options = DeploymentOptions::builder()
         .shape(shape.clone())
@@ -61,7 +61,7 @@
     Ok(())
 }
 
-/// The times in microseconds, of patches that all were accepted and in force everywhere.
+/// Returns the times of the patches in microseconds; fails if one is not accepted and in force at every VM.
 async fn patches(d: &Deployment, shape: &Shape, count: u64) -> Result<Histogram<u64>> {
     let operator = Operator::new();
     let failed = |e: String| Error::new(ErrorKind::BadInput, e);
@@ -74,11 +74,11 @@
         let admin = vms.next().map(|vm| vm.plan().admin);
         let admin = admin.ok_or_else(|| failed("no VM".into()))?;
         let start = Instant::now();
-        let verdict = operator.propose(admin, &patch).await?;
+        let outcome = operator.propose(admin, &patch).await?;
         let took = u64::try_from(start.elapsed().as_micros()).unwrap_or(u64::MAX);
-        let everywhere = verdict["in_force"].as_array().map(Vec::len) == Some(d.vms.len());
-        if verdict["verdict"] != "accepted" || !everywhere {
-            return Err(failed(verdict.to_string()));
+        let everywhere = outcome["in_force"].as_array().map(Vec::len) == Some(d.vms.len());
+        if outcome["verdict"] != "accepted" || !everywhere {
+            return Err(failed(outcome.to_string()));
         }
         let _ = times.record(took);
     }
--- a/crates/rig/src/args.rs
+++ b/crates/rig/src/args.rs
@@ -12,94 +12,94 @@
 use gs_rig::deploy::Shape;
 use gs_types::prelude::*;
 
-/// What every subcommand that starts a deployment takes.
+/// The options of every subcommand that starts a deployment.
 #[derive(Clone, Debug)]
 pub struct Common {
     /// The `gentiansill` program.
     pub bin: PathBuf,
-    /// The folder whose text is indexed.
+    /// The directory whose text is indexed.
     pub text: PathBuf,
-    /// The sizes.
+    /// The sizes and delays of the deployment.
     pub shape: Shape,
     /// The deployment's name.
     pub deployment: String,
-    /// How long each run takes requests.
+    /// The duration of each load run.
     pub length: Duration,
-    /// The seed of everything drawn.
+    /// The seed of all random choices.
     pub seed: u64,
 }
 
-/// The most VMs of a soak: each is a process.
+/// The maximum number of VMs of a soak; each is a process.
 const VMS_MAX: u64 = 60;
 
-/// `gs-rig soak` and `gs-rig site`.
+/// The options of `gs-rig soak` and `gs-rig site`.
 #[derive(Clone, Debug)]
 pub struct Soak {
     /// The `gentiansill` program.
     pub bin: PathBuf,
-    /// Where settings and logs go.
+    /// The directory for settings and logs.
     pub dir: PathBuf,
     /// The first seed.
     pub seed: u64,
-    /// How many seeds.
+    /// The number of seeds.
     pub seeds: u64,
-    /// How long faults come, in seconds.
+    /// The duration during which faults are injected, in seconds.
     pub seconds: u64,
-    /// VMs.
+    /// The number of VMs.
     pub vms: usize,
-    /// Shards.
+    /// The number of shards.
     pub shards: usize,
 }
 
-/// `gs-rig demo`.
+/// The options of `gs-rig demo`.
 #[derive(Clone, Debug)]
 pub struct Demo {
     /// Common options.
     pub common: Common,
-    /// Arrivals a second.
+    /// Arrivals per second.
     pub rate: f64,
-    /// Where commands to the stand-ins are taken.
+    /// The address of the control port for the stand-ins.
     pub control: SocketAddr,
 }
 
-/// `gs-rig table`.
+/// The options of `gs-rig table`.
 #[derive(Clone, Debug)]
 pub struct Table {
     /// Common options.
     pub common: Common,
-    /// The scenarios, all if empty.
+    /// The scenarios to run; all if empty.
     pub scenarios: Vec<String>,
-    /// The policies compared.
+    /// The policies to compare.
     pub policies: Vec<String>,
-    /// Where the plot goes.
+    /// The file for the plot.
     pub svg: Option<PathBuf>,
 }
 
-/// `gs-rig cost`.
+/// The options of `gs-rig cost`.
 #[derive(Clone, Debug)]
 pub struct Cost {
     /// Common options.
     pub common: Common,
-    /// Arrivals a second.
+    /// Arrivals per second.
     pub rate: f64,
 }
 
-/// `gs-rig bare`.
+/// The options of `gs-rig bare`.
 #[derive(Clone, Debug)]
 pub struct Bare {
-    /// The servers asked, one for each shard.
+    /// The servers to query, one for each shard.
     pub servers: Vec<SocketAddr>,
-    /// The address that connections start from.
+    /// The source address of the connections.
     pub source: std::net::IpAddr,
-    /// Arrivals a second.
+    /// Arrivals per second.
     pub rate: f64,
-    /// How long requests arrive.
+    /// The duration of the arrivals.
     pub length: Duration,
     /// The seed of the arrivals.
     pub seed: u64,
 }
 
-/// The whole command line.
+/// Returns the definition of the command line.
 pub fn command() -> Command {
     Command::new("gs-rig")
         .about("Runs gentiansill with stand-ins for everything around it, and measures it")
@@ -204,7 +204,7 @@
     )
 }
 
-/// What both take; `site` has no use for seeds.
+/// Adds the arguments of `soak` and `site`; `site` ignores the seeds.
 fn site_args(command: Command, dir: &'static str) -> Command {
     let whole = |name: &'static str, default: &'static str, help: &'static str| {
         Arg::new(name)
@@ -250,7 +250,7 @@
         .help(help)
 }
 
-/// Reads `gs-rig soak` and `gs-rig site`.
+/// Reads the options of `gs-rig soak` and `gs-rig site`.
 pub fn soak(m: &ArgMatches) -> Result<Soak> {
     let vms: u64 = read(m, "vms")?;
     if vms == 0 || vms > VMS_MAX {
@@ -268,7 +268,7 @@
     })
 }
 
-/// Reads `gs-rig demo`.
+/// Reads the options of `gs-rig demo`.
 pub fn demo(m: &ArgMatches) -> Result<Demo> {
     Ok(Demo {
         common: read_common(m)?,
@@ -277,7 +277,7 @@
     })
 }
 
-/// Reads `gs-rig table`.
+/// Reads the options of `gs-rig table`.
 pub fn table(m: &ArgMatches) -> Result<Table> {
     let mut policies = read_list(m, "policy");
     if policies.is_empty() {
@@ -291,7 +291,7 @@
     })
 }
 
-/// Reads `gs-rig cost`.
+/// Reads the options of `gs-rig cost`.
 pub fn cost(m: &ArgMatches) -> Result<Cost> {
     Ok(Cost {
         common: read_common(m)?,
@@ -299,12 +299,12 @@
     })
 }
 
-/// Reads `gs-rig storm`.
+/// Reads the options of `gs-rig storm`.
 pub fn storm(m: &ArgMatches) -> Result<Common> {
     read_common(m)
 }
 
-/// Reads `gs-rig bare`.
+/// Reads the options of `gs-rig bare`.
 pub fn bare(m: &ArgMatches) -> Result<Bare> {
     let servers: std::result::Result<_, _> = read_list(m, "server")
         .iter()
--- a/crates/rig/src/bare.rs
+++ b/crates/rig/src/bare.rs
@@ -1,4 +1,4 @@
-//! `gs-rig bare`: the same fan-out with nothing but a hyper client, as the measure of cost.
+//! `gs-rig bare`: the same fan-out with a plain hyper client, as the baseline for costs.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 
 type Http = Client<HttpConnector, Full<Bytes>>;
 
-/// Fans out at a steady rate and prints parts, processor time and median latency as JSON.
+/// Sends fan-outs at a given mean rate and prints parts, processor time and median latency as JSON.
 pub async fn run(args: &Bare) -> Result<ExitCode> {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
@@ -45,7 +45,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Parts and microseconds of each fan-out.
+/// Returns the number of parts and the duration in microseconds of each fan-out.
 async fn fan_outs(args: &Bare, http: &Http) -> Vec<(u64, u64)> {
     let mut rng = ChaCha8Rng::seed_from_u64(args.seed);
     let mut running = JoinSet::new();
--- a/crates/rig/src/body.rs
+++ b/crates/rig/src/body.rs
@@ -1,4 +1,4 @@
-//! The bodies of the stand-ins' replies, whole and cut short.
+//! The bodies of the stand-ins' replies, complete or truncated.
 
 use std::io;
 
@@ -16,17 +16,17 @@
 /// The body of a reply.
 pub(crate) type Body = BoxBody<Bytes, io::Error>;
 
-/// A body that is sent whole.
-pub(crate) fn whole(bytes: impl Into<Bytes>) -> Body {
+/// Returns a body that is sent completely.
+pub(crate) fn complete(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|e| match e {}).boxed()
 }
 
-/// Makes a reply announce a body of `length`, send only `bytes` of it, and end its connection.
+/// Makes a reply announce a body of `length` bytes, send only `bytes`, and close its connection.
 pub(crate) fn cut_short(res: &mut Response<Body>, length: usize, bytes: Bytes) {
     res.headers_mut().insert(CONTENT_LENGTH, length.into());
     let sent = stream::once(async move { Ok(Frame::data(bytes)) });
     let end = stream::once(async {
-        // hyper drops what it has not written out yet when a body fails; it does so while it waits.
+        // hyper drops unwritten bytes when a body fails; it writes them while the body is pending.
         tokio::task::yield_now().await;
         Err(io::Error::from(io::ErrorKind::BrokenPipe))
     });
--- a/crates/rig/src/control.rs
+++ b/crates/rig/src/control.rs
@@ -1,7 +1,7 @@
-//! What a test or a person tells the stand-in backend servers and links to do.
+//! Control commands to the stand-in backend servers and the links between data centres.
 //!
-//! Sent as JSON by `POST /control` to the control port, or applied in the process itself by
-//! `Servers::apply`; `GET /counts` gives what the servers counted.
+//! Tests and operators send them as JSON by `POST /control` to the control port, or apply them in
+//! process with `Servers::apply`; `GET /counts` returns the servers' counts.
 
 use gs_types::prelude::*;
 use serde::Deserialize;
@@ -9,11 +9,11 @@
 
 use crate::net::Site;
 
-/// One change to the stand-ins. Where `server` is absent, every server is meant.
+/// A command to the stand-ins. If `server` is absent, it applies to every server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "do", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Command {
-    /// Begin to drain: answer new work with `draining`, and say so in every reply.
+    /// Start to drain: refuse new work as `draining`, and report draining in every reply.
     Drain {
         /// The server.
         server: ServerName,
@@ -23,46 +23,46 @@
         /// The server.
         server: ServerName,
     },
-    /// Start again with a new incarnation, cold, not draining.
+    /// Restart with a new incarnation, cold and not draining.
     Restart {
         /// The server.
         server: ServerName,
     },
-    /// Shed every request, or stop doing so.
+    /// Start or stop shedding every request.
     Shed {
         /// The server.
         server: Option<ServerName>,
         /// Whether to shed.
         on: bool,
     },
-    /// Report this load instead of the true one; absent for the truth again.
+    /// Report this load instead of the true one; absent to report the true one again.
     Mislead {
         /// The server.
         server: Option<ServerName>,
-        /// The load claimed.
+        /// The load to report.
         load: Option<u32>,
     },
-    /// Let a share of requests take longer.
+    /// Slow down a share of the requests.
     Stragglers {
         /// The server.
         server: Option<ServerName>,
         /// The share, 0 to 1.
         share: f64,
-        /// How many times the service time they take.
+        /// The factor by which their service time grows.
         factor: f64,
     },
-    /// Crash on every query that contains this word; absent for none.
+    /// Crash on every query that contains this word; absent to stop that.
     Poison {
         /// The word.
         word: Option<String>,
-        /// How long a crashed server stays down, in milliseconds.
+        /// The time until a crashed server restarts, in milliseconds.
         down_ms: u64,
     },
-    /// Spoil a share of replies.
+    /// Inject a fault into a share of the replies.
     Spoil {
         /// The server.
         server: Option<ServerName>,
-        /// How.
+        /// The fault.
         how: ReplyFault,
         /// The share, 0 to 1.
         share: f64,
@@ -71,7 +71,7 @@
     Hold {
         /// The server.
         server: Option<ServerName>,
-        /// The snapshot, known to the stand-ins.
+        /// The snapshot, whose index must have been added.
         snapshot: SnapshotId,
     },
     /// Drop this snapshot.
@@ -81,14 +81,14 @@
         /// The snapshot.
         snapshot: SnapshotId,
     },
-    /// Cut two sites off from each other.
+    /// Partition two sites from each other.
     Cut {
         /// One site.
         a: Site,
         /// The other; 0 is the platform.
         b: Site,
     },
-    /// Heal a cut.
+    /// Heal a partition.
     Heal {
         /// One site.
         a: Site,
@@ -97,17 +97,17 @@
     },
 }
 
-/// How a reply is spoilt.
+/// An injected fault of a reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReplyFault {
-    /// Left alone.
+    /// No fault.
     #[default]
     None,
-    /// The body's bytes are changed, so that its digest does not fit.
+    /// The bytes of the body are changed, so that its digest does not match.
     Garbled,
     /// The connection closes in the middle of the body.
     Truncated,
-    /// It echoes another attempt's id.
+    /// The reply to another attempt is sent, with that attempt's id.
     Crossed,
 }
--- a/crates/rig/src/corpus.rs
+++ b/crates/rig/src/corpus.rs
@@ -1,63 +1,66 @@
-//! The text that is searched, and what of it each snapshot holds.
+//! The searched text and the documents of each snapshot.
 
 use std::path::Path;
 use std::sync::Arc;
 
 use gs_types::prelude::*;
 
-/// Longest text kept of one document, in bytes.
-const TEXT_MAX: usize = 240;
+/// The maximum length of a document's text, in bytes.
+const TEXT_MAX_BYTES: usize = 240;
 
-/// A snapshot leaves out one document in so many.
-const LEFT_OUT: u64 = 17;
+/// Each snapshot omits one document in this number.
+const OMITTED_ONE_IN: u64 = 17;
 
-/// Files larger than this are passed over, in bytes.
-const FILE_MAX: u64 = 1 << 20;
+/// The maximum size of a file, in bytes; larger ones are skipped.
+const FILE_MAX_BYTES: u64 = 1 << 20;
 
 /// One document: a paragraph of a text file.
 #[derive(Clone, Debug)]
 pub struct Doc {
     /// `path:paragraph`, unique.
     pub id: Arc<str>,
-    /// The path of its file, which keyed lookups name.
+    /// The path of its file, which is the key of keyed lookups.
     pub book: Arc<str>,
     /// Its text.
     pub text: Arc<str>,
 }
 
-/// Every document, in the order of their ids.
+/// All documents, sorted by id.
 #[derive(Clone, Debug, Default)]
 pub struct Corpus {
     docs: Vec<Doc>,
 }
 
 impl Corpus {
-    /// Reads the text files under a folder, hidden folders and build output passed over.
+    /// Reads the text files under a directory, except hidden files, hidden directories and `target`.
     ///
     /// # Errors
     ///
-    /// If the folder or a file cannot be read, or if it holds no text at all.
+    /// If the directory or a file cannot be read, or if it contains no text.
     pub fn read(dir: &Path) -> Result<Self> {
         let mut docs = Vec::new();
         read_dir(dir, dir, &mut docs).map_err(|e| {
             Error::new(ErrorKind::Io, e.to_string())
                 .at("read the text to index")
-                .with_hint("give a folder with text files")
+                .with_hint("give a directory with text files")
         })?;
         if docs.is_empty() {
-            return Err(Error::new(ErrorKind::NotFound, "the folder holds no text"));
+            return Err(Error::new(
+                ErrorKind::NotFound,
+                "the directory contains no text",
+            ));
         }
         Ok(Self::from_docs(docs))
     }
 
-    /// Takes documents as they are.
+    /// Creates a corpus from documents, which it sorts by id.
     #[must_use]
     pub fn from_docs(mut docs: Vec<Doc>) -> Self {
         docs.sort_by(|a, b| a.id.cmp(&b.id));
         Self { docs }
     }
 
-    /// A small fixed text for tests: `docs` documents over a few words, in files of ten.
+    /// Returns a small fixed text for tests: `docs` documents of a few words, ten in each file.
     #[must_use]
     pub fn sample(docs: usize) -> Self {
         const WORDS: [&str; 8] = [
@@ -74,18 +77,18 @@
         Self::from_docs((0..docs).map(doc).collect())
     }
 
-    /// The documents.
+    /// Returns the documents.
     #[must_use]
     pub fn docs(&self) -> &[Doc] {
         &self.docs
     }
 
-    /// The documents that a snapshot holds: each leaves out a different seventeenth, so that no
-    /// two snapshots give the same pages and a mixed page is seen.
+    /// Returns the documents of a snapshot. Each snapshot omits a different seventeenth, so that two
+    /// snapshots give different pages and a page mixed from both is detected.
     pub fn in_snapshot(&self, snapshot: SnapshotId) -> impl Iterator<Item = &Doc> {
         self.docs
             .iter()
-            .filter(move |d| !hash(&[&d.id, &snapshot.to_string()]).is_multiple_of(LEFT_OUT))
+            .filter(move |d| !hash(&[&d.id, &snapshot.to_string()]).is_multiple_of(OMITTED_ONE_IN))
     }
 }
 
@@ -106,7 +109,7 @@
         let meta = entry.metadata()?;
         if meta.is_dir() {
             read_dir(root, &path, docs)?;
-        } else if meta.is_file() && meta.len() <= FILE_MAX {
+        } else if meta.is_file() && meta.len() <= FILE_MAX_BYTES {
             read_file(root, &path, docs)?;
         }
     }
@@ -114,7 +117,7 @@
 }
 
 fn read_file(root: &Path, path: &Path, docs: &mut Vec<Doc>) -> std::io::Result<()> {
-    // A file that is not UTF-8 is not text.
+    // Files that are not UTF-8 are not text.
     let Ok(text) = String::from_utf8(std::fs::read(path)?) else {
         return Ok(());
     };
@@ -129,7 +132,7 @@
         if line.is_empty() {
             continue;
         }
-        let end = line.floor_char_boundary(TEXT_MAX);
+        let end = line.floor_char_boundary(TEXT_MAX_BYTES);
         docs.push(Doc {
             id: format!("{book}:{i:05}").into(),
             book: book.clone(),
--- a/crates/rig/src/cost.rs
+++ b/crates/rig/src/cost.rs
@@ -1,4 +1,4 @@
-//! `gs-rig cost`: processor time a part, added latency, memory, and start to ready.
+//! `gs-rig cost`: measures processor time per part, added latency, memory, and time to ready.
 
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -24,13 +24,13 @@
 
 use crate::args::Cost;
 
-/// Lookups in flight at once for the measure of memory.
-const IN_FLIGHT: usize = 2000;
+/// The number of lookups in flight for the memory measurement.
+const IN_FLIGHT_LOOKUPS: usize = 2000;
 
-/// Load before anything is counted.
+/// The duration of the load before anything is measured.
 const WARM_UP: Duration = Duration::from_secs(2);
 
-/// What `gs-rig bare` prints.
+/// The output of `gs-rig bare`.
 #[derive(Debug, Deserialize)]
 struct BareReport {
     lookups: u64,
@@ -39,12 +39,12 @@
     median_us: u64,
 }
 
-/// Measures and prints Markdown lines.
+/// Runs the measurements and prints them as Markdown lines.
 pub async fn run(args: &Cost) -> Result<ExitCode> {
     let corpus = Arc::new(Corpus::read(&args.common.text)?);
-    starts(args, &corpus).await?;
-    cpu(args, &corpus).await?;
-    memory(args, &corpus).await?;
+    measure_start(args, &corpus).await?;
+    measure_cpu(args, &corpus).await?;
+    measure_memory(args, &corpus).await?;
     Ok(ExitCode::SUCCESS)
 }
 
@@ -69,8 +69,8 @@
         .build()
 }
 
-/// Start to ready of nine VMs that start together, and their memory when idle.
-async fn starts(args: &Cost, corpus: &Arc<Corpus>) -> Result<()> {
+/// Measures the time to ready of VMs that start together, and their memory when idle.
+async fn measure_start(args: &Cost, corpus: &Arc<Corpus>) -> Result<()> {
     let d = Deployment::start(options(args, corpus, args.common.shape.clone(), 4)).await?;
     let mut ready: Vec<Duration> = d.ready_after.clone();
     ready.sort();
@@ -88,8 +88,8 @@
     Ok(())
 }
 
-/// Processor time of one VM under load, against a bare client with the same fan-out.
-async fn cpu(args: &Cost, corpus: &Arc<Corpus>) -> Result<()> {
+/// Compares the processor time of one VM under load with a bare client of the same fan-out.
+async fn measure_cpu(args: &Cost, corpus: &Arc<Corpus>) -> Result<()> {
     let shape = Shape {
         vms_per_site: 1,
         to_callers: Duration::ZERO,
@@ -117,7 +117,7 @@
         "- latency: p50 {:.1} ms; slowest part p50 {:.1} ms; added p50 {:.2} ms",
         row.p50, slowest, added
     );
-    let bare = bare(args, corpus).await?;
+    let bare = run_bare(args, corpus).await?;
     let bare_part = bare.cpu_us as f64 / bare.parts.max(1) as f64;
     println!(
         "- bare client, same fan-out: {} lookups, {} parts, {bare_part:.1} us a part, p50 {:.1} ms",
@@ -145,10 +145,10 @@
     tallies.remove(name).unwrap_or_default()
 }
 
-/// Runs this program's bare client as a process of its own, so that its time can be told apart.
+/// Runs this program's bare client in its own process, so that its processor time can be measured.
 ///
-/// It gets servers of its own, of the same make: at those of the VMs all connections are taken.
-async fn bare(args: &Cost, corpus: &Arc<Corpus>) -> Result<BareReport> {
+/// It uses separate servers with the same parameters, as the VMs occupy all connections of theirs.
+async fn run_bare(args: &Cost, corpus: &Arc<Corpus>) -> Result<BareReport> {
     let failed = |e: String| Error::new(ErrorKind::Io, e).at("run the bare client");
     let shape = &args.common.shape;
     let group = &shape.groups[0];
@@ -181,8 +181,8 @@
     })
 }
 
-/// Memory of one VM with many lookups in flight, all of which wait for slow servers.
-async fn memory(args: &Cost, corpus: &Arc<Corpus>) -> Result<()> {
+/// Measures the memory of one VM with many lookups in flight that wait for slow servers.
+async fn measure_memory(args: &Cost, corpus: &Arc<Corpus>) -> Result<()> {
     let mut shape = Shape {
         vms_per_site: 1,
         to_callers: Duration::ZERO,
@@ -191,7 +191,7 @@
     for l in &mut shape.lookups {
         l.deadline = Duration::from_secs(20);
     }
-    // The chosen admission refuses part of so many at once; the baseline holds them all.
+    // Admission control of the default policy refuses some of these lookups; the baseline policy admits them all.
     let hold_all = "[tuning]\npolicy = \"baseline\"\n";
     let d = Deployment::start(options_with(args, corpus, shape, 2000, hold_all)).await?;
     let vm = &d.vms[0];
@@ -199,15 +199,15 @@
     let name = d.shape.lookups[0].name;
     let mut mix = d.mix(args.common.seed).only(&[name]);
     let caller = Caller::new();
-    let mut asked = JoinSet::new();
-    for _ in 0..IN_FLIGHT {
+    let mut requests = JoinSet::new();
+    for _ in 0..IN_FLIGHT_LOOKUPS {
         let (caller, ask, addr) = (caller.clone(), mix.draw(), vm.plan().callers);
-        asked.spawn(async move { caller.request(addr, &ask).await });
+        requests.spawn(async move { caller.request(addr, &ask).await });
     }
     tokio::time::sleep(WARM_UP).await;
     let busy = vm.usage()?.resident;
     let mut ended: BTreeMap<String, usize> = BTreeMap::new();
-    while let Some(Ok(reply)) = asked.try_join_next() {
+    while let Some(Ok(reply)) = requests.try_join_next() {
         let what = reply
             .refusal()
             .map_or_else(|| "answered".to_owned(), |r| r.reason.to_string());
@@ -217,7 +217,7 @@
         "- resident memory of one VM: {} MB idle, {} MB with {} lookups of {} shards in flight; ended before: {ended:?}",
         idle.0 >> 20,
         busy.0 >> 20,
-        IN_FLIGHT - ended.values().sum::<usize>(),
+        IN_FLIGHT_LOOKUPS - ended.values().sum::<usize>(),
         d.shape.groups[0].services
     );
     Ok(())
--- a/crates/rig/src/demo.rs
+++ b/crates/rig/src/demo.rs
@@ -1,4 +1,4 @@
-//! `gs-rig demo`: the whole path with every page checked.
+//! `gs-rig demo`: runs a deployment under load and checks every page.
 
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -16,13 +16,13 @@
 
 use crate::args::Demo;
 
-/// The time between two lines of progress.
+/// The interval between two lines of progress.
 const SLICE: Duration = Duration::from_secs(2);
 
-/// The settings that the demo's processes add to the defaults.
+/// The settings of the demo's processes that differ from the defaults.
 const SETTINGS: &str = "[log]\nlevel = \"info\"\n";
 
-/// Runs the demo; success only if every page was right.
+/// Runs the demo; succeeds only if every page was right.
 pub async fn run(args: &Demo) -> Result<ExitCode> {
     let c = &args.common;
     let corpus = Arc::new(Corpus::read(&c.text)?);
@@ -52,7 +52,7 @@
     Ok(report(&d, &tallies))
 }
 
-/// Sends the load slice by slice, with a line of progress after each.
+/// Sends the load in slices and prints a line of progress after each.
 async fn slices(args: &Demo, d: &Deployment) -> BTreeMap<&'static str, Tally> {
     let mut sum: BTreeMap<&'static str, Tally> = BTreeMap::new();
     let c = &args.common;
@@ -111,9 +111,9 @@
         all.not_run, all.unknown
     );
     println!("wrong answers: {} {:?}", all.wrong(), all.faults);
-    // A kind without a single page proves nothing, so it fails the demo too.
-    let silent = tallies.values().any(|t| t.answered == 0);
-    if all.wrong() > 0 || s.keys_doubled > 0 || silent || tallies.is_empty() {
+    // A lookup without a single page shows nothing about it, so it fails the demo too.
+    let has_lookup_without_page = tallies.values().any(|t| t.answered == 0);
+    if all.wrong() > 0 || s.keys_doubled > 0 || has_lookup_without_page || tallies.is_empty() {
         println!("demo: FAILED");
         return ExitCode::FAILURE;
     }
--- a/crates/rig/src/deploy/config.rs
+++ b/crates/rig/src/deploy/config.rs
@@ -1,4 +1,4 @@
-//! The first configuration version of a deployment.
+//! The initial configuration of a deployment.
 
 use gs_types::prelude::*;
 use sha2::Digest;
@@ -7,10 +7,10 @@
 use super::shape::LookupShape;
 use super::shape::Shape;
 
-/// The key of the rig's team of operators; it opens nothing but the rig's own processes.
+/// The key of the rig's team of operators; it is valid only for the rig's own processes.
 pub const TEAM_KEY: &str = "rig-operators-key-of-no-worth";
 
-/// Declares the deployment's front, and one team that may change everything.
+/// Returns a configuration with the deployment's front and one team that may change everything.
 ///
 /// # Errors
 ///
--- a/crates/rig/src/deploy/mod.rs
+++ b/crates/rig/src/deploy/mod.rs
@@ -1,4 +1,4 @@
-//! The deployments of the brief: their groups, fronts, VMs, settings files and platform objects.
+//! The example deployments: their groups, fronts, VMs, settings files and platform objects.
 
 mod config;
 mod shape;
--- a/crates/rig/src/deploy/shape.rs
+++ b/crates/rig/src/deploy/shape.rs
@@ -1,4 +1,4 @@
-//! The sizes and delays of each deployment.
+//! The sizes, delays and lookups of each deployment.
 
 use std::time::Duration;
 
@@ -7,20 +7,20 @@
 use crate::net::Site;
 use crate::server::ServerSpec;
 
-/// A deployment: its data centres, groups and lookups.
+/// The data centres, groups and lookups of a deployment.
 #[derive(Clone, Debug)]
 pub struct Shape {
     /// The front's name.
     pub front: &'static str,
     /// The region's name.
     pub region: &'static str,
-    /// The data centres; site 1 is the first.
+    /// The names of the data centres; the first is site 1.
     pub data_centres: [&'static str; 3],
     /// The one-way delay between two data centres.
     pub between: Duration,
     /// The one-way delay to callers.
     pub to_callers: Duration,
-    /// Entry VMs in each data centre.
+    /// The number of entry VMs in each data centre.
     pub vms_per_site: u8,
     /// The groups of services.
     pub groups: Vec<GroupShape>,
@@ -33,36 +33,36 @@
 pub struct GroupShape {
     /// Its name.
     pub name: &'static str,
-    /// Its services; one shard each in the first snapshot.
+    /// The number of its services; each has one shard in the first snapshot.
     pub services: u32,
-    /// Servers in each service.
+    /// The number of servers of each service.
     pub replicas: u32,
-    /// Lookups a server runs at the same time.
+    /// The number of lookups that a server runs concurrently.
     pub slots: u32,
-    /// Connections a server accepts.
+    /// The maximum number of connections of a server.
     pub connections: u32,
-    /// What a new connection costs.
+    /// The delay of a new connection before its first request is read.
     pub handshake: Duration,
 }
 
-/// A lookup of the front, and its share of the load.
+/// A lookup of the front and its share of the load.
 #[derive(Clone, Debug)]
 pub struct LookupShape {
     /// Its name.
     pub name: &'static str,
-    /// The group it asks.
+    /// The group that it queries.
     pub group: &'static str,
-    /// How it reaches shards.
+    /// Which shards it queries.
     pub scope: Scope,
-    /// What it is promised.
+    /// The guarantee of its answers.
     pub promise: Promise,
-    /// The longest time an answer may take.
+    /// Its deadline.
     pub deadline: Duration,
-    /// The most hits on a page.
+    /// The maximum number of hits on a page.
     pub page: u32,
-    /// Hits enough for an early end.
+    /// The number of hits that allows an early end.
     pub enough_at: Option<u32>,
-    /// Its share of arrivals, against the others' shares.
+    /// Its weight among the arrivals, relative to the other lookups.
     pub weight: u32,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl GroupShape {
-    /// A group that every lookup scatters over.
+    /// Returns a group whose shards are all queried by each lookup.
     const fn scatter(name: &'static str, services: u32) -> Self {
         Self {
             name,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// A group of one service.
+    /// Returns a group of one service.
     const fn keyed(name: &'static str, replicas: u32, connections: u32) -> Self {
         Self {
             name,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The servers of the group: replica `r` of service `i` stands in data centre `(i + r) mod 3`.
+    /// Returns the servers of the group; replica `r` of service `i` is in data centre `(i + r) mod 3`.
     ///
     /// # Errors
     ///
@@ -130,7 +130,7 @@
 }
 
 impl LookupShape {
-    /// A lookup over every shard.
+    /// Returns a lookup over every shard.
     const fn scatter(name: &'static str, group: &'static str, promise: Promise) -> Self {
         Self {
             name,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// A lookup in one book.
+    /// Returns a lookup in one book.
     const fn keyed(name: &'static str, group: &'static str, promise: Promise) -> Self {
         Self {
             name,
@@ -160,7 +160,7 @@
 }
 
 impl Shape {
-    /// Derwent Quill: quotes at deadline, placements, readers and renewals.
+    /// Returns the deployment Derwent Quill: quotes, placements, readers and renewals.
     #[must_use]
     pub fn derwent_quill() -> Self {
         Self {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Lankapura: counter clerks, auditors, the filing desk and levies.
+    /// Returns the deployment Lankapura: counter, statement, audit, book and levy lookups.
     #[must_use]
     pub fn lankapura() -> Self {
         let counter = LookupShape {
@@ -220,7 +220,7 @@
         }
     }
 
-    /// A deployment small enough for process tests: three VMs, four shards of two replicas.
+    /// Returns a deployment small enough for process tests: three VMs, four shards of two replicas.
     #[must_use]
     pub fn tiny() -> Self {
         Self {
@@ -254,25 +254,25 @@
         }
     }
 
-    /// Finds a lookup by name.
+    /// Returns a lookup by name.
     #[must_use]
     pub fn lookup(&self, name: &str) -> Option<&LookupShape> {
         self.lookups.iter().find(|l| l.name == name)
     }
 
-    /// Finds a group by name.
+    /// Returns a group by name.
     #[must_use]
     pub fn group(&self, name: &str) -> Option<&GroupShape> {
         self.groups.iter().find(|g| g.name == name)
     }
 
-    /// The name of a data centre.
+    /// Returns the name of a data centre.
     #[must_use]
     pub fn data_centre(&self, site: Site) -> &'static str {
         self.data_centres[usize::from(site.saturating_sub(1)) % self.data_centres.len()]
     }
 
-    /// Every server of the deployment.
+    /// Returns every server of the deployment.
     ///
     /// # Errors
     ///
--- a/crates/rig/src/deploy/snapshots.rs
+++ b/crates/rig/src/deploy/snapshots.rs
@@ -1,4 +1,4 @@
-//! The snapshots that a deployment's groups hold, and their shard maps.
+//! The snapshots of a deployment's groups and their shard maps.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,24 +15,24 @@
 use crate::server::ServerSpec;
 use crate::server::Servers;
 
-/// What one group holds.
+/// The snapshots of one group and the revision of its map.
 #[derive(Debug, Default)]
-struct Group {
+struct GroupSnapshots {
     revision: u64,
     shards: BTreeMap<SnapshotId, u32>,
 }
 
-/// The snapshots of every group, and how many shards each has.
+/// The snapshots of every group with their numbers of shards.
 #[derive(Debug)]
 pub struct Snapshots {
     shape: Shape,
     specs: Vec<ServerSpec>,
     corpus: Arc<Corpus>,
-    groups: Mutex<BTreeMap<String, Group>>,
+    groups: Mutex<BTreeMap<String, GroupSnapshots>>,
 }
 
 impl Snapshots {
-    /// Starts without snapshots.
+    /// Creates it without snapshots.
     #[must_use]
     pub fn new(shape: Shape, specs: Vec<ServerSpec>, corpus: Arc<Corpus>) -> Self {
         Self {
@@ -43,9 +43,9 @@
         }
     }
 
-    /// Publishes a snapshot with so many shards: the group's servers hold it from now on.
+    /// Publishes a snapshot with the given number of shards: the group's servers hold it from now on.
     ///
-    /// The group's map must be written to the platform after it.
+    /// The caller must then write the group's map to the platform.
     ///
     /// # Errors
     ///
@@ -66,7 +66,7 @@
         Ok(())
     }
 
-    /// Takes a snapshot out of the group's map; servers hold it until told to forget it.
+    /// Removes a snapshot from the group's map; servers hold it until they receive `Command::Forget`.
     pub fn retire(&self, group: &str, snapshot: SnapshotId) {
         if let Some(g) = self.lock().get_mut(group) {
             g.shards.remove(&snapshot);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// How many shards a snapshot has, 0 if it was never published or is retired.
+    /// Returns the number of shards of a snapshot, or 0 if it was never published or is retired.
     #[must_use]
     pub fn shards(&self, group: &str, snapshot: SnapshotId) -> u32 {
         let groups = self.lock();
@@ -82,7 +82,7 @@
         shards.copied().unwrap_or(0)
     }
 
-    /// The object `groups/{group}` as it stands.
+    /// Returns the current content of the object `groups/{group}`.
     ///
     /// # Errors
     ///
@@ -96,7 +96,10 @@
             g.map_or((0, BTreeMap::new()), |g| (g.revision, g.shards.clone()))
         };
         let specs = self.specs.iter().filter(|s| s.group.as_str() == group);
-        let decls: Result<Vec<_>> = specs.clone().map(|s| self.decl(servers, s)).collect();
+        let decls: Result<Vec<_>> = specs
+            .clone()
+            .map(|s| self.server_decl(servers, s))
+            .collect();
         let maps = shards.iter().map(|(id, n)| {
             let specs: Vec<&ServerSpec> = specs.clone().collect();
             Arc::new(snapshot_map(shape, &specs, *id, *n))
@@ -109,7 +112,7 @@
         })
     }
 
-    fn decl(&self, servers: &Servers, s: &ServerSpec) -> Result<Arc<ServerDecl>> {
+    fn server_decl(&self, servers: &Servers, s: &ServerSpec) -> Result<Arc<ServerDecl>> {
         let addr = servers.addr(&s.name);
         let addr = addr.ok_or_else(|| Error::new(ErrorKind::NotFound, "no such server"))?;
         Ok(Arc::new(ServerDecl {
@@ -122,12 +125,12 @@
         }))
     }
 
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<String, Group>> {
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<String, GroupSnapshots>> {
         self.groups.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Shard `n` lies with the service whose number is `n` modulo the number of services.
+/// Maps shard `n` to the servers of service `n` modulo the number of services.
 fn snapshot_map(
     shape: &GroupShape,
     specs: &[&ServerSpec],
--- a/crates/rig/src/deploy/vms.rs
+++ b/crates/rig/src/deploy/vms.rs
@@ -1,4 +1,4 @@
-//! The entry VMs of a deployment: addresses and settings files.
+//! The addresses and settings files of a deployment's entry VMs.
 
 use std::fmt::Write;
 use std::net::Ipv4Addr;
@@ -13,12 +13,12 @@
 use crate::net::Site;
 
 /// The host number of the first VM in each data centre.
-const FIRST_HOST: u8 = 10;
+const FIRST_VM_HOST: u8 = 10;
 
-/// Ports tried, below the range that the system gives to outgoing connections.
-const PORTS: std::ops::Range<u16> = 10_000..30_000;
+/// The ports tried, below the range that the system uses for outgoing connections.
+const PORT_RANGE: std::ops::Range<u16> = 10_000..30_000;
 
-/// One entry VM and where it listens.
+/// The name, data centre and addresses of one entry VM.
 #[derive(Clone, Debug)]
 pub struct VmPlan {
     /// Its name.
@@ -29,17 +29,17 @@
     pub data_centre: &'static str,
     /// Its region.
     pub region: &'static str,
-    /// Its only IP number, also the source of its connections.
+    /// Its only IP address, also the source of its connections.
     pub ip: Ipv4Addr,
-    /// Where callers ask.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where operators ask.
+    /// The address for operators.
     pub admin: SocketAddr,
-    /// Where the other VMs connect.
+    /// The address for the other VMs.
     pub mesh: SocketAddr,
 }
 
-/// Plans the VMs of a deployment, with ports that are free now.
+/// Plans the VMs of a deployment, with currently free ports.
 ///
 /// # Errors
 ///
@@ -55,8 +55,8 @@
 }
 
 fn plan(shape: &Shape, net: &Net, site: Site, n: u8) -> Result<VmPlan> {
-    let ip = net.ip(site, FIRST_HOST + n);
-    let port = |not: &[u16]| free_port(ip, not).map(|p| SocketAddr::from((ip, p)));
+    let ip = net.ip(site, FIRST_VM_HOST + n);
+    let port = |excluded: &[u16]| free_port(ip, excluded).map(|p| SocketAddr::from((ip, p)));
     let callers = port(&[])?;
     let admin = port(&[callers.port()])?;
     let mesh = port(&[callers.port(), admin.port()])?;
@@ -73,20 +73,20 @@
     })
 }
 
-/// Finds a port of this address that is free now, other than these.
+/// Returns a currently free port of an address, other than the excluded ones.
 ///
 /// # Errors
 ///
 /// If none is free.
-pub fn free_port(ip: Ipv4Addr, not: &[u16]) -> Result<u16> {
-    PORTS
-        .filter(|p| !not.contains(p))
+pub fn free_port(ip: Ipv4Addr, excluded: &[u16]) -> Result<u16> {
+    PORT_RANGE
+        .filter(|p| !excluded.contains(p))
         .find(|p| TcpListener::bind((ip, *p)).is_ok())
         .ok_or_else(|| Error::new(ErrorKind::Unavailable, "no free port").from_peer(ip.to_string()))
 }
 
 impl VmPlan {
-    /// The text of its settings file; `more` is added at the end.
+    /// Returns the text of its settings file, with `more` appended.
     #[must_use]
     pub fn settings(&self, platform: SocketAddr, secret_file: &Path, more: &str) -> String {
         let mut out = String::new();
--- a/crates/rig/src/deployment.rs
+++ b/crates/rig/src/deployment.rs
@@ -1,4 +1,4 @@
-//! A running deployment: stand-ins in this process, and a `gentiansill` process for each VM.
+//! A running deployment: stand-ins in this process and a `gentiansill` process for each VM.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -24,32 +24,32 @@
 use crate::net::Net;
 use crate::net::Site;
 use crate::platform::Control;
-use crate::platform::MeshFrom;
+use crate::platform::MeshAddresses;
 use crate::platform::Platform;
 use crate::platform::PlatformOptions;
 use crate::platform::Vm;
 use crate::process::VmProcess;
+use crate::reference::ReferenceSearch;
 use crate::server::Servers;
-use crate::truth::Truth;
 
-/// The secret of the rig's mesh; it opens nothing but the rig's own processes.
+/// The secret of the rig's mesh; it is valid only for the rig's own processes.
 const MESH_SECRET: &str = "rig-mesh-secret-of-no-worth-00000";
 
-/// How long a process may take until it is ready.
-const START_LIMIT: Duration = Duration::from_secs(30);
+/// The time within which a process must become ready.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The time between two looks of the balancer at each VM's readiness.
-const BALANCER_LOOK: Duration = Duration::from_millis(200);
+/// The interval and the timeout of the balancer's readiness probes.
+const BALANCER_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The sites of a deployment.
 const SITES: std::ops::RangeInclusive<Site> = 1..=3;
 
-/// How a deployment is made.
+/// The options of a deployment.
 #[derive(Clone, Debug, Builder)]
 pub struct DeploymentOptions {
-    /// Its sizes.
+    /// Its sizes, delays and lookups.
     pub shape: Shape,
-    /// The text that is searched.
+    /// The searched text.
     pub corpus: Arc<Corpus>,
     /// The `gentiansill` program.
     pub bin: PathBuf,
@@ -59,21 +59,21 @@
     /// The seed of its backend servers.
     #[builder(default = 20_261_203)]
     pub seed: u64,
-    /// Sections added to every settings file.
+    /// Sections appended to every settings file.
     #[builder(default, into)]
     pub settings: String,
-    /// How late the platform answers.
+    /// The delay of the platform's answers.
     #[builder(default = Duration::from_millis(2))]
     pub platform_delay: Duration,
-    /// How late the platform's VM list shows changes.
+    /// The delay until changes appear in the platform's VM list.
     #[builder(default = Duration::from_secs(1))]
     pub vm_lag: Duration,
 }
 
-/// A running deployment; everything ends when it is dropped.
+/// A running deployment; dropping it ends everything.
 #[derive(Debug)]
 pub struct Deployment {
-    /// Its sizes.
+    /// Its sizes, delays and lookups.
     pub shape: Shape,
     /// Its network.
     pub net: Arc<Net>,
@@ -83,11 +83,11 @@
     pub platform: Platform,
     /// Its snapshots.
     pub snapshots: Arc<Snapshots>,
-    /// Brute force over its text.
-    pub truth: Arc<Truth>,
-    /// Its VMs, in the order of their data centres.
+    /// The reference search over its text.
+    pub reference: Arc<ReferenceSearch>,
+    /// Its VMs, ordered by data centre.
     pub vms: Vec<VmProcess>,
-    /// From each VM's start until it was seen ready.
+    /// The time from each VM's start until it reported ready.
     pub ready_after: Vec<Duration>,
     corpus: Arc<Corpus>,
     options: DeploymentOptions,
@@ -108,7 +108,7 @@
             d.vms.push(vm);
         }
         for vm in &mut d.vms {
-            let after = vm.wait_until_ready(START_LIMIT).await?;
+            let after = vm.wait_until_ready(START_TIMEOUT).await?;
             d.ready_after.push(after);
         }
         Ok(d)
@@ -122,22 +122,22 @@
         let servers = Servers::start(net.clone(), specs.clone()).await?;
         let snapshots = Arc::new(Snapshots::new(shape.clone(), specs, corpus.clone()));
         let plans = plan_vms(&shape, &net)?;
-        let (links, mesh_from) = link_mesh(&net, &plans).await?;
-        let vms: Result<Vec<Vm>> = plans.iter().map(listed).collect();
+        let (links, mesh_addresses) = link_mesh(&net, &plans).await?;
+        let vms: Result<Vec<Vm>> = plans.iter().map(vm_entry).collect();
         let platform = Platform::start(
             PlatformOptions::builder()
                 .addr(SocketAddr::from((net.ip(crate::net::OUTSIDE, 1), 0)))
                 .vms(vms?)
                 .vm_lag(options.vm_lag)
                 .delay(options.platform_delay)
-                .mesh_from(mesh_from)
+                .mesh_addresses(mesh_addresses)
                 .build(),
         )
         .await?;
         let dir = tempfile::tempdir().map_err(|e| io_error(&e))?;
         std::fs::write(dir.path().join("mesh.secret"), MESH_SECRET).map_err(|e| io_error(&e))?;
         let d = Self {
-            truth: Arc::new(Truth::new(corpus.clone())),
+            reference: Arc::new(ReferenceSearch::new(corpus.clone())),
             shape,
             net,
             servers,
@@ -157,7 +157,7 @@
         Ok((d, plans))
     }
 
-    /// Publishes a snapshot: the servers hold it, then the platform shows it.
+    /// Publishes a snapshot to the servers, then the group's map to the platform.
     ///
     /// # Errors
     ///
@@ -165,54 +165,54 @@
     pub fn publish(&self, group: &str, snapshot: SnapshotId, shards: u32) -> Result<()> {
         self.snapshots
             .publish(&self.servers, group, snapshot, shards)?;
-        self.show(group)
+        self.write_group_map(group)
     }
 
-    /// Takes a snapshot out of a group's map on the platform.
+    /// Removes a snapshot from a group's map on the platform.
     ///
     /// # Errors
     ///
     /// If there is no such group.
     pub fn retire(&self, group: &str, snapshot: SnapshotId) -> Result<()> {
         self.snapshots.retire(group, snapshot);
-        self.show(group)
+        self.write_group_map(group)
     }
 
-    /// The file that a VM's log goes to.
+    /// Returns the path of a VM's log file.
     #[must_use]
     pub fn log_of(&self, vm: &VmId) -> PathBuf {
         self.dir.path().join(format!("{vm}.log"))
     }
 
-    /// The VMs as the balancer's targets; with `follow`, only those that say they are ready.
+    /// Returns the VMs as the balancer's targets; with `follow`, only those that report ready.
     #[must_use]
     pub fn targets(&self, follow: bool) -> Arc<Targets> {
         let vms = self.vms.iter().map(|v| v.plan().callers).collect();
         let targets = Arc::new(Targets::new(vms));
         if follow {
             let plans: Vec<VmPlan> = self.vms.iter().map(|v| v.plan().clone()).collect();
-            tokio::spawn(balance(plans, Arc::downgrade(&targets)));
+            tokio::spawn(follow_readiness(plans, Arc::downgrade(&targets)));
         }
         targets
     }
 
-    /// Checks answers against this deployment's text.
+    /// Returns a checker of answers for this deployment.
     #[must_use]
     pub fn checker(&self) -> Checker {
         Checker::new(
-            self.truth.clone(),
+            self.reference.clone(),
             self.snapshots.clone(),
             self.servers.clone(),
         )
     }
 
-    /// A mix of lookups over this deployment's text.
+    /// Returns a mix of lookups over this deployment's text.
     #[must_use]
     pub fn mix(&self, seed: u64) -> LookupMix {
         LookupMix::new(&self.shape, &self.corpus, seed)
     }
 
-    /// Cuts a data centre off from the others and from the platform.
+    /// Partitions a data centre from the others and from the platform.
     ///
     /// # Errors
     ///
@@ -224,11 +224,11 @@
         self.cut_platform(&[site])
     }
 
-    /// Heals every cut.
+    /// Heals all partitions.
     ///
     /// # Errors
     ///
-    /// Never in practice; it shares its way with [`Deployment::cut`].
+    /// Never; the return type is shared with [`Deployment::cut`].
     pub fn heal(&self) -> Result<()> {
         for a in SITES {
             for b in SITES {
@@ -238,7 +238,7 @@
         self.cut_platform(&[])
     }
 
-    /// Starts the process of a VM again after it has exited.
+    /// Restarts the process of a VM; kills it first if it still runs.
     ///
     /// # Errors
     ///
@@ -247,7 +247,7 @@
         let plan = self.vms[vm].plan().clone();
         self.vms[vm].kill();
         self.vms[vm] = self.start_process(plan)?;
-        self.vms[vm].wait_until_ready(START_LIMIT).await?;
+        self.vms[vm].wait_until_ready(START_TIMEOUT).await?;
         Ok(())
     }
 
@@ -273,7 +273,7 @@
         VmProcess::start(&self.options.bin, plan, &settings, &log)
     }
 
-    fn show(&self, group: &str) -> Result<()> {
+    fn write_group_map(&self, group: &str) -> Result<()> {
         let map = self.snapshots.map(&self.servers, group)?;
         self.put(&format!("groups/{group}"), &map)
     }
@@ -286,15 +286,15 @@
     }
 }
 
-/// Starts a link into every VM's mesh from each of the other data centres.
-async fn link_mesh(net: &Arc<Net>, plans: &[VmPlan]) -> Result<(Vec<Link>, MeshFrom)> {
+/// Starts a link to every VM's mesh address from each of the other data centres.
+async fn link_mesh(net: &Arc<Net>, plans: &[VmPlan]) -> Result<(Vec<Link>, MeshAddresses)> {
     let mut links = Vec::new();
-    let mut table = MeshFrom::new();
+    let mut table = MeshAddresses::new();
     for to in plans {
         for from in SITES.filter(|s| *s != to.site) {
             let link = Link::start(net.clone(), from, to.site, to.mesh).await?;
-            for asker in plans.iter().filter(|p| p.site == from) {
-                let shown = table.entry(asker.ip.into()).or_default();
+            for source in plans.iter().filter(|p| p.site == from) {
+                let shown = table.entry(source.ip.into()).or_default();
                 shown.insert(to.name.clone(), link.addr());
             }
             links.push(link);
@@ -303,7 +303,7 @@
     Ok((links, table))
 }
 
-fn listed(plan: &VmPlan) -> Result<Vm> {
+fn vm_entry(plan: &VmPlan) -> Result<Vm> {
     Ok(Vm {
         vm: plan.name.clone(),
         data_centre: plan.data_centre.parse()?,
@@ -315,21 +315,21 @@
     })
 }
 
-/// Keeps the targets to the VMs that say they are ready, for as long as someone uses them.
-async fn balance(plans: Vec<VmPlan>, targets: std::sync::Weak<Targets>) {
+/// Keeps the targets equal to the VMs that report ready, until the targets are dropped.
+async fn follow_readiness(plans: Vec<VmPlan>, targets: std::sync::Weak<Targets>) {
     let caller = Caller::new();
     while let Some(targets) = targets.upgrade() {
         let mut ready = Vec::new();
         for plan in &plans {
-            let asked = caller.get(plan.admin, crate::process::READY);
-            let answer = tokio::time::timeout(BALANCER_LOOK, asked).await;
+            let response = caller.get(plan.admin, crate::process::READY_PATH);
+            let answer = tokio::time::timeout(BALANCER_POLL_INTERVAL, response).await;
             if matches!(answer, Ok(Ok((200, _)))) {
                 ready.push(plan.callers);
             }
         }
         targets.set(ready);
         drop(targets);
-        tokio::time::sleep(BALANCER_LOOK).await;
+        tokio::time::sleep(BALANCER_POLL_INTERVAL).await;
     }
 }
 
--- a/crates/rig/src/index.rs
+++ b/crates/rig/src/index.rs
@@ -1,4 +1,4 @@
-//! The inverted index of a snapshot, split over shards, as the backend servers hold it.
+//! The sharded inverted index of a snapshot, as held by the backend servers.
 
 use std::collections::HashMap;
 
@@ -7,34 +7,34 @@
 use crate::corpus::Corpus;
 use crate::corpus::Doc;
 
-/// The shard of a document in a snapshot with so many shards.
+/// Returns the shard of a document in a snapshot with the given number of shards.
 #[must_use]
 pub fn shard_of(doc: &str, shards: u32) -> ShardId {
     let n = Fingerprint::of(&[doc]).0 % u64::from(shards.max(1));
     ShardId(u32::try_from(n).unwrap_or(0))
 }
 
-/// The words of a text, in lower case.
+/// Returns the words of a text in lower case.
 pub fn words(text: &str) -> impl Iterator<Item = String> + '_ {
     text.split(|c: char| !c.is_alphanumeric())
         .filter(|w| !w.is_empty())
         .map(str::to_lowercase)
 }
 
-/// The rank weight of one occurrence of a word: longer words say more.
+/// Returns the rank weight of one occurrence of a word: longer words are more specific.
 #[must_use]
 pub fn weight(word: &str) -> u64 {
     word.len().min(12) as u64
 }
 
-/// One shard's inverted index.
+/// The inverted index of one shard.
 #[derive(Debug, Default)]
 struct ShardIndex {
     docs: Vec<Doc>,
     postings: HashMap<String, Vec<(u32, u32)>>,
 }
 
-/// The index of one snapshot, all shards of it.
+/// The index of all shards of one snapshot.
 #[derive(Debug)]
 pub struct SnapshotIndex {
     snapshot: SnapshotId,
@@ -42,7 +42,7 @@
 }
 
 impl SnapshotIndex {
-    /// Indexes a snapshot of the text over so many shards.
+    /// Indexes a snapshot of the text over the given number of shards.
     #[must_use]
     pub fn build(corpus: &Corpus, snapshot: SnapshotId, shards: u32) -> Self {
         let mut out: Vec<ShardIndex> = (0..shards).map(|_| ShardIndex::default()).collect();
@@ -55,13 +55,13 @@
         }
     }
 
-    /// The snapshot indexed.
+    /// Returns the indexed snapshot.
     #[must_use]
     pub fn snapshot(&self) -> SnapshotId {
         self.snapshot
     }
 
-    /// How many shards it has.
+    /// Returns the number of shards.
     #[must_use]
     pub fn shards(&self) -> u32 {
         u32::try_from(self.shards.len()).unwrap_or(u32::MAX)
@@ -69,7 +69,7 @@
 
     /// Ranks one shard's documents for a query, within one book if a key is given.
     ///
-    /// `None` if there is no such shard.
+    /// Returns `None` if there is no such shard.
     #[must_use]
     pub fn search(
         &self,
@@ -117,7 +117,7 @@
     }
 }
 
-/// A document as a line of a page.
+/// Returns a document as a hit with this score.
 #[must_use]
 pub fn hit(doc: &Doc, score: u64) -> Hit {
     Hit {
--- a/crates/rig/src/link.rs
+++ b/crates/rig/src/link.rs
@@ -1,4 +1,4 @@
-//! A TCP link between two sites that carries bytes with their delay and can be cut.
+//! A TCP link between two sites that delays bytes and holds them during a partition.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,23 +17,23 @@
 use crate::net::Net;
 use crate::net::Site;
 
-/// The host number of links in each data centre.
-const HOST: u8 = 2;
+/// The host number of the links in each data centre.
+const LINK_HOST: u8 = 2;
 
-/// Bytes read at a time.
-const CHUNK: usize = 16 << 10;
+/// The maximum number of bytes read at a time.
+const CHUNK_BYTES: usize = 16 << 10;
 
-/// Chunks under way in one direction before the sender is held back.
-const UNDER_WAY: usize = 64;
+/// The maximum number of chunks in flight in one direction; above it the sender is blocked.
+const IN_FLIGHT_CHUNKS_MAX: usize = 64;
 
-/// A listener in one site whose connections lead to an address in another; ends when dropped.
+/// A listener in one site that forwards connections to an address in another; stops when dropped.
 #[derive(Debug)]
 pub struct Link {
     addr: SocketAddr,
     task: JoinHandle<()>,
 }
 
-/// The two ends of a link and where it leads.
+/// The two sites of a link and its target address.
 #[derive(Clone, Debug)]
 struct Ends {
     net: Arc<Net>,
@@ -43,7 +43,7 @@
 }
 
 impl Link {
-    /// Listens in site `from` and leads to `target` in site `to`.
+    /// Listens in site `from` and forwards connections to `target` in site `to`.
     ///
     /// # Errors
     ///
@@ -51,7 +51,7 @@
     pub async fn start(net: Arc<Net>, from: Site, to: Site, target: SocketAddr) -> Result<Self> {
         let failed =
             |e: std::io::Error| Error::new(ErrorKind::Io, e.to_string()).at("start a link");
-        let listener = TcpListener::bind((net.ip(from, HOST), 0))
+        let listener = TcpListener::bind((net.ip(from, LINK_HOST), 0))
             .await
             .map_err(failed)?;
         let addr = listener.local_addr().map_err(failed)?;
@@ -65,8 +65,8 @@
             let mut connections = tokio::task::JoinSet::new();
             loop {
                 tokio::select! {
-                    Ok((near, _)) = listener.accept() => {
-                        connections.spawn(connect(ends.clone(), near));
+                    Ok((client, _)) = listener.accept() => {
+                        connections.spawn(serve_connection(ends.clone(), client));
                     }
                     Some(_) = connections.join_next() => {}
                 }
@@ -75,7 +75,7 @@
         Ok(Self { addr, task })
     }
 
-    /// Where to connect to in site `from`.
+    /// Returns the address to connect to in site `from`.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
@@ -88,35 +88,42 @@
     }
 }
 
-/// Carries one connection; when either end closes, the other is closed too.
-async fn connect(ends: Ends, near: tokio::net::TcpStream) {
+/// Forwards one connection; when either end closes, the other is closed too.
+async fn serve_connection(ends: Ends, client: tokio::net::TcpStream) {
     let Ends { net, from, to, .. } = &ends;
     net.carry(*from, *to).await;
-    let Some(far) = dial(&ends).await else { return };
-    // Both are loopback sockets; a refused option only costs speed.
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (near_r, near_w) = near.into_split();
-    let (far_r, far_w) = far.into_split();
+    let Some(upstream) = connect_target(&ends).await else {
+        return;
+    };
+    // Both are loopback sockets; without the option they are only slower.
+    let _ = (client.set_nodelay(true), upstream.set_nodelay(true));
+    let (client_r, client_w) = client.into_split();
+    let (upstream_r, upstream_w) = upstream.into_split();
     tokio::join!(
-        pump(net.clone(), (*from, *to), near_r, far_w),
-        pump(net.clone(), (*to, *from), far_r, near_w),
+        copy_direction(net.clone(), (*from, *to), client_r, upstream_w),
+        copy_direction(net.clone(), (*to, *from), upstream_r, client_w),
     );
 }
 
-/// Connects from the near site's own address, so that the target sees where it comes from.
-async fn dial(ends: &Ends) -> Option<tokio::net::TcpStream> {
+/// Connects from an address of the client's site, so that the target can derive the site.
+async fn connect_target(ends: &Ends) -> Option<tokio::net::TcpStream> {
     let socket = TcpSocket::new_v4().ok()?;
-    let source = SocketAddr::from((ends.net.ip(ends.from, HOST), 0));
+    let source = SocketAddr::from((ends.net.ip(ends.from, LINK_HOST), 0));
     socket.bind(source).ok()?;
     socket.connect(ends.target).await.ok()
 }
 
-/// Copies one direction, each chunk after its delay and in order.
-async fn pump(net: Arc<Net>, way: (Site, Site), mut r: OwnedReadHalf, mut w: OwnedWriteHalf) {
-    let (tx, mut rx) = mpsc::channel::<(Instant, Vec<u8>)>(UNDER_WAY);
-    let delay = net.one_way(way.0, way.1);
+/// Copies the bytes of one direction in order, each chunk after the delay.
+async fn copy_direction(
+    net: Arc<Net>,
+    direction: (Site, Site),
+    mut r: OwnedReadHalf,
+    mut w: OwnedWriteHalf,
+) {
+    let (tx, mut rx) = mpsc::channel::<(Instant, Vec<u8>)>(IN_FLIGHT_CHUNKS_MAX);
+    let delay = net.one_way(direction.0, direction.1);
     let read = async move {
-        let mut buf = vec![0; CHUNK];
+        let mut buf = vec![0; CHUNK_BYTES];
         while let Ok(n) = r.read(&mut buf).await {
             let chunk = (Instant::now() + delay, buf[..n].to_vec());
             if n == 0 || tx.send(chunk).await.is_err() {
@@ -127,7 +134,7 @@
     let write = async move {
         while let Some((due, chunk)) = rx.recv().await {
             tokio::time::sleep_until(due).await;
-            net.until_open(way.0, way.1).await;
+            net.wait_until_healed(direction.0, direction.1).await;
             if w.write_all(&chunk).await.is_err() {
                 break;
             }
--- a/crates/rig/src/load/caller.rs
+++ b/crates/rig/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of the entry VMs over HTTP.
+//! A client of the entry VMs over HTTP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,52 +14,52 @@
 use serde::Deserialize;
 use serde_json::json;
 
-use super::ask::LookupRequest;
+use super::mix::LookupRequest;
 
-/// How long a caller waits beyond any deadline before it takes the request for cut.
-const PATIENCE: Duration = Duration::from_secs(15);
+/// The timeout of a request, longer than any deadline; after it the request counts as cut.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// An answer as it stands on the wire.
+/// An answer in its wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct CallerAnswer {
-    /// The id that the VM gave the request.
+    /// The id that the VM assigned to the request.
     pub request_id: String,
     /// The front that answered.
     pub front: String,
     /// The lookup that answered.
     pub lookup: String,
-    /// How it ended.
+    /// The outcome of the lookup.
     #[serde(flatten)]
     pub outcome: Outcome,
 }
 
-/// What became of one request.
+/// The reply to one request, or the failure to get one.
 #[derive(Clone, Debug)]
 pub enum Reply {
     /// A lookup's outcome.
     Outcome {
         /// The HTTP status.
         status: u16,
-        /// Whether a `retry-after` header came with it.
+        /// Whether it has a `retry-after` header.
         retry_after: bool,
         /// The answer.
         answer: Box<CallerAnswer>,
     },
-    /// An HTTP answer that is no lookup's outcome.
+    /// An HTTP response that is not a lookup's outcome.
     Other {
         /// The HTTP status.
         status: u16,
         /// The body.
         body: String,
     },
-    /// The VM could not be connected to: nothing was sent.
+    /// The connection to the VM failed: nothing was sent.
     Unreachable,
     /// The connection broke after the request was sent.
     Cut(String),
 }
 
 impl Reply {
-    /// The outcome, if it is one.
+    /// Returns the outcome, if the reply is one.
     #[must_use]
     pub fn outcome(&self) -> Option<&Outcome> {
         match self {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The page, if there is one.
+    /// Returns the page, if the reply has one.
     #[must_use]
     pub fn page(&self) -> Option<&Answer> {
         match self.outcome() {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The refusal, if it is one.
+    /// Returns the refusal, if the reply is one.
     #[must_use]
     pub fn refusal(&self) -> Option<&Refusal> {
         match self.outcome() {
@@ -87,7 +87,7 @@
     }
 }
 
-/// Asks entry VMs, over connections that are kept.
+/// A client of entry VMs that reuses its connections.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -100,7 +100,7 @@
 }
 
 impl Caller {
-    /// Starts without connections.
+    /// Creates a caller without connections.
     #[must_use]
     pub fn new() -> Self {
         let mut connector = HttpConnector::new();
@@ -111,23 +111,23 @@
         Self { client }
     }
 
-    /// Asks one lookup of the VM at this address.
+    /// Sends one lookup to the VM at this address.
     pub async fn request(&self, vm: SocketAddr, ask: &LookupRequest) -> Reply {
         let req = match build_request(vm, ask) {
             Ok(req) => req,
             Err(e) => return Reply::Cut(e.to_string()),
         };
-        match tokio::time::timeout(PATIENCE, self.send(req)).await {
+        match tokio::time::timeout(REQUEST_TIMEOUT, self.send(req)).await {
             Ok(reply) => reply,
             Err(_) => Reply::Cut("no answer".to_owned()),
         }
     }
 
-    /// Gets a path of a VM: its status and body.
+    /// Gets a path from a VM and returns the status and the body.
     ///
     /// # Errors
     ///
-    /// If the VM cannot be reached or breaks off.
+    /// If the VM cannot be reached or the connection fails.
     pub async fn get(&self, addr: SocketAddr, path: &str) -> Result<(u16, String)> {
         let failed = |e: String| {
             Error::new(ErrorKind::Unavailable, e)
--- a/crates/rig/src/load/check.rs
+++ b/crates/rig/src/load/check.rs
@@ -1,4 +1,4 @@
-//! Checks one answer against brute force and against what the servers saw.
+//! Checks answers against the reference search and the servers' counts.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -6,55 +6,59 @@
 
 use gs_types::prelude::*;
 
-use super::ask::LookupRequest;
 use super::caller::CallerAnswer;
 use super::caller::Reply;
+use super::mix::LookupRequest;
 use crate::deploy::Snapshots;
+use crate::reference::ReferenceSearch;
+use crate::reference::SearchRequest;
 use crate::server::Servers;
-use crate::truth::Ask;
-use crate::truth::Truth;
 
-/// What is wrong with an answer.
+/// A fault of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Fault {
     /// It is for another front or lookup.
     Crossed,
-    /// Its coverage does not add up, or names a snapshot that was never published.
+    /// Its coverage does not add up, or its snapshot is unknown.
     Coverage,
-    /// Its page is not the one that brute force finds in the shards that it claims.
+    /// Its page differs from the reference search over the shards that it claims.
     Page,
-    /// A complete lookup's page does not cover every shard.
+    /// The page of a complete lookup does not cover every shard.
     Thin,
-    /// It says "not run" although a backend server ran it.
+    /// It is refused as "not run" although a backend server ran it.
     NotRunButRan,
-    /// It ended early without the right to.
+    /// It ended early although the lookup does not allow that, or without enough hits.
     EarlyEnd,
-    /// The request was cut off.
+    /// The connection broke, or the request timed out.
     Cut,
-    /// It is no lookup's outcome at all.
+    /// It is not a lookup's outcome.
     NoOutcome,
 }
 
-/// Checks answers.
+/// Checks answers against the text, the snapshots and the servers' counts.
 #[derive(Clone, Debug)]
 pub struct Checker {
-    truth: Arc<Truth>,
+    reference: Arc<ReferenceSearch>,
     snapshots: Arc<Snapshots>,
     servers: Servers,
 }
 
 impl Checker {
-    /// Checks against this text, these snapshots and these servers.
+    /// Creates a checker for this text, these snapshots and these servers.
     #[must_use]
-    pub fn new(truth: Arc<Truth>, snapshots: Arc<Snapshots>, servers: Servers) -> Self {
+    pub fn new(
+        reference: Arc<ReferenceSearch>,
+        snapshots: Arc<Snapshots>,
+        servers: Servers,
+    ) -> Self {
         Self {
-            truth,
+            reference,
             snapshots,
             servers,
         }
     }
 
-    /// Finds the first thing wrong with a reply, if any.
+    /// Returns the first fault found in a reply, if any.
     #[must_use]
     pub fn check(&self, ask: &LookupRequest, reply: &Reply) -> Option<Fault> {
         match reply {
@@ -65,7 +69,7 @@
         }
     }
 
-    /// The longest that a part of this page took, as its server saw it.
+    /// Returns the time of the slowest part of a page, as measured by its server.
     #[must_use]
     pub fn slowest_part(&self, reply: &Reply) -> Option<Duration> {
         reply.page()?;
@@ -86,8 +90,10 @@
         }
     }
 
-    /// A server counts an attempt before it works on it, so a count that is there when the refusal
-    /// arrives shows that the refusal lies.
+    /// Checks that no server ran a request that was refused as not run.
+    ///
+    /// A server counts an attempt before it runs it, so a count that is present when the refusal
+    /// arrives proves the refusal wrong.
     fn check_not_run(&self, id: &str) -> Option<Fault> {
         let ran = self.servers.counts().runs_of_request(id) > 0;
         ran.then_some(Fault::NotRunButRan)
@@ -128,7 +134,7 @@
         shards: u32,
         missing: &BTreeSet<ShardId>,
     ) -> Option<Fault> {
-        let truth = Ask {
+        let reference = SearchRequest {
             query: &ask.query,
             key: ask.key.as_deref(),
             snapshot: page.snapshot,
@@ -136,8 +142,8 @@
             page: ask.lookup.page as usize,
         };
         let part = self
-            .truth
-            .brute_force(&truth, &|shard| !missing.contains(&shard));
+            .reference
+            .search(&reference, &|shard| !missing.contains(&shard));
         let same = part.hits == page.hits && part.matched == page.matched;
         (!same).then_some(Fault::Page)
     }
--- a/crates/rig/src/load/ask.rs
+++ b/crates/rig/src/load/mix.rs
@@ -1,4 +1,4 @@
-//! What callers ask: a seeded mix over the lookups of a deployment.
+//! A seeded random mix of requests over the lookups of a deployment.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,18 +15,18 @@
 use crate::deploy::Shape;
 use crate::index::words;
 
-/// Distinct queries that a mix asks; few, so that brute force can remember them.
-const QUERIES: usize = 48;
+/// The number of distinct queries of a mix; small, so that the reference search can cache their results.
+const QUERY_COUNT: usize = 48;
 
-/// Words shorter than this are not asked for, in bytes.
-const WORD_MIN: usize = 4;
+/// The minimum length of a word in a query, in bytes.
+const WORD_MIN_BYTES: usize = 4;
 
-/// One lookup as a caller asks it.
+/// One lookup request of a caller.
 #[derive(Clone, Debug)]
 pub struct LookupRequest {
-    /// The front.
+    /// The name of the front.
     pub front: &'static str,
-    /// The lookup and what it is promised.
+    /// The lookup, with its declared promise and limits.
     pub lookup: LookupShape,
     /// The text to search for.
     pub query: Arc<str>,
@@ -34,13 +34,13 @@
     pub key: Option<Arc<str>>,
     /// For an at-most-once lookup, the idempotency key.
     pub idempotency_key: Option<String>,
-    /// The time the caller gives; the declared deadline if absent.
+    /// The caller's deadline; the declared one if absent.
     pub deadline: Option<Duration>,
-    /// The newest snapshot that the caller has seen.
+    /// The oldest snapshot that the caller accepts: the newest that it has seen.
     pub floor: Option<SnapshotId>,
 }
 
-/// Draws lookups by their weights, over words and books that the text holds.
+/// Draws lookups by their weights, with words and books of the text.
 #[derive(Debug)]
 pub struct LookupMix {
     front: &'static str,
@@ -53,13 +53,13 @@
 }
 
 impl LookupMix {
-    /// Starts a mix over this deployment and text.
+    /// Creates a mix over a deployment and its text.
     #[must_use]
     pub fn new(shape: &Shape, corpus: &Corpus, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let words = common_words(corpus);
         let pick = |rng: &mut ChaCha8Rng| words[rng.random_range(0..words.len())].clone();
-        let queries = (0..QUERIES)
+        let queries = (0..QUERY_COUNT)
             .map(|_| format!("{} {}", pick(&mut rng), pick(&mut rng)).into())
             .collect();
         let mut books: Vec<Arc<str>> = corpus.docs().iter().map(|d| d.book.clone()).collect();
@@ -75,14 +75,14 @@
         }
     }
 
-    /// Keeps only the lookups with these names.
+    /// Restricts the mix to the lookups with these names.
     #[must_use]
     pub fn only(mut self, names: &[&str]) -> Self {
         self.lookups.retain(|l| names.contains(&l.name));
         self
     }
 
-    /// Adds this word to the query of every lookup whose number is a multiple of `every`.
+    /// Adds a word to the query of every `every`-th lookup.
     #[must_use]
     pub fn poisoned(mut self, word: &'static str, every: u32) -> Self {
         self.poison = Some((word, every.max(1)));
@@ -99,7 +99,7 @@
         if let Some((word, every)) = self.poison
             && self.drawn.is_multiple_of(every)
         {
-            // The first query alone, so that every poisoned lookup is the same one.
+            // Always the first query, so that all poisoned lookups have the same query.
             query = format!("{} {word}", self.queries[0]).into();
         }
         let book = self.books[self.rng.random_range(0..self.books.len())].clone();
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Mints a new idempotency key.
+    /// Generates a new idempotency key.
     pub fn draw_key(&mut self) -> String {
         let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
         let n: u64 = self.rng.random();
@@ -133,16 +133,16 @@
     }
 }
 
-/// Words that stand in enough documents to fill pages, in a fixed order.
+/// Returns the most frequent words, which fill pages, in a fixed order.
 fn common_words(corpus: &Corpus) -> Vec<String> {
     let mut counts: BTreeMap<String, u32> = BTreeMap::new();
     for doc in corpus.docs() {
-        for w in words(&doc.text).filter(|w| w.len() >= WORD_MIN) {
+        for w in words(&doc.text).filter(|w| w.len() >= WORD_MIN_BYTES) {
             *counts.entry(w).or_default() += 1;
         }
     }
     let mut found: Vec<(String, u32)> = counts.into_iter().collect();
     found.sort_by(|a, b| b.1.cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
-    found.truncate(2 * QUERIES);
+    found.truncate(2 * QUERY_COUNT);
     found.into_iter().map(|(w, _)| w).collect()
 }
--- a/crates/rig/src/load/run.rs
+++ b/crates/rig/src/load/open_loop.rs
@@ -1,4 +1,4 @@
-//! An open-loop run: requests arrive when they arrive, whether or not earlier ones are answered.
+//! Open-loop load: requests arrive at a given rate, whether or not earlier ones were answered.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,14 +17,14 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-use super::ask::LookupMix;
-use super::ask::LookupRequest;
 use super::caller::Caller;
 use super::caller::Reply;
 use super::check::Checker;
+use super::mix::LookupMix;
+use super::mix::LookupRequest;
 use super::tally::Tally;
 
-/// The VMs that the platform's balancer sends callers to, in turn.
+/// The VMs to which the balancer sends requests, round-robin.
 #[derive(Debug, Default)]
 pub struct Targets {
     vms: RwLock<Vec<SocketAddr>>,
@@ -32,7 +32,7 @@
 }
 
 impl Targets {
-    /// Starts with these.
+    /// Creates targets with these addresses.
     #[must_use]
     pub fn new(vms: Vec<SocketAddr>) -> Self {
         Self {
@@ -41,12 +41,12 @@
         }
     }
 
-    /// Replaces them.
+    /// Replaces the addresses.
     pub fn set(&self, vms: Vec<SocketAddr>) {
         *self.vms.write().unwrap_or_else(PoisonError::into_inner) = vms;
     }
 
-    /// The next in turn.
+    /// Returns the next address, if there is one.
     #[must_use]
     pub fn next(&self) -> Option<SocketAddr> {
         let vms = self.vms.read().unwrap_or_else(PoisonError::into_inner);
@@ -55,21 +55,21 @@
     }
 }
 
-/// How callers ask again after a refusal or no page in time.
+/// How callers resend a request that got no page.
 #[derive(Clone, Copy, Debug)]
 pub struct Resends {
-    /// Resends a request at most.
-    pub most: u32,
-    /// The wait before each.
-    pub wait: Duration,
+    /// The maximum number of resends of a request.
+    pub resends_max: u32,
+    /// The delay before each resend.
+    pub resend_delay: Duration,
 }
 
-/// One run of load.
+/// The parameters of one load run.
 #[derive(Clone, Debug, Builder)]
 pub struct LoadSpec {
-    /// Arrivals a second.
+    /// Arrivals per second.
     pub rate: f64,
-    /// How long requests arrive.
+    /// The duration of the arrivals.
     pub length: Duration,
     /// The seed of the arrivals.
     #[builder(default = 20_261_203)]
@@ -77,14 +77,14 @@
     /// The one-way delay between callers and VMs.
     #[builder(default)]
     pub to_callers: Duration,
-    /// Whether callers ask again.
+    /// How callers resend requests; they do not if absent.
     pub resends: Option<Resends>,
 }
 
-/// The tallies of a run, by lookup.
+/// The tallies of a run by lookup name.
 type Tallies = Arc<Mutex<BTreeMap<&'static str, Tally>>>;
 
-/// What one request needs.
+/// The state shared by all requests of a run.
 #[derive(Clone)]
 struct Shared {
     caller: Caller,
@@ -94,7 +94,7 @@
     tallies: Tallies,
 }
 
-/// Runs load, waits until every request has ended, and gives the tallies by lookup.
+/// Runs load, waits until every request has ended, and returns the tallies by lookup name.
 pub async fn run(
     spec: LoadSpec,
     mut mix: LookupMix,
@@ -120,7 +120,7 @@
             break;
         }
         tokio::time::sleep_until(start + due).await;
-        requests.spawn(one(shared.clone(), mix.draw(), start + due));
+        requests.spawn(send_with_resends(shared.clone(), mix.draw(), start + due));
         while requests.try_join_next().is_some() {}
     }
     while requests.join_next().await.is_some() {}
@@ -128,9 +128,9 @@
     std::mem::take(&mut out)
 }
 
-/// One request with its resends; its latency counts from when it was due to arrive.
-async fn one(shared: Shared, ask: LookupRequest, due: Instant) {
-    let mut left = shared.spec.resends.map_or(0, |r| r.most);
+/// Sends one request and its resends; latency is measured from the scheduled arrival.
+async fn send_with_resends(shared: Shared, ask: LookupRequest, due: Instant) {
+    let mut left = shared.spec.resends.map_or(0, |r| r.resends_max);
     loop {
         let reply = send(&shared, &ask).await;
         let took = due.elapsed();
@@ -155,7 +155,7 @@
             return;
         }
         left -= 1;
-        tokio::time::sleep(resends.wait).await;
+        tokio::time::sleep(resends.resend_delay).await;
     }
 }
 
--- a/crates/rig/src/load/plot.rs
+++ b/crates/rig/src/load/plot.rs
@@ -1,15 +1,15 @@
-//! A bar plot as SVG: one group of bars for each scenario, one bar for each series.
+//! A bar plot as SVG, with a group of bars for each scenario and a bar for each series.
 
 use std::fmt::Write;
 
-/// Size of the plot, in pixels.
-const WIDTH: f64 = 960.0;
-const HEIGHT: f64 = 420.0;
+/// The size of the plot, in pixels.
+const WIDTH_PX: f64 = 960.0;
+const HEIGHT_PX: f64 = 420.0;
 
-/// Room for the axis on the left, the title above and the names below, in pixels.
-const LEFT: f64 = 60.0;
-const TOP: f64 = 40.0;
-const BELOW: f64 = 130.0;
+/// The margins for the axis, the title and the scenario names, in pixels.
+const MARGIN_LEFT_PX: f64 = 60.0;
+const MARGIN_TOP_PX: f64 = 40.0;
+const MARGIN_BOTTOM_PX: f64 = 130.0;
 
 /// The colours of the series, in order.
 const COLOURS: [&str; 4] = ["#4477aa", "#ee6677", "#228833", "#ccbb44"];
@@ -35,18 +35,18 @@
 }
 
 impl Plot {
-    /// Draws it as an SVG document.
+    /// Renders the plot as an SVG document.
     #[must_use]
     pub fn svg(&self) -> String {
         let mut out = String::new();
         // Writing to a `String` cannot fail.
         let _ = writeln!(
             out,
-            r#"<svg xmlns="http://www.w3.org/2000/svg" viewBox="0 0 {WIDTH} {HEIGHT}" font-family="sans-serif" font-size="11">"#
+            r#"<svg xmlns="http://www.w3.org/2000/svg" viewBox="0 0 {WIDTH_PX} {HEIGHT_PX}" font-family="sans-serif" font-size="11">"#
         );
         let _ = writeln!(
             out,
-            r#"<rect width="100%" height="100%" fill="white"/><text x="{LEFT}" y="20" font-size="14">{}</text>"#,
+            r#"<rect width="100%" height="100%" fill="white"/><text x="{MARGIN_LEFT_PX}" y="20" font-size="14">{}</text>"#,
             self.title
         );
         self.axis(&mut out);
@@ -58,7 +58,7 @@
         out
     }
 
-    /// The powers of ten that the values lie between.
+    /// Returns the exponents of the powers of ten between which the values lie.
     fn bounds(&self) -> (f64, f64) {
         let values = self.series.iter().flat_map(|s| &s.values);
         let (mut low, mut high) = (f64::MAX, 0.0_f64);
@@ -76,7 +76,7 @@
     fn y(&self, value: f64) -> f64 {
         let (low, high) = self.bounds();
         let at = ((value.max(f64::MIN_POSITIVE).log10() - low) / (high - low)).clamp(0.0, 1.0);
-        HEIGHT - BELOW - at * (HEIGHT - BELOW - TOP)
+        HEIGHT_PX - MARGIN_BOTTOM_PX - at * (HEIGHT_PX - MARGIN_BOTTOM_PX - MARGIN_TOP_PX)
     }
 
     fn axis(&self, out: &mut String) {
@@ -89,8 +89,8 @@
                 if value <= 10_f64.powf(high) {
                     let _ = writeln!(
                         out,
-                        r##"<line x1="{LEFT}" x2="{WIDTH}" y1="{y:.1}" y2="{y:.1}" stroke="#dddddd"/><text x="{}" y="{:.1}" text-anchor="end">{value}</text>"##,
-                        LEFT - 6.0,
+                        r##"<line x1="{MARGIN_LEFT_PX}" x2="{WIDTH_PX}" y1="{y:.1}" y2="{y:.1}" stroke="#dddddd"/><text x="{}" y="{:.1}" text-anchor="end">{value}</text>"##,
+                        MARGIN_LEFT_PX - 6.0,
                         y + 4.0
                     );
                 }
@@ -100,9 +100,9 @@
     }
 
     fn group(&self, out: &mut String, i: usize, name: &str) {
-        let room = (WIDTH - LEFT) / self.scenarios.len().max(1) as f64;
-        let bar = room * 0.8 / self.series.len().max(1) as f64;
-        let x0 = LEFT + room * i as f64;
+        let group_width = (WIDTH_PX - MARGIN_LEFT_PX) / self.scenarios.len().max(1) as f64;
+        let bar = group_width * 0.8 / self.series.len().max(1) as f64;
+        let x0 = MARGIN_LEFT_PX + group_width * i as f64;
         for (k, s) in self.series.iter().enumerate() {
             let value = s.values.get(i).copied().unwrap_or(0.0);
             let y = self.y(value);
@@ -110,12 +110,12 @@
                 out,
                 r#"<rect x="{:.1}" y="{y:.1}" width="{bar:.1}" height="{:.1}" fill="{}"><title>{name}, {}: {value:.2}</title></rect>"#,
                 x0 + bar * k as f64,
-                HEIGHT - BELOW - y,
+                HEIGHT_PX - MARGIN_BOTTOM_PX - y,
                 COLOURS[k % COLOURS.len()],
                 s.name,
             );
         }
-        let (x, y) = (x0 + room * 0.4, HEIGHT - BELOW + 14.0);
+        let (x, y) = (x0 + group_width * 0.4, HEIGHT_PX - MARGIN_BOTTOM_PX + 14.0);
         let _ = writeln!(
             out,
             r#"<text x="{x:.1}" y="{y:.1}" text-anchor="end" transform="rotate(-35 {x:.1} {y:.1})">{name}</text>"#
@@ -124,7 +124,7 @@
 
     fn legend(&self, out: &mut String) {
         for (k, s) in self.series.iter().enumerate() {
-            let x = WIDTH - 220.0 + 110.0 * (k % 2) as f64;
+            let x = WIDTH_PX - 220.0 + 110.0 * (k % 2) as f64;
             let y = 10.0 + 14.0 * (k / 2) as f64;
             let _ = writeln!(
                 out,
--- a/crates/rig/src/load/table.rs
+++ b/crates/rig/src/load/table.rs
@@ -1,15 +1,15 @@
-//! Tables of results as text, which is also Markdown.
+//! Result tables in Markdown.
 
 use super::tally::Row;
 
-/// The columns, in order.
-const HEAD: &str = "| what | asked | answered | whole | p50 ms | p99 ms | p99.9 ms | coverage | extra % | \
+/// The header line with the columns in order.
+const HEADER: &str = "| what | asked | answered | whole | p50 ms | p99 ms | p99.9 ms | coverage | extra % | \
                     not run | unknown | wrong |";
 
-/// Draws the rows as a table.
+/// Formats the rows as a Markdown table.
 #[must_use]
 pub fn table(rows: &[Row]) -> String {
-    let mut out = String::from(HEAD);
+    let mut out = String::from(HEADER);
     out.push_str("\n|---|---:|---:|---:|---:|---:|---:|---:|---:|---:|---:|---:|\n");
     for r in rows {
         out.push_str(&line(r));
--- a/crates/rig/src/load/tally.rs
+++ b/crates/rig/src/load/tally.rs
@@ -1,4 +1,4 @@
-//! Counts and latencies of a run, by lookup.
+//! Counts and latencies of a load run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,59 +10,59 @@
 use super::caller::Reply;
 use super::check::Fault;
 
-/// The longest latency told apart, in microseconds.
-const LATENCY_MAX: u64 = 60_000_000;
+/// The maximum latency recorded, in microseconds; longer ones are recorded as this.
+const LATENCY_MAX_US: u64 = 60_000_000;
 
-/// Significant digits of a latency.
-const DIGITS: u8 = 3;
+/// The number of significant digits of a recorded latency.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Counts and latencies of one lookup, or of all.
+/// The counts and latencies of one lookup, or of all.
 #[derive(Clone, Debug)]
 pub struct Tally {
     /// Latencies of pages, in microseconds.
     pub latency: Histogram<u64>,
-    /// The slowest part of each page, as its server saw it, in microseconds.
+    /// The time of each page's slowest part, as measured by its server, in microseconds.
     pub slowest: Histogram<u64>,
-    /// What pages took beyond their slowest part, in microseconds.
+    /// The latency of each page beyond its slowest part, in microseconds.
     pub added: Histogram<u64>,
     /// Requests made.
     pub asked: u64,
-    /// Pages that came.
+    /// Pages received.
     pub answered: u64,
     /// Pages that cover every shard.
     pub full: u64,
-    /// Pages that ended early, with hits enough.
+    /// Pages that ended early.
     pub early: u64,
-    /// Shards asked for by the pages that did not end early.
+    /// Shards queried for the pages that did not end early.
     pub shards: u64,
-    /// Shards of every page that came.
+    /// Shards queried for all pages.
     pub all_shards: u64,
-    /// Shards that those pages cover.
+    /// Shards covered by the pages that did not end early.
     pub whole: u64,
-    /// Attempts beyond one a shard.
+    /// Attempts beyond one per shard.
     pub extra: u64,
     /// Refusals that say "not run", by reason.
     pub not_run: BTreeMap<String, u64>,
-    /// Outcomes unknown, by reason.
+    /// Refusals with an unknown outcome, by reason.
     pub unknown: BTreeMap<String, u64>,
     /// Shards missing from pages and named in refusals, by reason.
     pub missing: BTreeMap<String, u64>,
     /// Requests that could not be sent.
     pub unreachable: u64,
-    /// Answers that are wrong, by fault.
+    /// Wrong answers by fault.
     pub faults: BTreeMap<Fault, u64>,
 }
 
-/// One line of a table.
+/// One row of a table.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
-    /// What it is about.
+    /// The name in the first column.
     pub name: String,
     /// Requests made.
     pub asked: u64,
-    /// Pages that came.
+    /// Pages received.
     pub answered: u64,
-    /// Pages that cover every shard or ended early with hits enough.
+    /// Pages that cover every shard or ended early.
     pub whole: u64,
     /// Median latency, in milliseconds.
     pub p50: f64,
@@ -70,21 +70,21 @@
     pub p99: f64,
     /// 99.9th percentile, in milliseconds.
     pub p999: f64,
-    /// Share of shards covered by the pages that came, early ends left out.
+    /// The share of shards covered by the pages, without those that ended early.
     pub coverage: f64,
-    /// Extra attempts a lookup's shards, in per cent.
+    /// Extra attempts per shard queried, in per cent.
     pub extra: f64,
     /// Refusals that say "not run".
     pub not_run: u64,
-    /// Outcomes unknown.
+    /// Refusals with an unknown outcome.
     pub unknown: u64,
-    /// Answers that are wrong.
+    /// Wrong answers.
     pub wrong: u64,
 }
 
 impl Default for Tally {
     fn default() -> Self {
-        let latency = Histogram::new_with_max(LATENCY_MAX, DIGITS)
+        let latency = Histogram::new_with_max(LATENCY_MAX_US, SIGNIFICANT_DIGITS)
             .expect("the bounds of the histogram are constants that fit");
         Self {
             slowest: latency.clone(),
@@ -108,7 +108,7 @@
 }
 
 impl Tally {
-    /// Counts one reply.
+    /// Counts one reply with its latency and fault.
     pub fn count(&mut self, reply: &Reply, took: Duration, fault: Option<Fault>) {
         self.asked += 1;
         if let Some(f) = fault {
@@ -135,15 +135,15 @@
         }
     }
 
-    /// Counts what a page took beyond its slowest part.
+    /// Records the slowest part of a page, and the latency beyond it.
     pub fn count_added(&mut self, took: Duration, slowest: Duration) {
-        let us = |d: Duration| u64::try_from(d.as_micros()).unwrap_or(LATENCY_MAX);
+        let us = |d: Duration| u64::try_from(d.as_micros()).unwrap_or(LATENCY_MAX_US);
         self.slowest.saturating_record(us(slowest));
         self.added
             .saturating_record(us(took.saturating_sub(slowest)));
     }
 
-    /// Answers that are wrong.
+    /// Returns the number of wrong answers.
     #[must_use]
     pub fn wrong(&self) -> u64 {
         self.faults.values().sum()
@@ -170,7 +170,7 @@
         add_all(&mut self.faults, &t.faults);
     }
 
-    /// The line of a table.
+    /// Returns the row of a table with this name.
     #[must_use]
     pub fn row(&self, name: &str) -> Row {
         let ms = |q: f64| self.latency.value_at_quantile(q) as f64 / 1000.0;
@@ -191,8 +191,8 @@
     }
 
     fn count_page(&mut self, page: &Answer, took: Duration) {
-        let micros = u64::try_from(took.as_micros()).unwrap_or(LATENCY_MAX);
-        self.latency.saturating_record(micros.max(1));
+        let latency_us = u64::try_from(took.as_micros()).unwrap_or(LATENCY_MAX_US);
+        self.latency.saturating_record(latency_us.max(1));
         self.answered += 1;
         self.extra += u64::from(page.extra_attempts);
         self.all_shards += u64::from(page.coverage.shards);
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -1,10 +1,10 @@
-//! `gs-rig`: runs a deployment of stand-ins and `gentiansill` processes, and measures it.
+//! `gs-rig`: runs deployments of stand-ins and `gentiansill` processes, and measures them.
 
 mod args;
 mod bare;
 mod cost;
 mod demo;
-mod experiment;
+mod policy_comparison;
 mod scenario;
 mod site_demo;
 mod soak;
@@ -40,12 +40,12 @@
     }
 }
 
-/// Runs the subcommand, until it ends or the person ends it.
+/// Runs the subcommand until it ends or a signal arrives.
 async fn run(matches: &clap::ArgMatches) -> Result<ExitCode> {
     let work = async {
         match matches.subcommand() {
             Some(("demo", m)) => demo::run(&args::demo(m)?).await,
-            Some(("table", m)) => experiment::run(&args::table(m)?).await,
+            Some(("table", m)) => policy_comparison::run(&args::table(m)?).await,
             Some(("cost", m)) => cost::run(&args::cost(m)?).await,
             Some(("storm", m)) => storm::run(&args::storm(m)?).await,
             Some(("site", m)) => site_demo::run(&args::soak(m)?).await,
@@ -54,15 +54,15 @@
             _ => Ok(ExitCode::from(2)),
         }
     };
-    // Ending here drops the deployment, which ends the processes it started.
+    // Returning drops the deployment, which ends the processes that it started.
     tokio::select! {
         ended = work => ended,
-        () = asked_to_end() => Err(Error::new(ErrorKind::Unavailable, "interrupted")),
+        () = wait_for_signal() => Err(Error::new(ErrorKind::Unavailable, "interrupted")),
     }
 }
 
 /// Returns at the first SIGINT or SIGTERM.
-async fn asked_to_end() {
+async fn wait_for_signal() {
     use tokio::signal::unix::SignalKind;
     use tokio::signal::unix::signal;
 
@@ -74,7 +74,7 @@
             _ = interrupt.recv() => {}
         }
     } else {
-        // Without handlers the signals end the process themselves.
+        // Without handlers, the signals end the process by default.
         std::future::pending::<()>().await;
     }
 }
--- a/crates/rig/src/net.rs
+++ b/crates/rig/src/net.rs
@@ -1,7 +1,7 @@
-//! Loopback addresses by data centre, the one-way delays between them, and cuts.
+//! Loopback addresses by data centre, one-way delays between data centres, and partitions.
 //!
-//! Data centre `k` owns `127.net.k.0/24`, so a stand-in knows from a peer's source address where a
-//! connection comes from. Each rig takes a `net` of its own, so that rigs never share a port.
+//! Data centre `k` owns `127.net.k.0/24`, so a stand-in derives the data centre of a connection from
+//! its source address. Each rig uses a separate `net`, so that rigs do not compete for ports.
 
 use std::collections::BTreeSet;
 use std::net::IpAddr;
@@ -19,8 +19,8 @@
 /// The site of the platform and of the callers, outside every data centre.
 pub const OUTSIDE: Site = 0;
 
-/// The networks that rigs spread over, from `127.2.0.0/16` on.
-const NETS: u32 = 250;
+/// The number of networks among which rigs choose, starting with `127.2.0.0/16`.
+const NETWORK_COUNT: u32 = 250;
 
 /// The loopback network of one rig.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
 }
 
 impl Net {
-    /// Takes the network `127.net.0.0/16` with this one-way delay between data centres.
+    /// Uses the network `127.net.0.0/16` with this one-way delay between data centres.
     #[must_use]
     pub fn new(net: u8, between: Duration) -> Self {
         Self {
@@ -41,22 +41,23 @@
         }
     }
 
-    /// Takes a network that no other rig of this process uses, and others hardly ever.
+    /// Uses a network that differs from those of the other rigs of this process, and almost always
+    /// from those of other processes.
     #[must_use]
     pub fn fresh(between: Duration) -> Self {
-        static TAKEN: AtomicU32 = AtomicU32::new(0);
-        let n = TAKEN.fetch_add(1, Ordering::Relaxed);
-        let spread = std::process::id().wrapping_mul(37).wrapping_add(n) % NETS;
+        static ALLOCATED: AtomicU32 = AtomicU32::new(0);
+        let n = ALLOCATED.fetch_add(1, Ordering::Relaxed);
+        let spread = std::process::id().wrapping_mul(37).wrapping_add(n) % NETWORK_COUNT;
         Self::new(u8::try_from(spread).unwrap_or(0) + 2, between)
     }
 
-    /// The address of a host in a data centre.
+    /// Returns the address of a host in a data centre.
     #[must_use]
     pub fn ip(&self, site: Site, host: u8) -> Ipv4Addr {
         Ipv4Addr::new(127, self.net, site, host)
     }
 
-    /// The data centre that an address belongs to.
+    /// Returns the data centre of an address.
     #[must_use]
     pub fn site(addr: SocketAddr) -> Site {
         match addr.ip() {
@@ -65,7 +66,7 @@
         }
     }
 
-    /// The one-way delay between two sites; none within one or towards the outside.
+    /// Returns the one-way delay between two sites; zero within a site and to or from the outside.
     #[must_use]
     pub fn one_way(&self, a: Site, b: Site) -> Duration {
         if a == b || a == OUTSIDE || b == OUTSIDE {
@@ -75,41 +76,42 @@
         }
     }
 
-    /// Cuts two sites off from each other.
+    /// Partitions two sites from each other.
     pub fn cut(&self, a: Site, b: Site) {
         self.cuts.send_modify(|c| {
             c.insert(pair(a, b));
         });
     }
 
-    /// Ends the cut between two sites.
+    /// Heals the partition between two sites.
     pub fn heal(&self, a: Site, b: Site) {
         self.cuts.send_modify(|c| {
             c.remove(&pair(a, b));
         });
     }
 
-    /// Whether two sites are cut off from each other.
+    /// Whether two sites are partitioned from each other.
     #[must_use]
     pub fn is_cut(&self, a: Site, b: Site) -> bool {
         self.cuts.borrow().contains(&pair(a, b))
     }
 
-    /// Waits until two sites can reach each other.
-    pub async fn until_open(&self, a: Site, b: Site) {
+    /// Waits until two sites are not partitioned.
+    pub async fn wait_until_healed(&self, a: Site, b: Site) {
         let mut rx = self.cuts.subscribe();
         // The sender lives as long as `self`, so the wait cannot fail.
         let _ = rx.wait_for(|c| !c.contains(&pair(a, b))).await;
     }
 
-    /// Carries one message from `a` to `b`: waits out the delay, and any cut.
+    /// Simulates the transfer of one message from `a` to `b`: waits for the delay and for the end of
+    /// any partition.
     pub async fn carry(&self, a: Site, b: Site) {
         let delay = self.one_way(a, b);
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
         }
         if self.is_cut(a, b) {
-            self.until_open(a, b).await;
+            self.wait_until_healed(a, b).await;
         }
     }
 }
--- a/crates/rig/src/operator.rs
+++ b/crates/rig/src/operator.rs
@@ -1,4 +1,4 @@
-//! An operator at the administration API of the VMs.
+//! An operator's client of the VMs' administration API.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,19 +19,19 @@
 use crate::deploy::TEAM_KEY;
 use crate::deploy::config;
 
-/// Where patches go.
-const PATCHES: &str = "/admin/v1/patches";
+/// The path for patches.
+const PATCHES_PATH: &str = "/admin/v1/patches";
 
-/// Where a process tells its state in short.
-const STATUS: &str = "/admin/v1/status";
+/// The path of a process's short status.
+const STATUS_PATH: &str = "/admin/v1/status";
 
-/// Where a process tells its whole state.
-const DUMP: &str = "/admin/v1/dump";
+/// The path of a process's complete state dump.
+const DUMP_PATH: &str = "/admin/v1/dump";
 
-/// How long an operator waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// The timeout of a call.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Asks the administration API with the key of the rig's team.
+/// A client of the administration API with the key of the rig's team.
 #[derive(Clone, Debug)]
 pub struct Operator {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -44,7 +44,7 @@
 }
 
 impl Operator {
-    /// Starts without connections.
+    /// Creates a client without connections.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -52,35 +52,37 @@
         }
     }
 
-    /// Sends a patch to the VM whose operators' address this is; gives the verdict as it stands.
+    /// Sends a patch to the VM with this administration address and returns its outcome as JSON.
     ///
     /// # Errors
     ///
-    /// If no answer comes, or none that is JSON.
+    /// If there is no answer, or it is not JSON.
     pub async fn propose(&self, admin: SocketAddr, patch: &Value) -> Result<Value> {
-        self.call(Method::POST, admin, PATCHES, patch.to_string())
+        self.call(Method::POST, admin, PATCHES_PATH, patch.to_string())
             .await
     }
 
-    /// What a VM tells of itself.
+    /// Returns a VM's short status.
     ///
     /// # Errors
     ///
-    /// If no answer comes, or none that is JSON.
+    /// If there is no answer, or it is not JSON.
     pub async fn status(&self, admin: SocketAddr) -> Result<Value> {
-        self.call(Method::GET, admin, STATUS, String::new()).await
+        self.call(Method::GET, admin, STATUS_PATH, String::new())
+            .await
     }
 
-    /// The whole state of a VM's process.
+    /// Returns the complete state dump of a VM's process.
     ///
     /// # Errors
     ///
-    /// If no answer comes, or none that is JSON.
+    /// If there is no answer, or it is not JSON.
     pub async fn dump(&self, admin: SocketAddr) -> Result<Value> {
-        self.call(Method::GET, admin, DUMP, String::new()).await
+        self.call(Method::GET, admin, DUMP_PATH, String::new())
+            .await
     }
 
-    /// The configuration version in force at a VM; 0 if it does not tell one.
+    /// Returns the configuration version in force at a VM; 0 if it reports none.
     pub async fn version(&self, admin: SocketAddr) -> u64 {
         let status = self.status(admin).await;
         status.map_or(0, |s| s["config"].as_u64().unwrap_or(0))
@@ -95,7 +97,7 @@
     ) -> Result<Value> {
         let failed = |e: String| {
             Error::new(ErrorKind::Unavailable, e)
-                .at("ask the administration API")
+                .at("call the administration API")
                 .from_peer(admin.to_string())
         };
         let req = Request::builder()
@@ -111,13 +113,13 @@
             let body = resp.into_body().collect().await;
             Ok(body.map_err(|e| failed(e.to_string()))?.to_bytes())
         };
-        let body = tokio::time::timeout(PATIENCE, exchange).await;
+        let body = tokio::time::timeout(RESPONSE_TIMEOUT, exchange).await;
         let body = body.map_err(|_| failed("no answer".to_owned()))??;
         serde_json::from_slice(&body).map_err(|e| failed(e.to_string()))
     }
 }
 
-/// A patch that sets a lookup's page size and leaves the rest as declared.
+/// Returns a patch that sets a lookup's page size and leaves the rest as declared.
 ///
 /// # Errors
 ///
--- a/crates/rig/src/platform/counts.rs
+++ b/crates/rig/src/platform/counts.rs
@@ -1,4 +1,4 @@
-//! Counting calls, as the platform does for its bill.
+//! Counts calls by kind, as the platform does for billing.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Calls taken so far, by kind; a waiting watch is one call.
+/// The number of calls so far, by kind; a waiting watch is one call.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Objects read.
@@ -19,7 +19,7 @@
     pub lists: u64,
     /// Watches.
     pub watches: u64,
-    /// Watches that wait now.
+    /// Watches that are waiting now.
     pub waiting: u64,
     /// Reads of the VM list.
     pub vms: u64,
@@ -33,13 +33,13 @@
     pub lost: u64,
     /// Writes by the first part of the path, such as `claims`.
     pub writes_by_prefix: BTreeMap<String, u64>,
-    /// Calls by where they came from.
+    /// Calls by source address.
     pub by_source: BTreeMap<IpAddr, u64>,
 }
 
 /// The kind of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Kind {
+pub(super) enum CallKind {
     Read,
     Write,
     Delete,
@@ -48,27 +48,27 @@
     Vms,
 }
 
-impl Kind {
+impl CallKind {
     /// Whether the call counts against the limit of writes.
-    pub(super) fn writes(self) -> bool {
+    pub(super) fn is_write(self) -> bool {
         matches!(self, Self::Write | Self::Delete)
     }
 }
 
 impl Counts {
-    /// Counts a call.
-    pub(super) fn add(&mut self, kind: Kind, path: &str, source: IpAddr) {
+    /// Counts a call from a source address.
+    pub(super) fn add(&mut self, kind: CallKind, path: &str, source: IpAddr) {
         *self.by_source.entry(source).or_default() += 1;
         let count = match kind {
-            Kind::Read => &mut self.reads,
-            Kind::Write => &mut self.writes,
-            Kind::Delete => &mut self.deletes,
-            Kind::List => &mut self.lists,
-            Kind::Watch => &mut self.watches,
-            Kind::Vms => &mut self.vms,
+            CallKind::Read => &mut self.reads,
+            CallKind::Write => &mut self.writes,
+            CallKind::Delete => &mut self.deletes,
+            CallKind::List => &mut self.lists,
+            CallKind::Watch => &mut self.watches,
+            CallKind::Vms => &mut self.vms,
         };
         *count += 1;
-        if kind == Kind::Write {
+        if kind == CallKind::Write {
             let prefix = path.split('/').next().unwrap_or_default().to_owned();
             *self.writes_by_prefix.entry(prefix).or_default() += 1;
         }
--- a/crates/rig/src/platform/http.rs
+++ b/crates/rig/src/platform/http.rs
@@ -1,4 +1,4 @@
-//! The calls over HTTP.
+//! Serves the platform's calls over HTTP.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -16,34 +16,34 @@
 use serde_json::json;
 use tokio::time::Instant;
 
-use super::counts::Kind;
+use super::counts::CallKind;
 use super::server::Shared;
 
-/// The largest object, in bytes.
-const OBJECT_MAX: usize = 1_000_000;
-/// The longest that a watch may wait.
-const WAIT_MAX: Duration = Duration::from_secs(60);
+/// The maximum size of an object, in bytes.
+const OBJECT_MAX_BYTES: usize = 1_000_000;
+/// The maximum duration of a watch.
+const WATCH_WAIT_MAX: Duration = Duration::from_secs(60);
 
 type Reply = Response<Full<Bytes>>;
 
-/// The connection is dropped in place of an answer.
+/// The error that drops the connection instead of answering.
 #[derive(Debug)]
-pub(super) struct Lost;
+pub(super) struct AnswerLost;
 
-impl std::fmt::Display for Lost {
+impl std::fmt::Display for AnswerLost {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the answer is lost")
     }
 }
 
-impl std::error::Error for Lost {}
+impl std::error::Error for AnswerLost {}
 
-/// Answers a call, or loses its answer.
+/// Answers a call, or fails to drop its connection.
 pub(super) async fn answer(
     shared: Arc<Shared>,
     source: IpAddr,
     req: Request<Incoming>,
-) -> Result<Reply, Lost> {
+) -> Result<Reply, AnswerLost> {
     match req.uri().path() {
         "/control" => return Ok(control(&shared, req).await),
         "/counts" => return Ok(json_reply(&shared.lock().counts)),
@@ -55,46 +55,46 @@
     if let Some(refusal) = admit(&shared, source, kind, &path).await? {
         return Ok(refusal);
     }
-    let reply = run(&shared, source, kind, path, req).await?;
+    let reply = execute(&shared, source, kind, path, req).await?;
     let delay = shared.lock().delay;
     if !delay.is_zero() {
         tokio::time::sleep(delay).await;
     }
-    // A cut or silence that began while the call ran swallows its answer too.
+    // A cut or silence that started while the call ran also suppresses its answer.
     if shared.lock().is_held(source) {
-        hold(&shared, source).await;
-        return Err(Lost);
+        hold_call(&shared, source).await;
+        return Err(AnswerLost);
     }
     Ok(reply)
 }
 
-fn kind_of(req: &Request<Incoming>) -> Option<(Kind, String)> {
+fn kind_of(req: &Request<Incoming>) -> Option<(CallKind, String)> {
     let path = req.uri().path();
     if let Some(object) = path.strip_prefix("/v1/objects/") {
         let kind = match *req.method() {
-            Method::GET => Kind::Read,
-            Method::PUT => Kind::Write,
-            Method::DELETE => Kind::Delete,
+            Method::GET => CallKind::Read,
+            Method::PUT => CallKind::Write,
+            Method::DELETE => CallKind::Delete,
             _ => return None,
         };
         return Some((kind, object.to_owned()));
     }
     let kind = match path {
-        "/v1/list" => Kind::List,
-        "/v1/watch" => Kind::Watch,
-        "/v1/vms" => Kind::Vms,
+        "/v1/list" => CallKind::List,
+        "/v1/watch" => CallKind::Watch,
+        "/v1/vms" => CallKind::Vms,
         _ => return None,
     };
     Some((kind, query(req, "prefix").unwrap_or_default()))
 }
 
-/// Counts the call; holds or refuses it if so told.
+/// Counts the call, and holds or refuses it if a fault or limit requires it.
 async fn admit(
     shared: &Shared,
     source: IpAddr,
-    kind: Kind,
+    kind: CallKind,
     path: &str,
-) -> Result<Option<Reply>, Lost> {
+) -> Result<Option<Reply>, AnswerLost> {
     let held = {
         let mut s = shared.lock();
         s.counts.add(kind, path, source);
@@ -105,43 +105,43 @@
         if s.down && !held {
             return Ok(Some(status(StatusCode::SERVICE_UNAVAILABLE)));
         }
-        if !held && !s.within_limit(kind) {
+        if !held && !s.count_against_limit(kind) {
             s.counts.limited += 1;
             return Ok(Some(status(StatusCode::TOO_MANY_REQUESTS)));
         }
         held
     };
     if held {
-        hold(shared, source).await;
-        return Err(Lost);
+        hold_call(shared, source).await;
+        return Err(AnswerLost);
     }
     Ok(None)
 }
 
-/// Waits until calls from there are answered again; the call itself never is.
-async fn hold(shared: &Shared, source: IpAddr) {
-    let mut news = shared.subscribe();
+/// Waits until calls from the source are answered again; the held call itself is never answered.
+async fn hold_call(shared: &Shared, source: IpAddr) {
+    let mut changes = shared.subscribe();
     while shared.lock().is_held(source) {
-        if news.changed().await.is_err() {
+        if changes.changed().await.is_err() {
             return;
         }
     }
 }
 
-async fn run(
+async fn execute(
     shared: &Shared,
     source: IpAddr,
-    kind: Kind,
+    kind: CallKind,
     path: String,
     req: Request<Incoming>,
-) -> Result<Reply, Lost> {
+) -> Result<Reply, AnswerLost> {
     match kind {
-        Kind::Read => Ok(read(shared, &path)),
-        Kind::Write => write(shared, path, req).await,
-        Kind::Delete => Ok(delete(shared, &path, &req)),
-        Kind::List => Ok(list(shared, &path)),
-        Kind::Watch => Ok(watch(shared, &path, &req).await),
-        Kind::Vms => Ok(json_reply(&shared.lock().vms.shown(source))),
+        CallKind::Read => Ok(read(shared, &path)),
+        CallKind::Write => write(shared, path, req).await,
+        CallKind::Delete => Ok(delete(shared, &path, &req)),
+        CallKind::List => Ok(list(shared, &path)),
+        CallKind::Watch => Ok(watch(shared, &path, &req).await),
+        CallKind::Vms => Ok(json_reply(&shared.lock().vms.list_for(source))),
     }
 }
 
@@ -152,11 +152,14 @@
     }
 }
 
-async fn write(shared: &Shared, path: String, req: Request<Incoming>) -> Result<Reply, Lost> {
+async fn write(shared: &Shared, path: String, req: Request<Incoming>) -> Result<Reply, AnswerLost> {
     let Some(if_version) = if_version(&req) else {
         return Ok(status(StatusCode::BAD_REQUEST));
     };
-    let Ok(content) = Limited::new(req.into_body(), OBJECT_MAX).collect().await else {
+    let Ok(content) = Limited::new(req.into_body(), OBJECT_MAX_BYTES)
+        .collect()
+        .await
+    else {
         return Ok(status(StatusCode::PAYLOAD_TOO_LARGE));
     };
     let content = content.to_bytes();
@@ -165,7 +168,7 @@
         if let Some(stalled) = &mut s.stalled {
             stalled.push((path, if_version, content));
             s.counts.lost += 1;
-            return Err(Lost);
+            return Err(AnswerLost);
         }
         let result = s.objects.put(&path, if_version, content);
         let lost = result.is_ok() && s.lose.count > 0 && path.starts_with(&s.lose.prefix);
@@ -180,7 +183,7 @@
     };
     shared.changed();
     match result {
-        Ok(_) if lost => Err(Lost),
+        Ok(_) if lost => Err(AnswerLost),
         Ok(version) => Ok(versioned(StatusCode::OK, version, Bytes::new())),
         Err(version) => Ok(versioned(StatusCode::CONFLICT, version, Bytes::new())),
     }
@@ -215,9 +218,9 @@
     let (Some(after), Some(wait)) = (number("after"), number("wait_ms")) else {
         return status(StatusCode::BAD_REQUEST);
     };
-    let until = Instant::now() + Duration::from_millis(wait).min(WAIT_MAX);
-    let mut news = shared.subscribe();
-    let _waiting = Waiting::new(shared);
+    let until = Instant::now() + Duration::from_millis(wait).min(WATCH_WAIT_MAX);
+    let mut changes = shared.subscribe();
+    let _waiting_watch = WaitingWatch::new(shared);
     loop {
         {
             let s = shared.lock();
@@ -232,33 +235,36 @@
                 return json_reply(&json!({"revision": revision, "changed": changed}));
             }
         }
-        let _ = tokio::time::timeout_at(until, news.changed()).await;
+        let _ = tokio::time::timeout_at(until, changes.changed()).await;
     }
 }
 
-/// Counts a watch as waiting for as long as it lives.
-struct Waiting<'a>(&'a Shared);
+/// Counts a watch as waiting until dropped.
+struct WaitingWatch<'a>(&'a Shared);
 
-impl<'a> Waiting<'a> {
+impl<'a> WaitingWatch<'a> {
     fn new(shared: &'a Shared) -> Self {
         shared.lock().counts.waiting += 1;
         Self(shared)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingWatch<'_> {
     fn drop(&mut self) {
         self.0.lock().counts.waiting -= 1;
     }
 }
 
 async fn control(shared: &Shared, req: Request<Incoming>) -> Reply {
-    let Ok(body) = Limited::new(req.into_body(), OBJECT_MAX).collect().await else {
+    let Ok(body) = Limited::new(req.into_body(), OBJECT_MAX_BYTES)
+        .collect()
+        .await
+    else {
         return status(StatusCode::PAYLOAD_TOO_LARGE);
     };
     match serde_json::from_slice(&body.to_bytes()) {
-        Ok(order) => {
-            shared.control(order);
+        Ok(command) => {
+            shared.control(command);
             status(StatusCode::OK)
         }
         Err(e) => {
--- a/crates/rig/src/platform/mod.rs
+++ b/crates/rig/src/platform/mod.rs
@@ -1,8 +1,8 @@
 //! A stand-in for the platform's object service of `docs/PROTOCOLS.md`.
 //!
-//! It holds objects with versions in memory, answers conditional updates and watches by long poll,
-//! serves a VM list that lags, counts calls by kind, and misbehaves as told by [`Control`], in
-//! process or over `POST /control`.
+//! It stores versioned objects in memory, serves conditional updates and watches by long poll,
+//! serves a VM list with a delay, counts calls by kind, and injects faults as set by [`Control`], in
+//! process or by `POST /control`.
 //!
 //! ```
 //! use gs_rig::platform::Control;
@@ -32,5 +32,5 @@
 pub use counts::Counts;
 pub use server::Platform;
 pub use server::PlatformOptions;
-pub use vms::MeshFrom;
+pub use vms::MeshAddresses;
 pub use vms::Vm;
--- a/crates/rig/src/platform/objects.rs
+++ b/crates/rig/src/platform/objects.rs
@@ -1,4 +1,4 @@
-//! Objects with versions.
+//! The versioned objects of the platform, and tombstones of deleted ones.
 
 use std::collections::BTreeMap;
 
@@ -6,19 +6,19 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Tombstones kept before all changes so far are forgotten.
+/// The number of tombstones above which the history of changes is dropped.
 const TOMBSTONES_MAX: usize = 10_000;
 
-/// All objects, and what was deleted.
+/// The versioned objects and the tombstones of deleted ones.
 #[derive(Debug, Default)]
 pub(super) struct Objects {
     revision: u64,
-    forgotten: u64,
+    compacted: u64,
     live: BTreeMap<String, (u64, Bytes)>,
     deleted: BTreeMap<String, u64>,
 }
 
-/// An object that changed, as a watch shows it.
+/// An object that changed, as returned by a watch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Changed {
     pub(super) path: String,
@@ -27,17 +27,17 @@
 }
 
 impl Objects {
-    /// The store's revision: that of its last write.
+    /// Returns the store's revision, which is that of its last write.
     pub(super) fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The object's version and content.
+    /// Returns an object's version and content.
     pub(super) fn get(&self, path: &str) -> Option<(u64, Bytes)> {
         self.live.get(path).cloned()
     }
 
-    /// Writes if the version fits; the current one, or 0, otherwise.
+    /// Writes an object if its version matches and returns the new version; fails with the current one, or 0.
     pub(super) fn put(&mut self, path: &str, if_version: u64, content: Bytes) -> Result<u64, u64> {
         let now = self.live.get(path).map_or(0, |(v, _)| *v);
         if now != if_version {
@@ -46,7 +46,7 @@
         Ok(self.set(path, content))
     }
 
-    /// Writes whatever the version is.
+    /// Writes an object unconditionally and returns its new version.
     pub(super) fn set(&mut self, path: &str, content: Bytes) -> u64 {
         self.revision += 1;
         self.deleted.remove(path);
@@ -54,7 +54,7 @@
         self.revision
     }
 
-    /// Deletes if the version fits: `Ok(false)` if there is none, the current version otherwise.
+    /// Deletes an object if its version matches: `Ok(false)` if there is none; fails with the current version.
     pub(super) fn delete(&mut self, path: &str, if_version: u64) -> Result<bool, u64> {
         match self.live.get(path) {
             None => Ok(false),
@@ -64,14 +64,14 @@
                 self.live.remove(path);
                 self.deleted.insert(path.to_owned(), self.revision);
                 if self.deleted.len() > TOMBSTONES_MAX {
-                    self.forget();
+                    self.drop_history();
                 }
                 Ok(true)
             }
         }
     }
 
-    /// The paths and versions under a prefix.
+    /// Returns the paths and versions of the objects under a prefix.
     pub(super) fn list(&self, prefix: &str) -> Vec<(String, u64)> {
         self.live
             .range(prefix.to_owned()..)
@@ -80,16 +80,16 @@
             .collect()
     }
 
-    /// What changed under a prefix after a revision; `None` if that is forgotten.
+    /// Returns the changes under a prefix after a revision; `None` if the history no longer covers it.
     pub(super) fn changed(&self, prefix: &str, after: u64) -> Option<Vec<Changed>> {
-        // A revision from the future is one of a store that was before this one.
-        if after < self.forgotten || after > self.revision {
+        // A revision above the current one comes from an earlier instance of the store.
+        if after < self.compacted || after > self.revision {
             return None;
         }
         let live = self.live.iter().map(|(p, (v, _))| (p, *v, false));
-        let gone = self.deleted.iter().map(|(p, v)| (p, *v, true));
+        let deleted = self.deleted.iter().map(|(p, v)| (p, *v, true));
         let changed = live
-            .chain(gone)
+            .chain(deleted)
             .filter(|(p, v, _)| *v > after && p.starts_with(prefix))
             .map(|(p, version, deleted)| Changed {
                 path: p.clone(),
@@ -99,10 +99,10 @@
         Some(changed.collect())
     }
 
-    /// Forgets what changed so far; watches from before are told so.
-    pub(super) fn forget(&mut self) {
+    /// Drops the history of changes; watches from an earlier revision then fail.
+    pub(super) fn drop_history(&mut self) {
         self.deleted.clear();
         self.revision += 1;
-        self.forgotten = self.revision;
+        self.compacted = self.revision;
     }
 }
--- a/crates/rig/src/platform/server.rs
+++ b/crates/rig/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! The running stand-in and its state.
+//! The running stand-in of the platform and its state.
 
 use std::net::IpAddr;
 use std::net::SocketAddr;
@@ -25,36 +25,36 @@
 use super::control::AnswerLoss;
 use super::control::Control;
 use super::control::Limits;
+use super::counts::CallKind;
 use super::counts::Counts;
-use super::counts::Kind;
 use super::http;
 use super::objects::Objects;
-use super::vms::MeshFrom;
+use super::vms::MeshAddresses;
 use super::vms::Vm;
 use super::vms::VmList;
 
-/// How the stand-in starts.
+/// The options of the stand-in.
 #[derive(Builder, Clone, Debug)]
 pub struct PlatformOptions {
-    /// Where it listens; a free port of 127.0.0.1 unless given.
+    /// The address to listen on; a free port of 127.0.0.1 by default.
     #[builder(default = SocketAddr::from(([127, 0, 0, 1], 0)))]
     pub addr: SocketAddr,
-    /// The VM list, shown at once.
+    /// The initial VM list, visible without delay.
     #[builder(default)]
     pub vms: Vec<Vm>,
-    /// How late the VM list shows changes.
+    /// The delay until changes appear in the VM list.
     #[builder(default)]
     pub vm_lag: Duration,
-    /// How late every call is answered.
+    /// The delay of every answer.
     #[builder(default)]
     pub delay: Duration,
-    /// Mesh addresses shown in place of the true ones, by the address of the asker: those of links
-    /// that can be cut.
+    /// Mesh addresses returned in place of the true ones, by source address: those of links that can
+    /// be cut.
     #[builder(default)]
-    pub mesh_from: MeshFrom,
+    pub mesh_addresses: MeshAddresses,
 }
 
-/// A running stand-in; it stops, and drops its connections, when this is dropped.
+/// A running stand-in; dropping it stops it and closes its connections.
 #[derive(Debug)]
 pub struct Platform {
     addr: SocketAddr,
@@ -63,11 +63,11 @@
 }
 
 impl Platform {
-    /// Starts to listen.
+    /// Starts the stand-in.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Io`] if the address is not to be had.
+    /// [`ErrorKind::Io`] if the address cannot be bound.
     pub async fn start(options: PlatformOptions) -> Result<Self> {
         let io = |e: std::io::Error| {
             Error::new(ErrorKind::Io, e.to_string())
@@ -81,38 +81,38 @@
         Ok(Self { addr, shared, task })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Changes how it behaves.
+    /// Applies a control command.
     pub fn control(&self, control: Control) {
         self.shared.control(control);
     }
 
-    /// The calls taken so far.
+    /// Returns the number of calls so far.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.shared.lock().counts.clone()
     }
 
-    /// Writes an object as a publisher would, whatever its version and however the stand-in
-    /// misbehaves; not counted.
+    /// Writes an object as a publisher would, regardless of its version and of injected faults; not
+    /// counted.
     pub fn put(&self, path: &str, content: impl Into<Bytes>) -> u64 {
         let version = self.shared.lock().objects.set(path, content.into());
         self.shared.changed();
         version
     }
 
-    /// Reads an object's version and content, not counted.
+    /// Returns an object's version and content; not counted.
     #[must_use]
     pub fn get(&self, path: &str) -> Option<(u64, Bytes)> {
         self.shared.lock().objects.get(path)
     }
 
-    /// The paths under a prefix, not counted.
+    /// Returns the paths under a prefix; not counted.
     #[must_use]
     pub fn paths(&self, prefix: &str) -> Vec<String> {
         let list = self.shared.lock().objects.list(prefix);
@@ -126,11 +126,11 @@
     }
 }
 
-/// What all connections share.
+/// The state shared by all connections.
 #[derive(Debug)]
 pub(super) struct Shared {
     state: Mutex<State>,
-    /// Counts changes of anything that a held or waiting call looks at.
+    /// The number of changes so far; wakes held and waiting calls.
     change: watch::Sender<u64>,
 }
 
@@ -151,7 +151,7 @@
     window: Window,
 }
 
-/// Calls taken in the running second.
+/// The calls in the current second.
 #[derive(Debug)]
 struct Window {
     start: Instant,
@@ -160,15 +160,15 @@
 }
 
 impl State {
-    /// Whether a call from there gets no answer now.
+    /// Whether calls from this source are held without an answer.
     pub(super) fn is_held(&self, source: IpAddr) -> bool {
         self.silent
             || self.cut.contains(&source)
-            || self.vms.stands_in(source, &self.cut_data_centres)
+            || self.vms.is_in_data_centre(source, &self.cut_data_centres)
     }
 
-    /// Counts a call against its limit: `false` if it is over.
-    pub(super) fn within_limit(&mut self, kind: Kind) -> bool {
+    /// Counts a call against its limit; returns `false` if the limit is exceeded.
+    pub(super) fn count_against_limit(&mut self, kind: CallKind) -> bool {
         if self.window.start.elapsed() >= Duration::from_secs(1) {
             self.window = Window {
                 start: Instant::now(),
@@ -176,7 +176,7 @@
                 writes: 0,
             };
         }
-        let (used, limit) = match kind.writes() {
+        let (used, limit) = match kind.is_write() {
             true => (&mut self.window.writes, self.limits.writes),
             false => (&mut self.window.reads, self.limits.reads),
         };
@@ -184,14 +184,14 @@
         limit == 0 || *used <= limit
     }
 
-    fn obey(&mut self, c: Control) {
-        set(&mut self.down, c.down);
-        set(&mut self.silent, c.silent);
-        set(&mut self.delay, c.delay_ms.map(Duration::from_millis));
-        set(&mut self.lose, c.lose);
-        set(&mut self.limits, c.limits);
-        set(&mut self.cut, c.cut);
-        set(&mut self.cut_data_centres, c.cut_data_centres);
+    fn apply(&mut self, c: Control) {
+        set_if_some(&mut self.down, c.down);
+        set_if_some(&mut self.silent, c.silent);
+        set_if_some(&mut self.delay, c.delay_ms.map(Duration::from_millis));
+        set_if_some(&mut self.lose, c.lose);
+        set_if_some(&mut self.limits, c.limits);
+        set_if_some(&mut self.cut, c.cut);
+        set_if_some(&mut self.cut_data_centres, c.cut_data_centres);
         if let Some(lag) = c.vm_lag_ms {
             self.vms.set_lag(Duration::from_millis(lag));
         }
@@ -211,7 +211,7 @@
             });
         }
         if c.forget == Some(true) {
-            self.objects.forget();
+            self.objects.drop_history();
         }
         match c.stall_writes {
             Some(true) if self.stalled.is_none() => self.stalled = Some(Vec::new()),
@@ -225,7 +225,7 @@
     }
 }
 
-fn set<T>(to: &mut T, value: Option<T>) {
+fn set_if_some<T>(to: &mut T, value: Option<T>) {
     if let Some(v) = value {
         *to = v;
     }
@@ -236,7 +236,7 @@
         let state = State {
             objects: Objects::default(),
             vms: VmList::new(options.vms.clone(), options.vm_lag)
-                .with_mesh_from(options.mesh_from.clone()),
+                .with_mesh_addresses(options.mesh_addresses.clone()),
             counts: Counts::default(),
             down: false,
             silent: false,
@@ -258,24 +258,24 @@
         }
     }
 
-    /// The state; a panic in another call leaves it usable.
+    /// Locks the state; a panic in another call leaves it usable.
     pub(super) fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Wakes held and waiting calls to look again.
+    /// Wakes held and waiting calls, which then check the state again.
     pub(super) fn changed(&self) {
         self.change.send_modify(|n| *n += 1);
     }
 
-    /// Brings news of changes from now on.
+    /// Returns a receiver that is notified of changes from now on.
     pub(super) fn subscribe(&self) -> watch::Receiver<u64> {
         self.change.subscribe()
     }
 
-    /// Obeys an order.
+    /// Applies a control command and wakes held and waiting calls.
     pub(super) fn control(&self, control: Control) {
-        self.lock().obey(control);
+        self.lock().apply(control);
         self.changed();
     }
 }
@@ -284,7 +284,7 @@
     let mut connections = JoinSet::new();
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
-            // Out of file descriptors, say: the next accept may work once some are closed.
+            // The process may be out of file descriptors: accept can succeed once some are closed.
             tokio::time::sleep(Duration::from_millis(10)).await;
             continue;
         };
@@ -303,7 +303,7 @@
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(e) = served {
-        // A caller that hung up, or an answer lost on purpose.
+        // The caller disconnected, or the answer was dropped on purpose.
         log::debug!("event=connection-ended peer={peer} error=\"{e}\"");
     }
 }
--- a/crates/rig/src/platform/vms.rs
+++ b/crates/rig/src/platform/vms.rs
@@ -1,4 +1,4 @@
-//! The lagging VM list.
+//! The VM list, whose changes become visible with a delay.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -10,78 +10,78 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-/// A VM as the list shows it.
+/// An entry of the VM list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
     /// Its name.
     pub vm: VmId,
-    /// Where it stands.
+    /// Its data centre.
     pub data_centre: DataCentre,
     /// The region of that data centre.
     pub region: Region,
-    /// Where its mesh socket listens.
+    /// The address of its mesh socket.
     pub mesh: SocketAddr,
-    /// Where it takes lookups.
+    /// The address for lookups.
     pub callers: SocketAddr,
-    /// Where it takes operators' calls.
+    /// The address for operators' calls.
     pub admin: SocketAddr,
-    /// Whether the platform is taking it away.
+    /// Whether the platform is removing it.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// Mesh addresses shown in place of the true ones, by asker and VM.
-pub type MeshFrom = BTreeMap<IpAddr, BTreeMap<VmId, SocketAddr>>;
+/// Mesh addresses returned in place of the true ones, by source address and VM.
+pub type MeshAddresses = BTreeMap<IpAddr, BTreeMap<VmId, SocketAddr>>;
 
-/// The VM list with what it was, so that it can be shown late.
+/// The VM list with its earlier versions, so that changes can become visible with a delay.
 #[derive(Debug)]
 pub(super) struct VmList {
     lag: Duration,
-    /// The list from each time on, oldest first.
-    steps: Vec<(Instant, Vec<Vm>)>,
-    first: Vec<Vm>,
-    mesh_from: MeshFrom,
+    /// The versions of the list with the times of the changes, oldest first.
+    versions: Vec<(Instant, Vec<Vm>)>,
+    initial: Vec<Vm>,
+    mesh_addresses: MeshAddresses,
 }
 
 impl VmList {
-    /// Starts with a list that shows at once.
+    /// Creates a list whose initial content is visible without delay.
     pub(super) fn new(vms: Vec<Vm>, lag: Duration) -> Self {
         Self {
             lag,
-            steps: Vec::new(),
-            first: vms,
-            mesh_from: MeshFrom::new(),
+            versions: Vec::new(),
+            initial: vms,
+            mesh_addresses: MeshAddresses::new(),
         }
     }
 
-    /// Shows these mesh addresses in place of the true ones.
-    pub(super) fn with_mesh_from(mut self, mesh_from: MeshFrom) -> Self {
-        self.mesh_from = mesh_from;
+    /// Sets the mesh addresses that are returned in place of the true ones.
+    pub(super) fn with_mesh_addresses(mut self, mesh_addresses: MeshAddresses) -> Self {
+        self.mesh_addresses = mesh_addresses;
         self
     }
 
-    /// Sets how late changes show.
+    /// Sets the delay until changes become visible.
     pub(super) fn set_lag(&mut self, lag: Duration) {
         self.lag = lag;
     }
 
-    /// Changes the list from now on.
+    /// Changes the list; the change becomes visible after the delay.
     pub(super) fn change(&mut self, f: impl FnOnce(&mut Vec<Vm>)) {
         let mut vms = self.newest().to_vec();
         f(&mut vms);
-        self.steps.push((Instant::now(), vms));
+        self.versions.push((Instant::now(), vms));
     }
 
-    /// The list as a caller at this address sees it now.
-    pub(super) fn shown(&self, asker: IpAddr) -> Vec<Vm> {
+    /// Returns the list that is now visible to a caller at this address.
+    pub(super) fn list_for(&self, source: IpAddr) -> Vec<Vm> {
         let now = Instant::now();
         let seen = self
-            .steps
+            .versions
             .iter()
             .rev()
             .find(|(at, _)| *at + self.lag <= now);
-        let mut vms = seen.map_or(&self.first, |(_, vms)| vms).clone();
-        if let Some(links) = self.mesh_from.get(&asker) {
+        let mut vms = seen.map_or(&self.initial, |(_, vms)| vms).clone();
+        if let Some(links) = self.mesh_addresses.get(&source) {
             for vm in &mut vms {
                 vm.mesh = links.get(&vm.vm).copied().unwrap_or(vm.mesh);
             }
@@ -90,13 +90,13 @@
     }
 
     /// Whether the address is that of a VM in one of these data centres.
-    pub(super) fn stands_in(&self, source: IpAddr, data_centres: &[DataCentre]) -> bool {
+    pub(super) fn is_in_data_centre(&self, source: IpAddr, data_centres: &[DataCentre]) -> bool {
         self.newest()
             .iter()
             .any(|v| v.mesh.ip() == source && data_centres.contains(&v.data_centre))
     }
 
     fn newest(&self) -> &[Vm] {
-        self.steps.last().map_or(&self.first, |(_, vms)| vms)
+        self.versions.last().map_or(&self.initial, |(_, vms)| vms)
     }
 }
--- a/crates/rig/src/experiment.rs
+++ b/crates/rig/src/policy_comparison.rs
@@ -1,4 +1,4 @@
-//! `gs-rig table`: policies compared under each scenario, same seed and same load.
+//! `gs-rig table`: compares policies under each scenario, with the same seed and load.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -21,14 +21,14 @@
 use crate::args::Table;
 use crate::scenario::Scenario;
 
-/// Load before a fault and before anything is counted.
+/// The duration of the load before faults are injected and requests are counted.
 const WARM_UP: Duration = Duration::from_secs(2);
 
-/// One lookup in so many is poisoned, where any is.
+/// In scenarios with poisoned lookups, one lookup in this number is poisoned.
 const POISON_EVERY: u32 = 100;
 
-/// One line: a scenario under a policy.
-struct Line {
+/// The measurement of one scenario under one policy.
+struct Measurement {
     scenario: Scenario,
     policy: String,
     row: Row,
@@ -38,7 +38,7 @@
     engines: Engines,
 }
 
-/// Sums over the engines of every VM, for the whole run with its warm-up.
+/// The counters of the engines summed over all VMs, including the warm-up.
 #[derive(Clone, Copy, Debug, Default)]
 struct Engines {
     attempts: u64,
@@ -84,7 +84,7 @@
     corpus: &Arc<Corpus>,
     scenario: Scenario,
     policy: &str,
-) -> Result<Line> {
+) -> Result<Measurement> {
     let c = &args.common;
     let settings = format!("[tuning]\npolicy = \"{policy}\"\n\n[log]\nlevel = \"warn\"\n");
     let options = DeploymentOptions::builder()
@@ -98,13 +98,13 @@
     let d = Deployment::start(options).await?;
     load_for(&d, args, scenario, WARM_UP, c.seed).await;
     let before = d.servers.counts().summary().total;
-    let (driven, tally) = tokio::join!(
-        scenario.drive(&d, c.length),
+    let (injected, tally) = tokio::join!(
+        scenario.inject(&d, c.length),
         load_for(&d, args, scenario, c.length, c.seed + 1),
     );
-    driven?;
+    injected?;
     let after = d.servers.counts().summary().total;
-    Ok(Line {
+    Ok(Measurement {
         scenario,
         policy: policy.to_owned(),
         row: tally.row(&format!("{}, {policy}", scenario.name())),
@@ -123,23 +123,23 @@
     seed: u64,
 ) -> Tally {
     let resends = Resends {
-        most: 5,
-        wait: Duration::from_millis(200),
+        resends_max: 5,
+        resend_delay: Duration::from_millis(200),
     };
     let spec = LoadSpec::builder()
         .rate(scenario.rate())
         .length(length)
         .seed(seed)
         .to_callers(args.common.shape.to_callers)
-        .maybe_resends(scenario.resends().then_some(resends))
+        .maybe_resends(scenario.has_resends().then_some(resends))
         .build();
     let mut mix = d.mix(args.common.seed);
-    if scenario.one_lookup() {
-        // An early end spares most of the work, so it says nothing about capacity.
+    if scenario.is_one_lookup() {
+        // An early end avoids most of the work, so such a lookup does not measure capacity.
         let whole = d.shape.lookups.iter().find(|l| l.enough_at.is_none());
         mix = mix.only(&[whole.map_or("", |l| l.name)]);
     }
-    if let Some(word) = scenario.poison() {
+    if let Some(word) = scenario.poison_word() {
         mix = mix.poisoned(word, POISON_EVERY);
     }
     let tallies = load::run(spec, mix, d.targets(false), Some(d.checker())).await;
@@ -148,7 +148,7 @@
     all
 }
 
-/// Asks every VM for its counters; one that does not answer is left out.
+/// Sums the counters of all VMs that answer.
 async fn engines(d: &Deployment) -> Engines {
     let operator = Operator::new();
     let mut sum = Engines::default();
@@ -171,7 +171,7 @@
     sum
 }
 
-fn print_line(line: &Line) {
+fn print_line(line: &Measurement) {
     eprintln!(
         "table: {} asked={} whole={} p50={:.1} p99={:.1} p99.9={:.1} coverage={:.4} extra={:.2}% opened={} crashes={} wrong={} not-run={:?} unknown={:?} missing={:?} faults={:?} {:?}",
         line.row.name,
@@ -193,7 +193,7 @@
     );
 }
 
-fn print_table(args: &Table, lines: &[Line]) {
+fn print_table(args: &Table, lines: &[Measurement]) {
     let rows: Vec<Row> = lines.iter().map(|l| l.row.clone()).collect();
     println!(
         "{}, {:?} a run, seed {}\n",
@@ -211,7 +211,7 @@
     }
 }
 
-fn plot(args: &Table, lines: &[Line]) -> Plot {
+fn plot(args: &Table, lines: &[Measurement]) -> Plot {
     let mut scenarios: Vec<String> = Vec::new();
     for l in lines {
         let name = l.scenario.name().to_owned();
--- a/crates/rig/src/process.rs
+++ b/crates/rig/src/process.rs
@@ -1,4 +1,4 @@
-//! One `gentiansill` process of a deployment: started, signalled, measured and ended by its id.
+//! Starts, signals, measures and ends one `gentiansill` process, by its process id.
 
 use std::fs::File;
 use std::path::Path;
@@ -16,16 +16,16 @@
 use crate::deploy::VmPlan;
 use crate::load::Caller;
 
-/// The path that answers 200 once a VM takes lookups.
-pub(crate) const READY: &str = "/ready";
+/// The path that answers 200 once a VM accepts lookups.
+pub(crate) const READY_PATH: &str = "/ready";
 
-/// The time between two looks at something that a process brings about.
-const LOOK_AGAIN: Duration = Duration::from_millis(5);
+/// The interval between two checks of a process's state.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Clock ticks a second in `/proc`; fixed by the kernel's interface to programs.
-const TICKS: u64 = 100;
+/// The clock ticks per second in `/proc`; the kernel's user-space interface fixes this value.
+const TICKS_PER_SECOND: u64 = 100;
 
-/// A running process; killed when dropped.
+/// A running VM process; killed when dropped.
 #[derive(Debug)]
 pub struct VmProcess {
     plan: VmPlan,
@@ -33,19 +33,19 @@
     started: Instant,
 }
 
-/// What a process has used.
+/// The resources used by a process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
     /// Processor time, user and system.
     pub cpu: Duration,
     /// Resident memory.
     pub resident: Bytes,
-    /// Threads.
+    /// The number of threads.
     pub threads: u32,
 }
 
 impl VmProcess {
-    /// Starts `bin serve` with a settings file; its log goes to `log`.
+    /// Starts `bin serve` with a settings file; its log is appended to `log`.
     ///
     /// # Errors
     ///
@@ -77,19 +77,19 @@
         })
     }
 
-    /// Its VM.
+    /// Returns the plan of its VM.
     #[must_use]
     pub fn plan(&self) -> &VmPlan {
         &self.plan
     }
 
-    /// Its process id.
+    /// Returns its process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Waits until it takes lookups; gives the time since its start.
+    /// Waits until it accepts lookups and returns the time since its start.
     ///
     /// # Errors
     ///
@@ -102,27 +102,27 @@
                 return Ok(self.started.elapsed());
             }
             if let Ok(Some(status)) = self.child.try_wait() {
-                return Err(self.failed(format!("it exited with {status}")));
+                return Err(self.failed(format!("the process exited with {status}")));
             }
             if Instant::now() > end {
                 return Err(self.failed(format!("not ready within {limit:?}")));
             }
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Whether it says that it takes lookups.
+    /// Whether it reports that it accepts lookups.
     pub async fn is_ready(&self, caller: &Caller) -> bool {
-        let asked = caller.get(self.plan.admin, READY);
-        let answer = tokio::time::timeout(Duration::from_secs(1), asked).await;
+        let response = caller.get(self.plan.admin, READY_PATH);
+        let answer = tokio::time::timeout(Duration::from_secs(1), response).await;
         matches!(answer, Ok(Ok((200, _))))
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     ///
     /// # Errors
     ///
-    /// If it is gone.
+    /// If it has ended.
     pub fn signal(&self, signal: Signal) -> Result<()> {
         rustix::process::kill_process(self.pid()?, signal)
             .map_err(|e| self.failed(format!("signal: {e}")))
@@ -132,13 +132,13 @@
     ///
     /// # Errors
     ///
-    /// If it has not within `limit`.
+    /// If it has not exited within `limit`.
     pub async fn wait_for_exit(&mut self, limit: Duration) -> Result<ExitStatus> {
         let end = Instant::now() + limit;
         loop {
             match self.child.try_wait() {
                 Ok(Some(status)) => return Ok(status),
-                Ok(None) if Instant::now() < end => tokio::time::sleep(LOOK_AGAIN).await,
+                Ok(None) if Instant::now() < end => tokio::time::sleep(POLL_INTERVAL).await,
                 Ok(None) => return Err(self.failed(format!("still running after {limit:?}"))),
                 Err(e) => return Err(self.failed(e.to_string())),
             }
@@ -147,16 +147,16 @@
 
     /// Kills it at once.
     pub fn kill(&mut self) {
-        // It may be gone already, which is as good.
+        // Fails if the process has already ended; then there is nothing to kill.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// What it has used so far.
+    /// Returns the resources used so far.
     ///
     /// # Errors
     ///
-    /// If it is gone.
+    /// If it has ended.
     pub fn usage(&self) -> Result<Usage> {
         usage_of(self.id())
     }
@@ -181,7 +181,7 @@
     }
 }
 
-/// What a process has used so far, from `/proc`.
+/// Returns the resources used so far by a process, from `/proc`.
 ///
 /// # Errors
 ///
@@ -192,7 +192,7 @@
             .map_err(|e| Error::new(ErrorKind::Io, e.to_string()).at("read a process's usage"))
     };
     let (stat, status) = (read("stat")?, read("status")?);
-    let line = |key: &str| {
+    let status_field = |key: &str| {
         let found = status.lines().find_map(|l| l.strip_prefix(key));
         found
             .and_then(|l| l.split_whitespace().next())
@@ -201,12 +201,13 @@
     };
     Ok(Usage {
         cpu: cpu(&stat),
-        resident: Bytes(line("VmRSS:") << 10),
-        threads: u32::try_from(line("Threads:")).unwrap_or(0),
+        resident: Bytes(status_field("VmRSS:") << 10),
+        threads: u32::try_from(status_field("Threads:")).unwrap_or(0),
     })
 }
 
-/// The fields 14 and 15 of `stat`, counted after the program's name, which may hold anything.
+/// Returns the processor time from fields 14 and 15 of `stat`, counted from the end of the program's
+/// name, which may contain spaces and parentheses.
 fn cpu(stat: &str) -> Duration {
     let after = stat.rsplit(')').next().unwrap_or("");
     let ticks: u64 = after
@@ -215,5 +216,5 @@
         .take(2)
         .filter_map(|n| n.parse::<u64>().ok())
         .sum();
-    Duration::from_millis(ticks * 1000 / TICKS)
+    Duration::from_millis(ticks * 1000 / TICKS_PER_SECOND)
 }
--- a/crates/rig/src/truth.rs
+++ b/crates/rig/src/reference.rs
@@ -1,4 +1,4 @@
-//! The brute-force search of the whole text that every page is compared with.
+//! The reference search: a brute-force scan of the whole text, with which every page is compared.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,25 +14,25 @@
 use crate::index::weight;
 use crate::index::words;
 
-/// One document that matches, best first in a list of them.
+/// A matching document; lists of them are sorted best first.
 #[derive(Clone, Debug)]
 struct Match {
     doc: Doc,
     score: u64,
 }
 
-/// A list of matches, and what it was searched for.
+/// Cached lists of matches, by snapshot, query and key.
 type Found = HashMap<(SnapshotId, String, Option<String>), Arc<Vec<Match>>>;
 
-/// Searches the text without shards or index, and remembers what it found.
+/// Searches the text without shards or index, and caches the results.
 #[derive(Debug)]
-pub struct Truth {
+pub struct ReferenceSearch {
     corpus: Arc<Corpus>,
     found: Mutex<Found>,
 }
 
-impl Truth {
-    /// Starts over this text.
+impl ReferenceSearch {
+    /// Creates a search over this text.
     #[must_use]
     pub fn new(corpus: Arc<Corpus>) -> Self {
         Self {
@@ -41,10 +41,10 @@
         }
     }
 
-    /// The one right part for a query: the best of every document in the snapshot that `covers`
-    /// accepts by its shard.
+    /// Returns the right result for a query: the best hits among the snapshot's documents whose
+    /// shards are accepted by `covers`.
     #[must_use]
-    pub fn brute_force(&self, ask: &Ask<'_>, covers: &dyn Fn(ShardId) -> bool) -> Part {
+    pub fn search(&self, ask: &SearchRequest<'_>, covers: &dyn Fn(ShardId) -> bool) -> Part {
         let found = self.matches(ask);
         let covered = |m: &&Match| covers(shard_of(&m.doc.id, ask.shards));
         let matched = found.iter().filter(covered).count() as u64;
@@ -55,7 +55,7 @@
         }
     }
 
-    fn matches(&self, ask: &Ask<'_>) -> Arc<Vec<Match>> {
+    fn matches(&self, ask: &SearchRequest<'_>) -> Arc<Vec<Match>> {
         let key = (
             ask.snapshot,
             ask.query.to_owned(),
@@ -65,7 +65,7 @@
         found.entry(key).or_insert_with(|| self.scan(ask)).clone()
     }
 
-    fn scan(&self, ask: &Ask<'_>) -> Arc<Vec<Match>> {
+    fn scan(&self, ask: &SearchRequest<'_>) -> Arc<Vec<Match>> {
         let wanted: Vec<String> = words(ask.query).collect();
         let mut found: Vec<Match> = self
             .corpus
@@ -83,22 +83,22 @@
     }
 }
 
-/// What is searched for, and where.
+/// The query of a reference search and its scope.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct SearchRequest<'a> {
     /// The text to search for.
     pub query: &'a str,
     /// For a keyed lookup, the key.
     pub key: Option<&'a str>,
     /// The snapshot.
     pub snapshot: SnapshotId,
-    /// How many shards the snapshot has.
+    /// The number of shards of the snapshot.
     pub shards: u32,
-    /// The most hits wanted.
+    /// The maximum number of hits.
     pub page: usize,
 }
 
-/// The score of a document, `None` if no wanted word is in it.
+/// Returns the score of a document; `None` if it contains no wanted word.
 fn score(doc: &Doc, wanted: &[String]) -> Option<u64> {
     let mut sum = 0;
     for have in words(&doc.text) {
--- a/crates/rig/src/scenario.rs
+++ b/crates/rig/src/scenario.rs
@@ -1,4 +1,4 @@
-//! The faults of the comparison, each put on while the load runs.
+//! The scenarios of the policy comparison; each injects its faults while the load runs.
 
 use std::time::Duration;
 
@@ -8,55 +8,55 @@
 use strum::EnumIter;
 use strum::IntoStaticStr;
 
-/// How many times the service time a straggler takes.
+/// The factor by which the service time of a straggler grows.
 const STRAGGLER_FACTOR: f64 = 10.0;
 
-/// The word that crashes servers, in no text that is indexed but this one.
-const POISON: &str = "crashingword";
+/// The word that crashes servers; of all indexed files, only this one contains it.
+const POISON_WORD: &str = "crashingword";
 
-/// How long a poisoned server stays down, in milliseconds.
+/// The time until a crashed server restarts, in milliseconds.
 const POISON_DOWN_MS: u64 = 1000;
 
-/// A load that no server can have, claimed by misleading ones.
-const FALSE_LOAD: u32 = 1000;
+/// The false load that misleading servers report, higher than any true load.
+const MISLEADING_LOAD: u32 = 1000;
 
-/// One line of the comparison.
+/// A scenario of the comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Scenario {
-    /// Nothing.
+    /// No fault.
     NoFault,
     /// One request in a hundred takes ten times as long.
     Stragglers1,
-    /// Five requests in a hundred do.
+    /// Five requests in a hundred take ten times as long.
     Stragglers5,
-    /// Every server of the scatter groups in the first data centre is down.
+    /// All servers of the scatter groups in the first data centre are down.
     ReplicaLost,
     /// One server after another drains and restarts.
     RollingDrain,
     /// Every scatter group gets a new snapshot with other shards, and drops the old one.
     Repartition,
-    /// Idle servers claim a load, and every other one claims none.
+    /// One replica of each service reports a high load, and the other reports none.
     MisleadingLoad,
-    /// The servers take twenty times as long, and the load is 0.9 of what they can do.
+    /// The servers take twenty times as long, and the load is 0.9 of their capacity.
     AtCapacity,
-    /// As before, with twice the load.
+    /// The same with a load of twice the capacity.
     TwiceCapacity,
-    /// A lookup crashes servers and is sent again and again.
+    /// A lookup crashes servers, and callers resend it.
     Poison,
-    /// Stragglers while the replicas of a data centre are lost.
+    /// One request in a hundred is a straggler while the replicas of a data centre are down.
     StragglersAndReplicaLost,
     /// Drains during a repartition.
     DrainAndRepartition,
 }
 
 impl Scenario {
-    /// Its name.
+    /// Returns its name.
     pub fn name(self) -> &'static str {
         self.into()
     }
 
-    /// The mean service time of the servers under it.
+    /// Returns the mean service time of the servers.
     pub fn service_time(self) -> Duration {
         match self {
             Self::AtCapacity | Self::TwiceCapacity => Duration::from_millis(80),
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Arrivals a second: the capacity scenarios load one group, whose shards run 2 servers × 2
-    /// slots / 80 ms = 50 lookups a second.
+    /// Returns the arrivals per second. The capacity scenarios load one group, whose shards can run
+    /// 2 servers × 2 slots / 80 ms = 50 lookups per second.
     pub fn rate(self) -> f64 {
         match self {
             Self::AtCapacity => 45.0,
@@ -74,23 +74,23 @@
         }
     }
 
-    /// Whether only the first lookup of the deployment is asked.
-    pub fn one_lookup(self) -> bool {
+    /// Whether the load consists of one lookup of the deployment only.
+    pub fn is_one_lookup(self) -> bool {
         matches!(self, Self::AtCapacity | Self::TwiceCapacity)
     }
 
-    /// Whether callers ask again after a refusal.
-    pub fn resends(self) -> bool {
+    /// Whether callers resend requests that got no page.
+    pub fn has_resends(self) -> bool {
         self == Self::Poison
     }
 
-    /// The word that poisons, if it does.
-    pub fn poison(self) -> Option<&'static str> {
-        (self == Self::Poison).then_some(POISON)
+    /// Returns the word that crashes servers, if the scenario has one.
+    pub fn poison_word(self) -> Option<&'static str> {
+        (self == Self::Poison).then_some(POISON_WORD)
     }
 
-    /// Puts the fault on, over at most `length`.
-    pub async fn drive(self, d: &Deployment, length: Duration) -> Result<()> {
+    /// Injects the faults, over at most `length`.
+    pub async fn inject(self, d: &Deployment, length: Duration) -> Result<()> {
         match self {
             Self::NoFault | Self::AtCapacity | Self::TwiceCapacity => Ok(()),
             Self::Stragglers1 => stragglers(d, 0.01).await,
@@ -99,7 +99,7 @@
             Self::RollingDrain => drain(d, length).await,
             Self::Repartition => repartition(d, length).await,
             Self::MisleadingLoad => mislead(d).await,
-            Self::Poison => poison(d, self.poison()).await,
+            Self::Poison => poison(d, self.poison_word()).await,
             Self::StragglersAndReplicaLost => {
                 stragglers(d, 0.01).await?;
                 lose_replicas(d).await
@@ -140,7 +140,7 @@
 
 async fn mislead(d: &Deployment) -> Result<()> {
     for server in scattered(d, &|_, r| r == 0) {
-        let load = Some(FALSE_LOAD);
+        let load = Some(MISLEADING_LOAD);
         let server = Some(server);
         d.servers.apply(Command::Mislead { server, load }).await?;
     }
@@ -165,7 +165,7 @@
     Ok(())
 }
 
-/// A third into the run there is a new snapshot, two thirds into it the old one is gone.
+/// Publishes a new snapshot after a third of the run, and drops the old one after two thirds.
 async fn repartition(d: &Deployment, length: Duration) -> Result<()> {
     let (old, new) = (SnapshotId(1), SnapshotId(2));
     tokio::time::sleep(length / 3).await;
@@ -183,12 +183,12 @@
     Ok(())
 }
 
-/// The servers of the scatter groups whose service and replica numbers fit.
-fn scattered(d: &Deployment, fits: &dyn Fn(u32, u32) -> bool) -> Vec<ServerName> {
+/// Returns the servers of the scatter groups whose service and replica numbers are wanted.
+fn scattered(d: &Deployment, is_wanted: &dyn Fn(u32, u32) -> bool) -> Vec<ServerName> {
     let mut out = Vec::new();
     for g in d.shape.groups.iter().filter(|g| g.services > 1) {
         for i in 0..g.services {
-            for r in (0..g.replicas).filter(|r| fits(i, *r)) {
+            for r in (0..g.replicas).filter(|r| is_wanted(i, *r)) {
                 let name = format!("{}-{i}-{r}", g.name);
                 out.extend(name.parse::<ServerName>());
             }
--- a/crates/rig/src/server/answer.rs
+++ b/crates/rig/src/server/answer.rs
@@ -1,4 +1,4 @@
-//! Answers one request: refusals, the queue, the run and its reply.
+//! Answers one request to a server: refusal, queueing, execution and reply.
 
 use std::io;
 use std::sync::Arc;
@@ -18,26 +18,26 @@
 use tokio::sync::oneshot;
 
 use super::reply;
-use super::state::Held;
+use super::state::CountGuard;
 use super::state::Server;
 use super::state::lock;
 use crate::body::Body;
 use crate::net::Site;
 
 /// The longest query accepted, in bytes.
-const QUERY_MAX: usize = 64 << 10;
+const QUERY_MAX_BYTES: usize = 64 << 10;
 
-/// The time left where a request does not say.
-const BUDGET: Duration = Duration::from_secs(10);
+/// The time budget of a request that gives none.
+const DEFAULT_TIME_BUDGET: Duration = Duration::from_secs(10);
 
-/// Answers one request that came from this site.
+/// Answers one request that came from the given site.
 pub(super) async fn handle(
     server: Arc<Server>,
     from: Site,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, io::Error> {
     let start = Instant::now();
-    let attempt = text(req.headers(), "x-attempt");
+    let attempt = header_text(req.headers(), "x-attempt");
     server.net.carry(from, server.spec.site).await;
     let resp = match (req.method(), req.uri().path()) {
         (&Method::POST, "/search") => search(&server, req).await,
@@ -47,12 +47,12 @@
     };
     server.net.carry(server.spec.site, from).await;
     if let (true, Some(attempt)) = (resp.status().is_success(), attempt) {
-        server.common.counts.replied(&attempt, start.elapsed());
+        server.common.counts.note_reply(&attempt, start.elapsed());
     }
     Ok(resp)
 }
 
-/// What a search request asks.
+/// The parameters of a search request.
 struct Search {
     attempt: String,
     snapshot: SnapshotId,
@@ -67,80 +67,80 @@
 impl Search {
     async fn read(req: Request<Incoming>) -> Option<Self> {
         let (head, body) = req.into_parts();
-        let body = Limited::new(body, QUERY_MAX).collect().await.ok()?;
+        let body = Limited::new(body, QUERY_MAX_BYTES).collect().await.ok()?;
         let h = &head.headers;
         Some(Self {
-            attempt: text(h, "x-attempt")?,
-            snapshot: text(h, "x-snapshot")?.parse().ok()?,
-            shard: text(h, "x-shard")?.parse().ok()?,
-            page: text(h, "x-page")?.parse().ok()?,
-            budget: text(h, "x-budget-ms")
+            attempt: header_text(h, "x-attempt")?,
+            snapshot: header_text(h, "x-snapshot")?.parse().ok()?,
+            shard: header_text(h, "x-shard")?.parse().ok()?,
+            page: header_text(h, "x-page")?.parse().ok()?,
+            budget: header_text(h, "x-budget-ms")
                 .and_then(|s| s.parse().ok())
-                .map_or(BUDGET, Duration::from_millis),
-            key: text(h, "x-key"),
-            idempotency_key: text(h, "x-idempotency-key"),
+                .map_or(DEFAULT_TIME_BUDGET, Duration::from_millis),
+            key: header_text(h, "x-key"),
+            idempotency_key: header_text(h, "x-idempotency-key"),
             query: String::from_utf8(body.to_bytes().to_vec()).ok()?,
         })
     }
 }
 
-fn text(h: &HeaderMap, name: &str) -> Option<String> {
+fn header_text(h: &HeaderMap, name: &str) -> Option<String> {
     Some(h.get(name)?.to_str().ok()?.to_owned())
 }
 
 async fn search(server: &Arc<Server>, req: Request<Incoming>) -> Response<Body> {
-    let Some(ask) = Search::read(req).await else {
+    let Some(request) = Search::read(req).await else {
         return reply::empty(400, &[("x-not-run", "1")]);
     };
-    if let Some(refusal) = refuse(server, &ask) {
+    if let Some(refusal) = refuse(server, &request) {
         return refusal;
     }
     let (tx, mut cancelled) = oneshot::channel();
-    lock(&server.cancels).insert(ask.attempt.clone(), tx);
-    let _forget = Forget(server, &ask.attempt);
-    let (_held, _) = Held::new(&server.load);
-    let end = tokio::time::Instant::now() + ask.budget;
+    lock(&server.cancels).insert(request.attempt.clone(), tx);
+    let _cancel_guard = CancelGuard(server, &request.attempt);
+    let (_load_guard, _) = CountGuard::new(&server.load);
+    let end = tokio::time::Instant::now() + request.budget;
     let _slot = tokio::select! {
         slot = server.slots.clone().acquire_owned() => slot,
-        _ = &mut cancelled => return before_run(server, &ask.attempt),
-        () = tokio::time::sleep_until(end) => return reply::shed(&ask.attempt),
+        _ = &mut cancelled => return cancelled_before_run(server, &request.attempt),
+        () = tokio::time::sleep_until(end) => return reply::shed(&request.attempt),
     };
     tokio::select! {
-        resp = run(server, &ask) => resp,
+        resp = execute(server, &request) => resp,
         _ = &mut cancelled => {
             server.common.counts.change(&server.spec.name, |c| c.cancelled += 1);
-            reply::empty(499, &[("x-attempt", &ask.attempt)])
+            reply::empty(499, &[("x-attempt", &request.attempt)])
         }
-        () = tokio::time::sleep_until(end) => reply::empty(504, &[("x-attempt", &ask.attempt)]),
+        () = tokio::time::sleep_until(end) => reply::empty(504, &[("x-attempt", &request.attempt)]),
     }
 }
 
-/// Refuses what cannot run here, and says so.
-fn refuse(server: &Server, ask: &Search) -> Option<Response<Body>> {
+/// Returns the refusal of a request that cannot run here, if any, and counts it.
+fn refuse(server: &Server, request: &Search) -> Option<Response<Body>> {
     let (draining, shed, snapshots) = {
         let f = server.faults();
         let snapshots: Vec<SnapshotId> = f.snapshots.iter().copied().collect();
         (f.draining.map(|t| t.elapsed()), f.shed, snapshots)
     };
     let counts = &server.common.counts;
-    counts.offer(&server.spec.name, draining);
+    counts.note_offer(&server.spec.name, draining);
     if draining.is_some() {
         counts.change(&server.spec.name, |c| c.refused += 1);
-        return Some(reply::draining(&ask.attempt));
+        return Some(reply::draining(&request.attempt));
     }
-    if !snapshots.contains(&ask.snapshot) || !server.spec.holds(ask.shard) {
+    if !snapshots.contains(&request.snapshot) || !server.spec.holds(request.shard) {
         counts.change(&server.spec.name, |c| c.refused += 1);
-        return Some(reply::no_snapshot(&ask.attempt, &snapshots));
+        return Some(reply::no_snapshot(&request.attempt, &snapshots));
     }
     let full = server.load.load(Ordering::Relaxed) >= server.spec.slots + server.spec.queue;
     if shed || full {
         counts.change(&server.spec.name, |c| c.shed += 1);
-        return Some(reply::shed(&ask.attempt));
+        return Some(reply::shed(&request.attempt));
     }
     None
 }
 
-fn before_run(server: &Server, attempt: &str) -> Response<Body> {
+fn cancelled_before_run(server: &Server, attempt: &str) -> Response<Body> {
     server
         .common
         .counts
@@ -148,14 +148,14 @@
     reply::empty(499, &[("x-attempt", attempt), ("x-not-run", "1")])
 }
 
-/// Runs the search; from here on it counts as run.
-async fn run(server: &Arc<Server>, ask: &Search) -> Response<Body> {
-    let key = ask.idempotency_key.as_deref();
+/// Executes the search; from here on the attempt counts as run.
+async fn execute(server: &Arc<Server>, request: &Search) -> Response<Body> {
+    let key = request.idempotency_key.as_deref();
     let counts = &server.common.counts;
-    counts.run(&server.spec.name, &ask.attempt, key);
+    counts.note_run(&server.spec.name, &request.attempt, key);
     let poison = lock(&server.common.poison).clone();
     if let Some((word, down)) = poison
-        && ask.query.contains(&word)
+        && request.query.contains(&word)
     {
         server.crash(down);
         std::future::pending::<()>().await;
@@ -163,19 +163,24 @@
     let spec = &server.spec;
     let time = server.faults().service_time(spec.service_time, spec.cold);
     tokio::time::sleep(time).await;
-    let part = server
-        .index(ask.snapshot)
-        .and_then(|i| i.search(ask.shard, &ask.query, ask.key.as_deref(), ask.page));
+    let part = server.index(request.snapshot).and_then(|i| {
+        i.search(
+            request.shard,
+            &request.query,
+            request.key.as_deref(),
+            request.page,
+        )
+    });
     match part {
-        Some(part) => reply::part(server, &ask.attempt, ask.snapshot, &part),
-        None => reply::empty(500, &[("x-attempt", &ask.attempt)]),
+        Some(part) => reply::part(server, &request.attempt, request.snapshot, &part),
+        None => reply::empty(500, &[("x-attempt", &request.attempt)]),
     }
 }
 
 fn cancel(server: &Server, h: &HeaderMap) -> Response<Body> {
-    let found = text(h, "x-attempt").and_then(|a| lock(&server.cancels).remove(&a));
+    let found = header_text(h, "x-attempt").and_then(|a| lock(&server.cancels).remove(&a));
     if let Some(tx) = found {
-        // The attempt may have ended just now, which is as good.
+        // The receiver is dropped if the attempt has just ended; then there is nothing to cancel.
         let _ = tx.send(());
     }
     reply::empty(204, &[])
@@ -191,17 +196,17 @@
         "server": server.spec.name,
         "incarnation": server.incarnation(),
         "snapshots": snapshots,
-        "load": server.told_load(),
+        "load": server.reported_load(),
         "draining": draining,
     });
     let headers = [("content-type", "application/json")];
     reply::with_body(200, &headers, status.to_string().into_bytes())
 }
 
-/// Forgets an attempt's way to be cancelled when it ends, however it ends.
-struct Forget<'a>(&'a Server, &'a str);
+/// Removes an attempt's cancel channel when the attempt ends for any reason.
+struct CancelGuard<'a>(&'a Server, &'a str);
 
-impl Drop for Forget<'_> {
+impl Drop for CancelGuard<'_> {
     fn drop(&mut self) {
         lock(&self.0.cancels).remove(self.1);
     }
--- a/crates/rig/src/server/counts.rs
+++ b/crates/rig/src/server/counts.rs
@@ -1,4 +1,4 @@
-//! What the backend servers saw: the ground that the promises are checked on.
+//! Counts what the backend servers observed; tests check the guarantees against these counts.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -11,36 +11,36 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// How long after the start of a drain new work may still be offered.
-const DRAIN_BOUND: Duration = Duration::from_secs(3);
+/// The time after the start of a drain during which attempts may still arrive.
+const DRAIN_NOTICE_MAX: Duration = Duration::from_secs(3);
 
-/// What one server saw.
+/// The counts of one server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerCounts {
-    /// Attempts that began to run.
+    /// Attempts that started to run.
     pub runs: u64,
-    /// Attempts refused for load.
+    /// Attempts shed because of load.
     pub shed: u64,
-    /// Attempts refused as draining or for a snapshot that it does not hold.
+    /// Attempts refused because the server drains or does not hold the snapshot or shard.
     pub refused: u64,
-    /// Attempts cancelled before or while they ran.
+    /// Attempts cancelled before or during their run.
     pub cancelled: u64,
-    /// Attempts that came more than three seconds after the drain began.
+    /// Attempts that arrived more than 3 s after the drain started.
     pub late_offers: u64,
     /// Connections opened.
     pub opened: u64,
-    /// The most connections open at once, those above the limit included.
+    /// The maximum number of connections open at once, including those above the limit.
     pub peak_open: u32,
-    /// Connections closed for being above the limit.
+    /// Connections closed because they exceeded the limit.
     pub over_limit: u64,
     /// Crashes on a poisoned lookup.
     pub crashes: u64,
 }
 
-/// The sums over every server.
+/// The sums over all servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// The sums; `peak_open` is the largest of any server.
+    /// The sums; `peak_open` is the maximum over the servers.
     pub total: ServerCounts,
     /// Attempt ids that ran more than once.
     pub attempts_doubled: u64,
@@ -58,54 +58,54 @@
     lookups: HashMap<u64, LookupCounts>,
 }
 
-/// What the servers saw of one request.
+/// What the servers observed of one request.
 #[derive(Clone, Copy, Debug, Default)]
 struct LookupCounts {
     runs: u32,
-    /// The longest that a server took from a request to its reply, delays included.
+    /// The longest time from a request to its reply at any server, including delays between data centres.
     slowest: Duration,
 }
 
-/// What every server saw.
+/// The counts of all servers of a process.
 #[derive(Debug, Default)]
 pub struct Counts {
     inner: Mutex<Inner>,
 }
 
 impl Counts {
-    /// The runs under an idempotency key.
+    /// Returns the number of runs with an idempotency key.
     #[must_use]
     pub fn runs_of_key(&self, key: &str) -> u32 {
         self.lock().keys.get(key).copied().unwrap_or(0)
     }
 
-    /// The attempts of one request that began to run, on any server.
+    /// Returns the number of attempts of one request that started to run, over all servers.
     #[must_use]
     pub fn runs_of_request(&self, id: &str) -> u32 {
-        let at = Fingerprint::of(&[&lookup_of_request(id)]).0;
-        self.lock().lookups.get(&at).map_or(0, |l| l.runs)
+        let key = Fingerprint::of(&[&lookup_of_request(id)]).0;
+        self.lock().lookups.get(&key).map_or(0, |l| l.runs)
     }
 
-    /// The longest that a part of this request took, delays between data centres included.
+    /// Returns the time of the slowest part of a request, including delays between data centres.
     #[must_use]
     pub fn slowest_part(&self, id: &str) -> Option<Duration> {
-        let at = Fingerprint::of(&[&lookup_of_request(id)]).0;
-        self.lock().lookups.get(&at).map(|l| l.slowest)
+        let key = Fingerprint::of(&[&lookup_of_request(id)]).0;
+        self.lock().lookups.get(&key).map(|l| l.slowest)
     }
 
-    /// What one server saw.
+    /// Returns the counts of one server.
     #[must_use]
     pub fn of(&self, server: &ServerName) -> ServerCounts {
         self.lock().servers.get(server).cloned().unwrap_or_default()
     }
 
-    /// What every server saw, by name.
+    /// Returns the counts of every server by name.
     #[must_use]
     pub fn by_server(&self) -> BTreeMap<ServerName, ServerCounts> {
         self.lock().servers.clone()
     }
 
-    /// The sums.
+    /// Returns the sums over all servers.
     #[must_use]
     pub fn summary(&self) -> Summary {
         let inner = self.lock();
@@ -129,7 +129,7 @@
         }
     }
 
-    pub(super) fn run(&self, server: &ServerName, attempt: &str, key: Option<&str>) {
+    pub(super) fn note_run(&self, server: &ServerName, attempt: &str, key: Option<&str>) {
         self.change(server, |c| c.runs += 1);
         let mut inner = self.lock();
         let n = inner
@@ -144,15 +144,15 @@
         }
     }
 
-    pub(super) fn replied(&self, attempt: &str, took: Duration) {
+    pub(super) fn note_reply(&self, attempt: &str, took: Duration) {
         let lookup = Fingerprint::of(&[lookup_of_attempt(attempt)]).0;
         if let Some(l) = self.lock().lookups.get_mut(&lookup) {
             l.slowest = l.slowest.max(took);
         }
     }
 
-    pub(super) fn offer(&self, server: &ServerName, draining_for: Option<Duration>) {
-        if draining_for.is_some_and(|d| d > DRAIN_BOUND) {
+    pub(super) fn note_offer(&self, server: &ServerName, draining_for: Option<Duration>) {
+        if draining_for.is_some_and(|d| d > DRAIN_NOTICE_MAX) {
             self.change(server, |c| c.late_offers += 1);
         }
     }
@@ -176,12 +176,12 @@
     }
 }
 
-/// `vm/incarnation/lookup` of an attempt id `vm/incarnation/lookup/shard/try`.
+/// Returns `vm/incarnation/lookup` of an attempt id `vm/incarnation/lookup/shard/try`.
 fn lookup_of_attempt(attempt: &str) -> &str {
     attempt.rsplitn(3, '/').nth(2).unwrap_or(attempt)
 }
 
-/// `vm/incarnation/lookup` of a request id `vm.incarnation.lookup`.
+/// Returns `vm/incarnation/lookup` of a request id `vm.incarnation.lookup`.
 fn lookup_of_request(id: &str) -> String {
     let mut parts: Vec<&str> = id.rsplitn(3, '.').collect();
     parts.reverse();
--- a/crates/rig/src/server/faults.rs
+++ b/crates/rig/src/server/faults.rs
@@ -1,4 +1,4 @@
-//! The faults that a server can be told to show.
+//! The injected faults of a server.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 
 use crate::control::ReplyFault;
 
-/// Times slower than warm, at the first moment after a restart.
-const COLD_FACTOR: f64 = 4.0;
+/// The service time right after a restart, as a multiple of that of a warm server.
+const COLD_START_FACTOR: f64 = 4.0;
 
-/// What one server is told to do besides serving.
+/// The injected faults of one server, and the snapshots that it holds.
 #[derive(Debug)]
 pub(super) struct Faults {
     pub(super) draining: Option<Instant>,
@@ -21,8 +21,8 @@
     pub(super) claimed_load: Option<u32>,
     pub(super) straggle_share: f64,
     pub(super) straggle_factor: f64,
-    pub(super) spoilage: ReplyFault,
-    pub(super) spoilage_share: f64,
+    pub(super) reply_fault: ReplyFault,
+    pub(super) reply_fault_share: f64,
     pub(super) snapshots: BTreeSet<SnapshotId>,
     pub(super) cold_since: Option<Instant>,
     pub(super) rng: ChaCha8Rng,
@@ -36,38 +36,38 @@
             claimed_load: None,
             straggle_share: 0.0,
             straggle_factor: 1.0,
-            spoilage: ReplyFault::None,
-            spoilage_share: 0.0,
+            reply_fault: ReplyFault::None,
+            reply_fault_share: 0.0,
             snapshots: BTreeSet::new(),
             cold_since: None,
             rng,
         }
     }
 
-    /// Draws the service time of one request around this mean.
+    /// Draws the service time of one request from a distribution with this mean.
     pub(super) fn service_time(&mut self, mean: Duration, cold: Duration) -> Duration {
         let u: f64 = self.rng.random_range(f64::MIN_POSITIVE..1.0);
         let mut time = mean.as_secs_f64() * 0.5 * (1.0 - u.ln());
-        if self.draw(self.straggle_share) {
+        if self.draw_bool(self.straggle_share) {
             time *= self.straggle_factor;
         }
-        Duration::from_secs_f64(time * self.coldness(cold))
+        Duration::from_secs_f64(time * self.cold_factor(cold))
     }
 
-    /// Draws how one reply is spoilt.
-    pub(super) fn spoil(&mut self) -> ReplyFault {
-        if self.draw(self.spoilage_share) {
-            self.spoilage
+    /// Draws the fault of one reply.
+    pub(super) fn draw_reply_fault(&mut self) -> ReplyFault {
+        if self.draw_bool(self.reply_fault_share) {
+            self.reply_fault
         } else {
             ReplyFault::None
         }
     }
 
-    fn draw(&mut self, share: f64) -> bool {
+    fn draw_bool(&mut self, share: f64) -> bool {
         share > 0.0 && self.rng.random_bool(share.min(1.0))
     }
 
-    fn coldness(&self, cold: Duration) -> f64 {
+    fn cold_factor(&self, cold: Duration) -> f64 {
         let Some(since) = self.cold_since else {
             return 1.0;
         };
@@ -75,6 +75,6 @@
             return 1.0;
         }
         let left = 1.0 - since.elapsed().as_secs_f64() / cold.as_secs_f64();
-        1.0 + (COLD_FACTOR - 1.0) * left.max(0.0)
+        1.0 + (COLD_START_FACTOR - 1.0) * left.max(0.0)
     }
 }
--- a/crates/rig/src/server/listen.rs
+++ b/crates/rig/src/server/listen.rs
@@ -1,4 +1,4 @@
-//! Accepts connections: the limit, the handshake cost, and one task a connection.
+//! Accepts connections, applies the limit and the handshake cost, and serves each in its own task.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,44 +13,44 @@
 use tokio::task::JoinSet;
 
 use super::answer;
-use super::state::Held;
+use super::state::CountGuard;
 use super::state::Server;
 use crate::net::Net;
 
-/// How long to wait before trying again to bind an address that is still in use.
-const BIND_AGAIN: Duration = Duration::from_millis(10);
+/// The delay before the next attempt to bind an address that is still in use.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Accepts until aborted; the connections end with it.
+/// Accepts connections until aborted, which also ends the connections.
 pub(super) async fn accept(server: Arc<Server>, listener: TcpListener) {
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             Ok((stream, peer)) = listener.accept() => {
-                connections.spawn(serve(server.clone(), stream, peer));
+                connections.spawn(serve_connection(server.clone(), stream, peer));
             }
             Some(_) = connections.join_next() => {}
         }
     }
 }
 
-/// Binds an address that this process has just stopped listening on.
-pub(super) async fn bind_again(addr: SocketAddr) -> TcpListener {
+/// Binds an address on which this process listened until just now, retrying while it is in use.
+pub(super) async fn rebind(addr: SocketAddr) -> TcpListener {
     loop {
         match TcpListener::bind(addr).await {
             Ok(listener) => return listener,
-            Err(_) => tokio::time::sleep(BIND_AGAIN).await,
+            Err(_) => tokio::time::sleep(BIND_RETRY_INTERVAL).await,
         }
     }
 }
 
-async fn serve(server: Arc<Server>, stream: TcpStream, peer: SocketAddr) {
+async fn serve_connection(server: Arc<Server>, stream: TcpStream, peer: SocketAddr) {
     let site = Net::site(peer);
-    // In a cut the first packet does not arrive: what is given up before never was a connection.
+    // During a cut the first packet does not arrive: a connection closed meanwhile was never established.
     server.net.carry(site, server.spec.site).await;
-    if is_given_up(&stream).await {
+    if is_closed_by_peer(&stream).await {
         return;
     }
-    let (_held, open) = Held::new(&server.open);
+    let (_connection_guard, open) = CountGuard::new(&server.open);
     let over = open > server.spec.connections;
     server.common.counts.change(&server.spec.name, |c| {
         c.opened += 1;
@@ -60,11 +60,11 @@
     if over {
         return;
     }
-    // The way back of the round trip of opening a connection, then the server's own cost.
+    // The second half of the handshake's round trip, then the server's own handshake cost.
     server.net.carry(server.spec.site, site).await;
     tokio::time::sleep(server.spec.handshake).await;
     if let Err(e) = stream.set_nodelay(true) {
-        // It is the caller's loss of its connection, which it sees itself.
+        // The caller has lost its connection and notices that itself.
         log::debug!("event=nodelay-failed error=\"{e}\"");
     }
     let handle = service_fn(|req| answer::handle(server.clone(), site, req));
@@ -76,8 +76,8 @@
     }
 }
 
-/// Whether the other side has closed the connection.
-async fn is_given_up(stream: &TcpStream) -> bool {
+/// Whether the peer has closed the connection.
+async fn is_closed_by_peer(stream: &TcpStream) -> bool {
     let ready = stream.ready(Interest::READABLE | Interest::WRITABLE).await;
     ready.map_or(true, |r| r.is_read_closed())
 }
--- a/crates/rig/src/server/mod.rs
+++ b/crates/rig/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! Backend servers that index, rank, queue, fail on request, and count what really ran.
+//! Stand-in backend servers: they index, rank and queue, fail on command, and count what ran.
 
 mod answer;
 mod counts;
--- a/crates/rig/src/server/reply.rs
+++ b/crates/rig/src/server/reply.rs
@@ -1,4 +1,4 @@
-//! The replies of a server, whole and spoilt.
+//! Builds the replies of a server, with injected faults.
 
 use std::time::Duration;
 
@@ -10,25 +10,25 @@
 use super::state::Server;
 use super::state::lock;
 use crate::body::Body;
+use crate::body::complete;
 use crate::body::cut_short;
-use crate::body::whole;
 use crate::control::ReplyFault;
 
-/// When a server that sheds wants to be asked again.
-const SHED_RETRY: Duration = Duration::from_millis(50);
+/// The retry delay in the reply of a server that sheds.
+const SHED_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// A status and headers without a body.
+/// Returns a reply with a status and headers and without a body.
 pub(super) fn empty(status: u16, headers: &[(&'static str, &str)]) -> Response<Body> {
     with_body(status, headers, Vec::new())
 }
 
-/// A status, headers and a body.
+/// Returns a reply with a status, headers and a body.
 pub(super) fn with_body(
     status: u16,
     headers: &[(&'static str, &str)],
     body: Vec<u8>,
 ) -> Response<Body> {
-    let mut resp = Response::new(whole(body));
+    let mut resp = Response::new(complete(body));
     *resp.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_REQUEST);
     for (name, value) in headers {
         if let Ok(value) = value.parse() {
@@ -38,9 +38,9 @@
     resp
 }
 
-/// Refused for load.
+/// Returns the refusal of an attempt because of load.
 pub(super) fn shed(attempt: &str) -> Response<Body> {
-    let wait = SHED_RETRY.as_millis().to_string();
+    let wait = SHED_RETRY_AFTER.as_millis().to_string();
     let headers = [
         ("x-attempt", attempt),
         ("x-not-run", "1"),
@@ -50,7 +50,7 @@
     empty(503, &headers)
 }
 
-/// Refused as draining.
+/// Returns the refusal of an attempt because the server drains.
 pub(super) fn draining(attempt: &str) -> Response<Body> {
     let headers = [
         ("x-attempt", attempt),
@@ -61,7 +61,7 @@
     empty(503, &headers)
 }
 
-/// Refused for a snapshot that is not held.
+/// Returns the refusal of an attempt because the server does not hold the snapshot or shard.
 pub(super) fn no_snapshot(attempt: &str, holds: &[SnapshotId]) -> Response<Body> {
     let holds: Vec<String> = holds.iter().map(SnapshotId::to_string).collect();
     let holds = holds.join(",");
@@ -74,7 +74,7 @@
     empty(503, &headers)
 }
 
-/// A part, spoilt if the server was told to.
+/// Returns the reply with a part, with the injected fault if one is drawn.
 pub(super) fn part(
     server: &Server,
     attempt: &str,
@@ -83,7 +83,7 @@
 ) -> Response<Body> {
     let (how, draining) = {
         let mut f = server.faults();
-        (f.spoil(), f.draining.is_some())
+        (f.draw_reply_fault(), f.draining.is_some())
     };
     let mut body = serde_json::to_vec(part).unwrap_or_default();
     let mut attempt = attempt.to_owned();
@@ -92,14 +92,14 @@
     let crossed;
     match how {
         ReplyFault::Crossed => {
-            (attempt, body) = cross(server, attempt, body);
+            (attempt, body) = swap_with_last(server, attempt, body);
             crossed = format!("{:016x}", xxh3_64(&body));
             digest = &crossed;
         }
-        ReplyFault::Garbled => garble(&mut body),
+        ReplyFault::Garbled => corrupt_digits(&mut body),
         ReplyFault::None | ReplyFault::Truncated => {}
     }
-    let (load, snapshot) = (server.told_load().to_string(), snapshot.to_string());
+    let (load, snapshot) = (server.reported_load().to_string(), snapshot.to_string());
     let mut headers = vec![
         ("x-attempt", attempt.as_str()),
         ("x-snapshot", &snapshot),
@@ -117,17 +117,17 @@
     resp
 }
 
-/// Answers with the reply before this one, and keeps this one for the next.
-fn cross(server: &Server, attempt: String, body: Vec<u8>) -> (String, Vec<u8>) {
-    let mut last = lock(&server.last);
+/// Returns the previous reply in place of this one, and stores this one for the next.
+fn swap_with_last(server: &Server, attempt: String, body: Vec<u8>) -> (String, Vec<u8>) {
+    let mut last = lock(&server.last_reply);
     match last.replace((attempt.clone(), body.clone())) {
         Some(before) if before.0 != attempt => before,
         _ => (format!("{attempt}9"), body),
     }
 }
 
-/// Changes digits only, so that the body still reads and nothing but its digest tells.
-fn garble(body: &mut [u8]) {
+/// Changes digits only, so that the body still parses and only its digest shows the change.
+fn corrupt_digits(body: &mut [u8]) {
     for b in body.iter_mut().filter(|b| (b'1'..=b'8').contains(*b)) {
         *b += 1;
     }
--- a/crates/rig/src/server/servers.rs
+++ b/crates/rig/src/server/servers.rs
@@ -1,4 +1,4 @@
-//! All stand-in servers of one process, and their control port.
+//! All stand-in servers of one process and their control port.
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -26,32 +26,32 @@
 use super::counts::Counts;
 use super::faults::Faults;
 use super::spec::ServerSpec;
-use super::state::Common;
 use super::state::Server;
+use super::state::SharedState;
 use super::state::lock;
 use crate::control::Command;
 use crate::index::SnapshotIndex;
 use crate::net::Net;
 
-/// The host number of backend servers in each data centre.
-const HOST: u8 = 1;
+/// The host number of the backend servers in each data centre.
+const SERVER_HOST: u8 = 1;
 
-/// The longest control command, in bytes.
-const COMMAND_MAX: usize = 16 << 10;
+/// The maximum length of a control command, in bytes.
+const COMMAND_MAX_BYTES: usize = 16 << 10;
 
 /// All stand-in servers of one process; dropping the last handle stops them.
 #[derive(Clone, Debug)]
 pub struct Servers {
     net: Arc<Net>,
-    common: Arc<Common>,
-    servers: Arc<Running>,
+    common: Arc<SharedState>,
+    servers: Arc<ServersByName>,
 }
 
-/// The servers by name; dropped, they close everything.
+/// The servers by name; dropping it closes their listeners and connections.
 #[derive(Debug)]
-struct Running(BTreeMap<ServerName, Arc<Server>>);
+struct ServersByName(BTreeMap<ServerName, Arc<Server>>);
 
-impl Drop for Running {
+impl Drop for ServersByName {
     fn drop(&mut self) {
         self.0.values().for_each(|s| {
             s.kill();
@@ -60,31 +60,31 @@
 }
 
 impl Servers {
-    /// Starts a server for each of these, each on a free port of its data centre.
+    /// Starts a server for each spec, on a free port of its data centre.
     ///
     /// # Errors
     ///
     /// If a port cannot be bound.
     pub async fn start(net: Arc<Net>, specs: Vec<ServerSpec>) -> Result<Self> {
-        let common = Arc::new(Common::default());
+        let common = Arc::new(SharedState::default());
         let mut servers = BTreeMap::new();
         for spec in specs {
-            let ip = net.ip(spec.site, HOST);
+            let ip = net.ip(spec.site, SERVER_HOST);
             let listener = bind(SocketAddr::from((ip, 0))).await?;
             let addr = listener.local_addr().map_err(|e| io_error(&e))?;
             let name = spec.name.clone();
             let server = Arc::new(Server::new(spec, addr, net.clone(), common.clone()));
-            server.begin(listener);
+            server.start_serving(listener);
             servers.insert(name, server);
         }
         Ok(Self {
             net,
             common,
-            servers: Arc::new(Running(servers)),
+            servers: Arc::new(ServersByName(servers)),
         })
     }
 
-    /// Makes an index known; servers hold it once told so by [`Command::Hold`].
+    /// Adds an index; a server holds it once it receives [`Command::Hold`].
     pub fn add_index(&self, group: &GroupName, index: SnapshotIndex) {
         let key = (group.clone(), index.snapshot());
         let mut indexes = self
@@ -95,7 +95,7 @@
         indexes.insert(key, Arc::new(index));
     }
 
-    /// Makes an index known, and every server of its group hold it.
+    /// Adds an index and makes every server of its group hold it.
     pub fn publish(&self, group: &GroupName, index: SnapshotIndex) {
         let snapshot = index.snapshot();
         self.add_index(group, index);
@@ -104,28 +104,28 @@
         }
     }
 
-    /// Where a server listens.
+    /// Returns the address that a server listens on.
     #[must_use]
     pub fn addr(&self, server: &ServerName) -> Option<SocketAddr> {
         self.servers.0.get(server).map(|s| s.addr)
     }
 
-    /// What the servers counted.
+    /// Returns the counts of the servers.
     #[must_use]
     pub fn counts(&self) -> &Counts {
         &self.common.counts
     }
 
-    /// The names of the servers.
+    /// Returns the names of the servers.
     pub fn names(&self) -> impl Iterator<Item = &ServerName> {
         self.servers.0.keys()
     }
 
-    /// Carries out a command; done when it returns.
+    /// Applies a command; it is in effect when this returns.
     ///
     /// # Errors
     ///
-    /// If the command names a server that is not here.
+    /// If the command names an unknown server.
     pub async fn apply(&self, command: Command) -> Result<()> {
         match command {
             Command::Drain { server } => {
@@ -158,8 +158,8 @@
                 Ok(())
             }
             Command::Spoil { server, how, share } => self.change(server.as_ref(), |f| {
-                f.spoilage = how;
-                f.spoilage_share = share;
+                f.reply_fault = how;
+                f.reply_fault_share = share;
             }),
             Command::Hold { server, snapshot } => self.change(server.as_ref(), |f| {
                 f.snapshots.insert(snapshot);
@@ -233,7 +233,7 @@
 
 async fn command(servers: &Servers, body: Incoming) -> Result<String> {
     let bad = |e: String| Error::new(ErrorKind::BadInput, e).at("read a control command");
-    let body = Limited::new(body, COMMAND_MAX).collect().await;
+    let body = Limited::new(body, COMMAND_MAX_BYTES).collect().await;
     let body = body.map_err(|e| bad(e.to_string()))?.to_bytes();
     let command = serde_json::from_slice(&body).map_err(|e| bad(e.to_string()))?;
     servers.apply(command).await?;
--- a/crates/rig/src/server/spec.rs
+++ b/crates/rig/src/server/spec.rs
@@ -1,4 +1,4 @@
-//! How one stand-in backend server is made.
+//! The parameters of one stand-in backend server.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use crate::net::Site;
 
-/// One stand-in backend server.
+/// The parameters of one stand-in backend server.
 #[derive(Clone, Debug, Builder)]
 pub struct ServerSpec {
     /// Its name.
@@ -16,31 +16,31 @@
     pub group: GroupName,
     /// Its service within the group.
     pub service: ServiceName,
-    /// The number of its service; it holds the shards that are equal to it modulo `services`.
+    /// The number of its service; it holds the shards whose number is equal to it modulo `services`.
     #[builder(default)]
     pub service_index: u32,
-    /// How many services the group has.
+    /// The number of services of the group.
     #[builder(default = 1)]
     pub services: u32,
-    /// The data centre that it stands in.
+    /// Its data centre.
     pub site: Site,
-    /// Lookups that it runs at the same time.
+    /// The number of lookups that it runs concurrently.
     pub slots: u32,
-    /// Connections that it accepts; above, it closes at once.
+    /// The maximum number of connections; further ones are closed at once.
     pub connections: u32,
-    /// What a new connection costs before its first request is read.
+    /// The delay of a new connection before its first request is read.
     #[builder(default)]
     pub handshake: Duration,
     /// The mean service time: half fixed, half exponential.
     #[builder(default = Duration::from_millis(4))]
     pub service_time: Duration,
-    /// Lookups that wait for a slot before it sheds.
+    /// The number of lookups that wait for a slot before it sheds.
     #[builder(default = 32)]
     pub queue: u32,
-    /// How long it is slow after a restart.
+    /// The duration of slow service after a restart.
     #[builder(default)]
     pub cold: Duration,
-    /// The seed of its service times and faults.
+    /// The seed of its service times and reply faults.
     #[builder(default = 20_261_203)]
     pub seed: u64,
 }
--- a/crates/rig/src/server/state.rs
+++ b/crates/rig/src/server/state.rs
@@ -1,4 +1,4 @@
-//! One stand-in server: its state, its life and its slots.
+//! The state, lifecycle and slots of one stand-in server.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -28,15 +28,15 @@
 use crate::index::SnapshotIndex;
 use crate::net::Net;
 
-/// Every index that the servers hold, by group and snapshot.
+/// The indexes that servers can hold, by group and snapshot.
 pub(super) type Indexes = RwLock<HashMap<(GroupName, SnapshotId), Arc<SnapshotIndex>>>;
 
-/// The word that crashes servers, and how long they stay down.
+/// The word that crashes servers, and the duration of the outage.
 pub(super) type Poison = Mutex<Option<(String, Duration)>>;
 
-/// What all servers of one process share.
+/// The state shared by all servers of one process.
 #[derive(Debug, Default)]
-pub(super) struct Common {
+pub(super) struct SharedState {
     pub(super) indexes: Indexes,
     pub(super) counts: Counts,
     pub(super) poison: Poison,
@@ -48,16 +48,16 @@
     pub(super) spec: ServerSpec,
     pub(super) addr: SocketAddr,
     pub(super) net: Arc<Net>,
-    pub(super) common: Arc<Common>,
+    pub(super) common: Arc<SharedState>,
     pub(super) slots: Arc<Semaphore>,
     pub(super) load: AtomicU32,
     pub(super) open: AtomicU32,
     pub(super) cancels: Mutex<HashMap<String, oneshot::Sender<()>>>,
-    /// The last reply sent, to cross with a later one.
-    pub(super) last: Mutex<Option<(String, Vec<u8>)>>,
+    /// The last reply, sent in place of a later one by [`ReplyFault::Crossed`](crate::control::ReplyFault::Crossed).
+    pub(super) last_reply: Mutex<Option<(String, Vec<u8>)>>,
     incarnation: AtomicU64,
     faults: Mutex<Faults>,
-    run: Mutex<Option<JoinHandle<()>>>,
+    task: Mutex<Option<JoinHandle<()>>>,
 }
 
 impl Server {
@@ -65,7 +65,7 @@
         spec: ServerSpec,
         addr: SocketAddr,
         net: Arc<Net>,
-        common: Arc<Common>,
+        common: Arc<SharedState>,
     ) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(spec.seed ^ Fingerprint::of(&[spec.name.as_str()]).0);
         Self {
@@ -77,47 +77,47 @@
             load: AtomicU32::new(0),
             open: AtomicU32::new(0),
             cancels: Mutex::default(),
-            last: Mutex::default(),
+            last_reply: Mutex::default(),
             incarnation: AtomicU64::new(0),
             faults: Mutex::new(Faults::new(rng)),
-            run: Mutex::default(),
+            task: Mutex::default(),
         }
     }
 
-    /// Serves on this listener from now on, as a new incarnation.
-    pub(super) fn begin(self: &Arc<Self>, listener: tokio::net::TcpListener) {
+    /// Starts to serve on this listener, as a new incarnation.
+    pub(super) fn start_serving(self: &Arc<Self>, listener: tokio::net::TcpListener) {
         let wall = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(0));
-        // Two starts within one millisecond are still two incarnations.
+        // Two starts within the same millisecond must still differ in incarnation.
         let before = self.incarnation.load(Ordering::Relaxed);
         self.incarnation
             .store(wall.max(before + 1), Ordering::Relaxed);
         let task = tokio::spawn(listen::accept(self.clone(), listener));
-        *lock(&self.run) = Some(task);
+        *lock(&self.task) = Some(task);
     }
 
-    /// Closes the listener and every connection; false if it was down already.
+    /// Closes the listener and every connection; returns `false` if the server was already down.
     pub(super) fn kill(&self) -> bool {
-        let task = lock(&self.run).take();
+        let task = lock(&self.task).take();
         task.inspect(JoinHandle::abort).is_some()
     }
 
-    /// Starts again, cold and no longer draining.
+    /// Restarts the server, cold and no longer draining.
     pub(super) async fn restart(self: &Arc<Self>) {
         self.kill();
-        let listener = listen::bind_again(self.addr).await;
+        let listener = listen::rebind(self.addr).await;
         {
             let mut f = self.faults();
             f.draining = None;
             f.cold_since = Some(Instant::now());
         }
-        self.begin(listener);
+        self.start_serving(listener);
     }
 
-    /// Goes down with every connection, and comes back after a while.
+    /// Closes the listener and every connection, and restarts after the given duration.
     pub(super) fn crash(self: &Arc<Self>, down: Duration) {
-        // Two poisoned lookups at the same moment are one crash.
+        // Two poisoned lookups at the same time count as one crash.
         if !self.kill() {
             return;
         }
@@ -143,8 +143,8 @@
         lock(&self.faults)
     }
 
-    /// The load that it tells: the true one, or the one it was told to claim.
-    pub(super) fn told_load(&self) -> u32 {
+    /// Returns the load that the server reports: the true one, or the injected false one.
+    pub(super) fn reported_load(&self) -> u32 {
         let claimed = self.faults().claimed_load;
         claimed.unwrap_or_else(|| self.load.load(Ordering::Relaxed))
     }
@@ -162,22 +162,22 @@
     }
 }
 
-/// Takes a lock; a panic elsewhere has already failed the test.
+/// Locks a mutex and ignores poisoning: a panic elsewhere has already failed the test.
 pub(super) fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
     m.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Counts one up while it lives.
-pub(super) struct Held<'a>(&'a AtomicU32);
+/// Increments a counter until dropped.
+pub(super) struct CountGuard<'a>(&'a AtomicU32);
 
-impl<'a> Held<'a> {
+impl<'a> CountGuard<'a> {
     pub(super) fn new(n: &'a AtomicU32) -> (Self, u32) {
         let now = n.fetch_add(1, Ordering::Relaxed) + 1;
         (Self(n), now)
     }
 }
 
-impl Drop for Held<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/rig/src/site/address.rs
+++ b/crates/rig/src/site/address.rs
@@ -4,20 +4,20 @@
 use std::sync::atomic::AtomicU32;
 use std::sync::atomic::Ordering;
 
-/// Addresses given out by this process.
-static GIVEN: AtomicU32 = AtomicU32::new(0);
+/// Number of addresses allocated by this process.
+static ALLOCATED: AtomicU32 = AtomicU32::new(0);
 
-/// A loopback address that no other VM or server has, of this process or of another one.
+/// Returns a loopback address that no other VM or server uses, in this process or in another one.
 ///
-/// On a shared address a connection of somebody else may take a port while nobody listens on it: of a VM after
-/// its ports were found free, or of a server that is down.
-pub(super) fn own_address() -> Ipv4Addr {
-    /// Addresses below this belong to other stand-ins.
-    const FIRST: u32 = 64;
-    /// How many addresses a process has before it begins anew.
-    const COUNT: u32 = 128;
-    let n = FIRST + GIVEN.fetch_add(1, Ordering::Relaxed) % COUNT;
+/// On a shared address, another program's connection could take a port while nothing listens on it: the port of
+/// a VM after it was found free, or the port of a server that is down.
+pub(super) fn allocate_address() -> Ipv4Addr {
+    /// The first second octet used; lower ones belong to other stand-ins.
+    const FIRST_NUMBER: u32 = 64;
+    /// The number of addresses of a process before they are reused.
+    const ADDRESS_COUNT: u32 = 128;
+    let n = FIRST_NUMBER + ALLOCATED.fetch_add(1, Ordering::Relaxed) % ADDRESS_COUNT;
     let [_, _, high, low] = std::process::id().to_be_bytes();
-    // The last number may be neither 0 nor 255.
+    // The last octet must not be 0 or 255.
     Ipv4Addr::new(127, n as u8, high, low.clamp(1, 254))
 }
