--- a/crates/rig/src/site/backend.rs
+++ b/crates/rig/src/site/backend.rs
@@ -1,4 +1,4 @@
-//! Backend servers as the platform tells of them.
+//! Stand-in backend servers that the store lists, with injected faults.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,10 +18,10 @@
 use tokio::sync::Semaphore;
 use tokio::task::JoinHandle;
 
-use super::address::own_address;
-use super::http::Answers;
+use super::address::allocate_address;
+use super::http::RequestHandler;
 use super::http::listen;
-use super::http::plain;
+use super::http::response;
 use super::http::serve;
 use super::proxy::FaultProxy;
 use super::records::part;
@@ -29,36 +29,36 @@
 use crate::body::Body;
 use crate::body::cut_short;
 
-/// Requests that a server runs at the same time.
+/// The number of requests that a server runs concurrently.
 const SLOTS: usize = 2;
 
-/// Requests that wait for a slot before the next is refused.
-const QUEUE: usize = 12;
+/// The number of requests that wait for a slot before the next is refused.
+const QUEUE_MAX: usize = 12;
 
-/// The length that an answer cut short announces, longer than any part.
-const TRUNCATED: usize = 100_000;
+/// The content length that a truncated answer announces, in bytes; longer than any part.
+const TRUNCATED_CONTENT_LENGTH: usize = 100_000;
 
-/// How a server misbehaves.
+/// The injected faults of a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BackendFaults {
-    /// Nothing is answered before this time is over.
+    /// Every request is delayed by this duration before it runs.
     pub pause: Option<Duration>,
     /// Every request is refused as not run.
     pub sheds: bool,
-    /// Requests are run and their connections cut.
+    /// Requests are run and their connections closed without an answer.
     pub loses: bool,
-    /// Answers are cut short.
+    /// Answers are truncated.
     pub truncates: bool,
-    /// Answers bear another request's id.
+    /// Answers carry another request's id.
     pub crosses: bool,
     /// Every request fails with a stamped 500.
     pub fails: bool,
 }
 
-/// What ran: how often each server ran each request.
+/// How often each server ran each request, by server id and request id.
 pub type Runs = Arc<Mutex<HashMap<(String, String), u32>>>;
 
-/// A backend server, registered with the store.
+/// A backend server that is registered in the store; stops when dropped.
 pub struct Backend {
     id: String,
     service: String,
@@ -67,7 +67,7 @@
     link: FaultProxy,
     inner: Arc<Inner>,
     task: JoinHandle<()>,
-    /// Whether it has crashed and was not started again.
+    /// Whether it has crashed and was not restarted.
     is_down: AtomicBool,
 }
 
@@ -95,7 +95,7 @@
         work: Duration,
         runs: Runs,
     ) -> Result<Self> {
-        let listener = listen(SocketAddr::from((own_address(), 0))).await?;
+        let listener = listen(SocketAddr::from((allocate_address(), 0))).await?;
         let addr = listener
             .local_addr()
             .map_err(|e| Error::new(ErrorKind::Io, e.to_string()))?;
@@ -104,7 +104,7 @@
             service: service.to_owned(),
             work,
             slots: Semaphore::new(SLOTS),
-            queued: Semaphore::new(SLOTS + QUEUE),
+            queued: Semaphore::new(SLOTS + QUEUE_MAX),
             faults: Mutex::default(),
             runs,
         });
@@ -122,31 +122,31 @@
         Ok(this)
     }
 
-    /// Its id.
+    /// Returns its id.
     #[must_use]
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// Its service.
+    /// Returns its service.
     #[must_use]
     pub fn service(&self) -> &str {
         &self.service
     }
 
-    /// Where it listens itself, behind the proxy.
+    /// Returns its own address, behind the proxy.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// The proxy that everybody reaches it through.
+    /// Returns the proxy through which VMs reach it.
     #[must_use]
     pub fn link(&self) -> &FaultProxy {
         &self.link
     }
 
-    /// Writes its entry with this state.
+    /// Writes its entry to the store with this state.
     pub fn register(&self, store: &Store, state: &str) {
         store.put(
             "servers",
@@ -159,18 +159,18 @@
         );
     }
 
-    /// Misbehaves from now on.
+    /// Sets the faults that apply from now on.
     pub fn set_faults(&self, faults: BackendFaults) {
         *lock(&self.inner.faults) = faults;
     }
 
-    /// Crashes it: its connections are reset and nothing listens any more.
+    /// Crashes it: its connections are closed and it stops listening.
     pub fn crash(&self) {
         self.is_down.store(true, Ordering::Relaxed);
         self.task.abort();
     }
 
-    /// Starts a crashed server again, at its old address; one that runs goes on.
+    /// Restarts a crashed server at its old address; does nothing if the server is running.
     ///
     /// # Errors
     ///
@@ -179,7 +179,7 @@
         if !self.is_down.swap(false, Ordering::Relaxed) {
             return Ok(());
         }
-        // Its listener is closed once the aborted task has ended, which is all that its end says.
+        // The listener is closed once the aborted task has ended; the result of the task does not matter.
         drop((&mut self.task).await);
         let listener = listen(self.addr).await?;
         self.task = serve(listener, Arc::<Inner>::clone(&self.inner));
@@ -194,15 +194,15 @@
 }
 
 #[async_trait::async_trait]
-impl Answers for Inner {
-    async fn answer(&self, req: Request<Bytes>) -> Option<Response<Body>> {
+impl RequestHandler for Inner {
+    async fn respond(&self, req: Request<Bytes>) -> Option<Response<Body>> {
         let header = |name: &str| {
             let value = req.headers().get(name).and_then(|v| v.to_str().ok());
             value.unwrap_or("").to_owned()
         };
         let expected = header("expect-instance");
         if !expected.is_empty() && expected != self.id {
-            return Some(with(plain(421, ""), "instance-id", &self.id));
+            return Some(with_header(response(421, ""), "instance-id", &self.id));
         }
         let id = header("attempt-id");
         let faults = *lock(&self.faults);
@@ -228,13 +228,13 @@
         let target = req.uri().path_and_query().map_or("/", |t| t.as_str());
         let stamp = format!("{}.{}.{id}", self.service, self.id);
         let body = part(&self.service, target);
-        let mut res = plain(if faults.fails { 500 } else { 200 }, body.clone());
-        res = with(res, "answer-stamp", &stamp);
+        let mut res = response(if faults.fails { 500 } else { 200 }, body.clone());
+        res = with_header(res, "answer-stamp", &stamp);
         let echoed = if faults.crosses { "another" } else { &id };
-        res = with(res, "attempt-id", echoed);
-        res = with(res, "server-load", &self.load());
+        res = with_header(res, "attempt-id", echoed);
+        res = with_header(res, "server-load", &self.load());
         if faults.truncates {
-            cut_short(&mut res, TRUNCATED, body);
+            cut_short(&mut res, TRUNCATED_CONTENT_LENGTH, body);
         }
         Some(res)
     }
@@ -242,18 +242,18 @@
 
 impl Inner {
     fn shed(&self) -> Response<Body> {
-        let res = with(plain(503, ""), "not-executed", "1");
-        with(res, "server-load", &self.load())
+        let res = with_header(response(503, ""), "not-executed", "1");
+        with_header(res, "server-load", &self.load())
     }
 
     fn load(&self) -> String {
         let running = SLOTS - self.slots.available_permits();
-        let there = SLOTS + QUEUE - self.queued.available_permits();
-        format!("{running},{},{SLOTS}", there.saturating_sub(running))
+        let present = SLOTS + QUEUE_MAX - self.queued.available_permits();
+        format!("{running},{},{SLOTS}", present.saturating_sub(running))
     }
 }
 
-fn with(mut res: Response<Body>, name: &'static str, value: &str) -> Response<Body> {
+fn with_header(mut res: Response<Body>, name: &'static str, value: &str) -> Response<Body> {
     if let Ok(value) = hyper::header::HeaderValue::from_str(value) {
         res.headers_mut().insert(name, value);
     }
--- a/crates/rig/src/site/caller.rs
+++ b/crates/rig/src/site/caller.rs
@@ -17,12 +17,12 @@
 use super::config::SiteRoute;
 use super::records::part;
 
-/// What became of a request.
+/// The outcome of a request, as checked by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// A right answer, with the shards that it left out.
+    /// A right answer, with the number of missing shards.
     Right(usize),
-    /// Refused as not run, with the time to come back in milliseconds.
+    /// Refused as not run, with the time after which to retry, in milliseconds.
     NotRun(Option<u64>),
     /// Failed; it may have run.
     Failed(u16),
@@ -32,16 +32,16 @@
     Wrong(String),
 }
 
-/// An answer and its check result.
+/// A request's id and outcome.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// The caller's id of the request.
     pub id: String,
-    /// What became of it.
+    /// Its outcome.
     pub outcome: CallOutcome,
 }
 
-/// A caller with kept connections.
+/// A caller that reuses its connections.
 #[derive(Clone)]
 pub struct SiteCaller {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -54,7 +54,7 @@
 }
 
 impl SiteCaller {
-    /// Starts without connections.
+    /// Creates a caller without connections.
     #[must_use]
     pub fn new() -> Self {
         let mut connector = HttpConnector::new();
@@ -64,13 +64,13 @@
         }
     }
 
-    /// Asks a VM on a route, and checks the answer.
+    /// Sends a request for a route to a VM and checks the answer.
     pub async fn request(&self, vm: SocketAddr, route: &SiteRoute, id: &str) -> Answer {
         let target = format!("{}{id}", route.prefix);
-        let limit = Duration::from_millis(3500);
-        let asked = tokio::time::timeout(limit, self.send(vm, &target, id)).await;
-        let outcome = match asked {
-            Ok(Some(res)) => check(&res, route, &target, id),
+        let timeout_after = Duration::from_millis(3500);
+        let response = tokio::time::timeout(timeout_after, self.send(vm, &target, id)).await;
+        let outcome = match response {
+            Ok(Some(res)) => check_response(&res, route, &target, id),
             Ok(None) | Err(_) => CallOutcome::Cut,
         };
         Answer {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Sends a request without a check.
+    /// Sends a request and returns the response unchecked.
     pub async fn send(&self, vm: SocketAddr, target: &str, id: &str) -> Option<Response<Bytes>> {
         let req = Request::get(format!("http://{vm}{target}"))
             .header("host", "site.example")
@@ -94,7 +94,7 @@
     }
 }
 
-fn check(res: &Response<Bytes>, route: &SiteRoute, target: &str, id: &str) -> CallOutcome {
+fn check_response(res: &Response<Bytes>, route: &SiteRoute, target: &str, id: &str) -> CallOutcome {
     let text = |name: &str| res.headers().get(name).and_then(|v| v.to_str().ok());
     match res.status() {
         StatusCode::OK => {}
@@ -107,7 +107,7 @@
     let wrong = |what: &str| CallOutcome::Wrong(format!("{what}: {res:?}"));
     let Some((page, share)) = route.page else {
         let service = &route.services[0];
-        let stamped = text("answer-stamp").is_some_and(|s| is_of(s, service, id));
+        let stamped = text("answer-stamp").is_some_and(|s| is_stamp_of(s, service, id));
         let is_whole = res.body() == &part(service, target);
         return match stamped && is_whole {
             true => CallOutcome::Right(0),
@@ -122,19 +122,19 @@
     let missing: usize = text("missing-parts")
         .and_then(|m| m.parse().ok())
         .unwrap_or(0);
-    let held: BTreeSet<&String> = route
+    let present: BTreeSet<&String> = route
         .services
         .iter()
-        .filter(|s| stamps.iter().any(|stamp| is_of(stamp, s, id)))
+        .filter(|s| stamps.iter().any(|stamp| is_stamp_of(stamp, s, id)))
         .collect();
-    if held.len() != stamps.len() || held.len() + missing != route.services.len() {
-        return wrong("its parts are not what it says");
+    if present.len() != stamps.len() || present.len() + missing != route.services.len() {
+        return wrong("its stamps and its missing parts do not add up");
     }
-    if (held.len() as f64) < share * route.services.len() as f64 - 1e-9 {
+    if (present.len() as f64) < share * route.services.len() as f64 - 1e-9 {
         return wrong("too few parts");
     }
     let mut records: Vec<[u8; 16]> = Vec::new();
-    for service in held {
+    for service in present {
         records.extend(part(service, target).as_chunks::<16>().0);
     }
     records.sort_unstable_by(|a, b| b.cmp(a));
@@ -145,8 +145,8 @@
     }
 }
 
-/// Whether a stamp is a server's of this service for this request.
-fn is_of(stamp: &str, service: &str, id: &str) -> bool {
+/// Whether a stamp was made by a server of this service for this request.
+fn is_stamp_of(stamp: &str, service: &str, id: &str) -> bool {
     let mut it = stamp.splitn(3, '.');
     it.next() == Some(service) && it.next().is_some() && it.next() == Some(id)
 }
--- a/crates/rig/src/site/config.rs
+++ b/crates/rig/src/site/config.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration, as the platform holds it.
+//! The operators' configuration in the form that the platform stores.
 
 use serde_json::Value;
 use serde_json::json;
@@ -8,9 +8,9 @@
 pub struct SiteRoute {
     /// Its path prefix, with a slash at both ends.
     pub prefix: String,
-    /// Its services: the shards of a fan-out, or the one that it leads to.
+    /// Its services: the shards of a fan-out, or the only service.
     pub services: Vec<String>,
-    /// Records on a page and the least share of shards; `None` for a route to one service.
+    /// The records on a page and the minimum share of shards; `None` for a route to one service.
     pub page: Option<(usize, f64)>,
     /// Whether its requests may run more than once.
     pub is_safe: bool,
@@ -18,7 +18,7 @@
     pub objective_ms: u64,
 }
 
-/// The operators' configuration, as the platform holds it.
+/// The operators' configuration in the form that the platform stores.
 #[derive(Clone, Debug)]
 pub struct SiteConfig {
     /// Its version.
@@ -28,7 +28,7 @@
 }
 
 impl SiteConfig {
-    /// As operators write it.
+    /// Returns the stored object's spec.
     #[must_use]
     pub fn spec(&self) -> Value {
         let mut names: Vec<&String> = self.routes.iter().flat_map(|r| &r.services).collect();
--- a/crates/rig/src/site/http.rs
+++ b/crates/rig/src/site/http.rs
@@ -1,4 +1,4 @@
-//! A tiny HTTP/1.1 server around one async function.
+//! A minimal HTTP/1.1 server that passes each request to a [`RequestHandler`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,15 +15,15 @@
 use tokio::task::JoinHandle;
 
 use crate::body::Body;
-use crate::body::whole;
+use crate::body::complete;
 
-/// What a stand-in does with a request; `None` ends the connection without an answer.
+/// Answers the requests of a stand-in; `None` closes the connection without an answer.
 #[async_trait::async_trait]
-pub(super) trait Answers: Send + Sync + 'static {
-    async fn answer(&self, req: Request<Bytes>) -> Option<Response<Body>>;
+pub(super) trait RequestHandler: Send + Sync + 'static {
+    async fn respond(&self, req: Request<Bytes>) -> Option<Response<Body>>;
 }
 
-/// Listens, on the address of an earlier run if there is one.
+/// Listens on an address, which an earlier listener may have used.
 pub(super) async fn listen(addr: SocketAddr) -> Result<TcpListener> {
     let failed = |e: std::io::Error| {
         Error::new(ErrorKind::Io, e.to_string())
@@ -36,20 +36,20 @@
     socket.listen(1024).map_err(failed)
 }
 
-/// Serves until the task is aborted, which also cuts every connection.
-pub(super) fn serve(listener: TcpListener, answers: Arc<dyn Answers>) -> JoinHandle<()> {
+/// Serves connections in a task; aborting it also closes every connection.
+pub(super) fn serve(listener: TcpListener, handler: Arc<dyn RequestHandler>) -> JoinHandle<()> {
     tokio::spawn(async move {
         let mut connections = tokio::task::JoinSet::new();
         loop {
             let Ok((tcp, _)) = listener.accept().await else {
                 continue;
             };
-            let answers = Arc::clone(&answers);
+            let handler = Arc::clone(&handler);
             connections.spawn(async move {
-                let service = service_fn(move |req| one(Arc::clone(&answers), req));
+                let service = service_fn(move |req| handle_request(Arc::clone(&handler), req));
                 let conn = hyper::server::conn::http1::Builder::new();
                 if let Err(e) = conn.serve_connection(TokioIo::new(tcp), service).await {
-                    // A peer that hangs up is what stand-ins are for.
+                    // Disconnects are expected: tests provoke them on purpose.
                     log::debug!("event=connection-ended error=\"{e}\"");
                 }
             });
@@ -58,28 +58,31 @@
     })
 }
 
-/// The error by which a connection is ended without an answer.
+/// The error that closes a connection without an answer.
 #[derive(Debug)]
-struct Cut;
+struct Disconnect;
 
-impl std::fmt::Display for Cut {
+impl std::fmt::Display for Disconnect {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("cut")
+        f.write_str("connection closed without an answer")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for Disconnect {}
 
-async fn one(answers: Arc<dyn Answers>, req: Request<Incoming>) -> Result<Response<Body>, Cut> {
+async fn handle_request(
+    handler: Arc<dyn RequestHandler>,
+    req: Request<Incoming>,
+) -> Result<Response<Body>, Disconnect> {
     let (head, body) = req.into_parts();
-    let body = body.collect().await.map_err(|_| Cut)?.to_bytes();
-    let answer = answers.answer(Request::from_parts(head, body)).await;
-    answer.ok_or(Cut)
+    let body = body.collect().await.map_err(|_| Disconnect)?.to_bytes();
+    let answer = handler.respond(Request::from_parts(head, body)).await;
+    answer.ok_or(Disconnect)
 }
 
-/// A response with a status and a body.
-pub(super) fn plain(status: u16, body: impl Into<Bytes>) -> Response<Body> {
-    let mut res = Response::new(whole(body));
+/// Returns a response with a status and a body.
+pub(super) fn response(status: u16, body: impl Into<Bytes>) -> Response<Body> {
+    let mut res = Response::new(complete(body));
     *res.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or_default();
     res
 }
--- a/crates/rig/src/site/mod.rs
+++ b/crates/rig/src/site/mod.rs
@@ -1,7 +1,7 @@
-//! A small site of the users' platform: its store, backend servers, callers, and VMs that relay.
+//! A small stand-in of the users' platform: its store, backend servers and callers, with relaying VMs.
 //!
-//! Backend servers answer with records that follow from the service and the request, so that every page
-//! can be compared with a brute-force merge of the parts that it says it holds.
+//! Backend servers answer with records computed from the service and the request, so that every page
+//! can be compared with a brute-force merge of the parts that it lists.
 
 mod address;
 mod backend;
@@ -12,11 +12,11 @@
 mod proxy;
 mod records;
 mod recovery;
+mod setup;
 mod soak;
 mod soak_load;
 mod store;
 mod vm;
-mod whole;
 
 pub use backend::Backend;
 pub use backend::BackendFaults;
@@ -29,6 +29,9 @@
 pub use proxy::FaultProxy;
 pub use proxy::LinkFault;
 pub use records::part;
+pub use setup::Site;
+pub use setup::SiteOptions;
+pub use setup::free_ports;
 pub use soak::SoakOptions;
 pub use soak::SoakReport;
 pub use soak::soak;
@@ -36,6 +39,3 @@
 pub use store::StoreFault;
 pub use vm::RelayVm;
 pub use vm::RelayVmPlan;
-pub use whole::Site;
-pub use whole::SiteOptions;
-pub use whole::free_ports;
--- a/crates/rig/src/site/proxy.rs
+++ b/crates/rig/src/site/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy in front of a stand-in, which harms the connections that pass it.
+//! A loopback proxy in front of a stand-in that injects network faults.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,31 +13,31 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// What happens to connections.
+/// A fault of the connections through a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Each piece of bytes comes so much later.
+    /// Every chunk of bytes is delayed by this duration.
     Delay(Duration),
-    /// Connections are reset, new ones at once.
+    /// Open connections are reset, and new ones as soon as they are accepted.
     Reset,
-    /// Nothing passes, in either direction, and nothing tells of it.
+    /// Bytes are dropped in both directions without closing the connection.
     Silent,
     /// Requests pass, answers do not.
     OneWay,
 }
 
-/// A proxy; ends when dropped.
+/// A running proxy; stops when dropped.
 pub struct FaultProxy {
     addr: SocketAddr,
-    harm: watch::Sender<LinkFault>,
+    fault: watch::Sender<LinkFault>,
     task: JoinHandle<()>,
 }
 
 impl FaultProxy {
-    /// Listens on a port of its own and leads to `target`.
+    /// Listens on a free port and forwards connections to `target`.
     ///
     /// # Errors
     ///
@@ -46,30 +46,30 @@
         let failed = |e: std::io::Error| Error::new(ErrorKind::Io, e.to_string()).at("start proxy");
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.map_err(failed)?;
         let addr = listener.local_addr().map_err(failed)?;
-        let (harm, seen) = watch::channel(LinkFault::None);
+        let (fault, seen) = watch::channel(LinkFault::None);
         let task = tokio::spawn(async move {
             let mut connections = tokio::task::JoinSet::new();
             loop {
                 tokio::select! {
-                    Ok((near, _)) = listener.accept() => {
-                        connections.spawn(connection(near, target, seen.clone()));
+                    Ok((client, _)) = listener.accept() => {
+                        connections.spawn(connection(client, target, seen.clone()));
                     }
                     Some(_) = connections.join_next() => {}
                 }
             }
         });
-        Ok(Self { addr, harm, task })
+        Ok(Self { addr, fault, task })
     }
 
-    /// Where to connect to.
+    /// Returns the address to connect to.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Harms connections like this from now on.
-    pub fn set_fault(&self, harm: LinkFault) {
-        self.harm.send_replace(harm);
+    /// Sets the fault that applies from now on.
+    pub fn set_fault(&self, fault: LinkFault) {
+        self.fault.send_replace(fault);
     }
 }
 
@@ -79,37 +79,37 @@
     }
 }
 
-async fn connection(near: TcpStream, target: SocketAddr, harm: watch::Receiver<LinkFault>) {
+async fn connection(client: TcpStream, target: SocketAddr, fault: watch::Receiver<LinkFault>) {
     // A zero linger turns the close into a reset.
     let reset = |tcp: &TcpStream| tcp.set_zero_linger();
-    if *harm.borrow() == LinkFault::Reset {
-        let _ = reset(&near);
+    if *fault.borrow() == LinkFault::Reset {
+        let _ = reset(&client);
         return;
     }
-    let Ok(far) = TcpStream::connect(target).await else {
+    let Ok(upstream) = TcpStream::connect(target).await else {
         return;
     };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let _ = (reset(&near), reset(&far));
-    let (near_r, near_w) = near.into_split();
-    let (far_r, far_w) = far.into_split();
-    let mut resets = harm.clone();
+    let _ = (client.set_nodelay(true), upstream.set_nodelay(true));
+    let _ = (reset(&client), reset(&upstream));
+    let (client_r, client_w) = client.into_split();
+    let (upstream_r, upstream_w) = upstream.into_split();
+    let mut reset_signal = fault.clone();
     tokio::select! {
         _ = async {
             tokio::join!(
-                pump(near_r, far_w, harm.clone(), false),
-                pump(far_r, near_w, harm.clone(), true),
+                copy_direction(client_r, upstream_w, fault.clone(), false),
+                copy_direction(upstream_r, client_w, fault.clone(), true),
             )
         } => {}
-        _ = resets.wait_for(|h| *h == LinkFault::Reset) => {}
+        _ = reset_signal.wait_for(|h| *h == LinkFault::Reset) => {}
     }
 }
 
-/// Copies one direction as the harm allows.
-async fn pump(
+/// Copies the bytes of one direction, subject to the current fault.
+async fn copy_direction(
     mut r: OwnedReadHalf,
     mut w: OwnedWriteHalf,
-    mut harm: watch::Receiver<LinkFault>,
+    mut fault: watch::Receiver<LinkFault>,
     is_answer: bool,
 ) {
     let mut buf = vec![0; 16 * 1024];
@@ -117,16 +117,16 @@
         if n == 0 {
             break;
         }
-        let now = *harm.borrow();
+        let now = *fault.borrow();
         match now {
             LinkFault::Delay(by) => tokio::time::sleep(by).await,
             LinkFault::Silent => {
-                // What came during the silence is lost for good, and so is the connection.
+                // The bytes are lost, so the connection stays unusable after the fault ends.
                 std::future::pending::<()>().await;
             }
             LinkFault::OneWay if is_answer => {
-                // A proxy that is gone harms nothing any more.
-                let _ = harm.wait_for(|h| *h != LinkFault::OneWay).await;
+                // The wait fails only when the proxy was dropped, which ends the fault.
+                let _ = fault.wait_for(|h| *h != LinkFault::OneWay).await;
             }
             LinkFault::None | LinkFault::Reset | LinkFault::OneWay => {}
         }
@@ -134,6 +134,6 @@
             break;
         }
     }
-    // The end of one direction is passed on as an end, not as a reset.
+    // The end of one direction is forwarded as an end of stream, not as a reset.
     let _ = w.shutdown().await;
 }
--- a/crates/rig/src/site/records.rs
+++ b/crates/rig/src/site/records.rs
@@ -1,13 +1,13 @@
-//! The records of a part, as they follow from the service and the request.
+//! Computes the records of a part from the service and the request.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 use gs_types::prelude::*;
 
-/// Records in a part.
+/// The number of records in a part.
 const RECORDS: usize = 12;
 
-/// The part of a service for a request's target; the records are in no order.
+/// Returns the part of a service for a request's target; the records are not sorted.
 #[must_use]
 pub fn part(service: &str, target: &str) -> Bytes {
     let mut body = BytesMut::with_capacity(RECORDS * 16);
--- a/crates/rig/src/site/recovery.rs
+++ b/crates/rig/src/site/recovery.rs
@@ -1,4 +1,4 @@
-//! Whether all VMs serve whole pages again once the faults of a soak are over.
+//! Checks that all VMs serve complete pages again once the faults of a soak are over.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,27 +9,27 @@
 use super::caller::CallOutcome;
 use super::caller::SiteCaller;
 use super::config::SiteRoute;
-use super::whole::Site;
+use super::setup::Site;
 
-/// The time within which every VM serves whole pages again once the faults are over.
-const RECOVERY: Duration = Duration::from_secs(15);
+/// The time within which every VM must serve complete pages again once the faults are over.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The time between two looks at a VM.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+/// The interval between two requests to a VM.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Asks every VM until it serves a whole page; tells of those that have not in time.
+/// Queries every VM until it serves a complete page, and returns a message for each that did not in time.
 ///
-/// All are asked at the same time: one after the other, the last of sixty would have none of it left.
-pub(super) async fn late(site: &Site) -> Vec<String> {
+/// All VMs are queried concurrently: one after the other, the last of sixty would have no time left.
+pub(super) async fn unrecovered_vms(site: &Site) -> Vec<String> {
     let caller = SiteCaller::new();
-    let end = Instant::now() + RECOVERY;
+    let end = Instant::now() + RECOVERY_TIMEOUT;
     let route = &site.config.routes[0];
     let vms = site.vms.iter().enumerate();
-    let asked = vms.map(|(n, vm)| recovers(&caller, route, n, vm.plan().callers, end));
-    join_all(asked).await.into_iter().flatten().collect()
+    let checks = vms.map(|(n, vm)| wait_for_recovery(&caller, route, n, vm.plan().callers, end));
+    join_all(checks).await.into_iter().flatten().collect()
 }
 
-async fn recovers(
+async fn wait_for_recovery(
     caller: &SiteCaller,
     route: &SiteRoute,
     vm: usize,
@@ -48,6 +48,6 @@
         if Instant::now() > end {
             return Some(format!("vm {vm} has not recovered: {answer:?}"));
         }
-        tokio::time::sleep(LOOK_AGAIN).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/rig/src/site/whole.rs
+++ b/crates/rig/src/site/setup.rs
@@ -1,4 +1,4 @@
-//! A whole site: store, backend servers and VMs.
+//! Sets up a site: store, backend servers and VMs.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use bon::Builder;
 use gs_types::prelude::*;
 
-use super::address::own_address;
+use super::address::allocate_address;
 use super::backend::Backend;
 use super::backend::Runs;
 use super::config::SiteConfig;
@@ -22,25 +22,25 @@
 /// The data centres of a site.
 const ZONES: [&str; 3] = ["east", "west", "south"];
 
-/// How a site is built.
+/// The options of a site.
 #[derive(Builder)]
 pub struct SiteOptions {
-    /// The program.
+    /// The `gentiansill` program.
     pub bin: PathBuf,
-    /// Where settings and logs are written.
+    /// The directory for settings and logs.
     pub dir: PathBuf,
-    /// Shards, each of two servers in two of three data centres.
+    /// The number of shards, each with two servers in two of the three data centres.
     #[builder(default = 6)]
     pub shards: usize,
-    /// VMs, one after the other in three data centres.
+    /// The number of VMs, spread round-robin over the three data centres.
     #[builder(default = 3)]
     pub vms: usize,
-    /// The time that a server works on a request.
+    /// The time for which a server executes a request.
     #[builder(default = Duration::from_millis(4))]
     pub work: Duration,
 }
 
-/// A whole site: store, backend servers and VMs.
+/// A running site: store, backend servers and VMs.
 pub struct Site {
     /// The platform's store.
     pub store: Store,
@@ -48,9 +48,9 @@
     pub backends: Vec<Backend>,
     /// The VMs.
     pub vms: Vec<RelayVm>,
-    /// The proxies through which each VM reaches the store.
+    /// The proxies through which the VMs reach the store, one for each VM.
     pub store_links: Vec<FaultProxy>,
-    /// What ran.
+    /// How often each server ran each request.
     pub runs: Runs,
     /// The configuration in force.
     pub config: SiteConfig,
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     ///
-    /// If a part does not start.
+    /// If a component does not start.
     pub async fn start(options: SiteOptions) -> Result<Self> {
         let store = Store::start().await?;
         let runs = Runs::default();
@@ -119,7 +119,7 @@
         Ok(site)
     }
 
-    /// Starts the `n`-th VM, or starts it again after it has ended.
+    /// Starts the `n`-th VM, or restarts it after it has ended.
     ///
     /// # Errors
     ///
@@ -129,7 +129,7 @@
         RelayVm::start(&self.options.bin, &self.options.dir, store, plan)
     }
 
-    /// The route of this prefix.
+    /// Returns the route with this path prefix.
     ///
     /// # Errors
     ///
@@ -141,7 +141,7 @@
             .ok_or_else(|| Error::new(ErrorKind::NotFound, format!("no route {prefix}")))
     }
 
-    /// A backend server by its id.
+    /// Returns the backend server with this id.
     ///
     /// # Errors
     ///
@@ -151,7 +151,7 @@
         found.ok_or_else(|| Error::new(ErrorKind::NotFound, format!("no server {id}")))
     }
 
-    /// Puts a new version of the configuration in force.
+    /// Changes the configuration and writes it to the store as a new version.
     pub fn configure(&mut self, change: impl FnOnce(&mut SiteConfig)) {
         change(&mut self.config);
         self.config.version += 3;
@@ -175,7 +175,7 @@
 }
 
 fn plan(n: usize) -> Result<RelayVmPlan> {
-    let [callers, status, peers] = free_ports(own_address())?;
+    let [callers, status, peers] = free_ports(allocate_address())?;
     Ok(RelayVmPlan {
         name: format!("vm-{n}"),
         zone: ZONES[n % ZONES.len()].to_owned(),
@@ -186,10 +186,10 @@
     })
 }
 
-/// Three ports of an address that nobody listens on at present, all different.
+/// Returns three different free ports of an address.
 ///
-/// Guards against a VM that does not start: found one after the other, one time in 2,300 two of the three are
-/// the same, as each is free again once it is found. So all are held until the last one is.
+/// All three sockets stay bound until the last port is found. If each were released before the next is sought,
+/// two of the three ports would be equal one time in 2,300, and the VM would not start.
 ///
 /// # Errors
 ///
--- a/crates/rig/src/site/soak.rs
+++ b/crates/rig/src/site/soak.rs
@@ -1,8 +1,9 @@
-//! A randomized soak: real processes, faults from outside, and the promises checked meanwhile.
+//! A randomized soak test: real processes, injected faults, and checks of the guarantees.
 //!
-//! Faults come in series and overlap. Callers go on using their connections until a process is gone. What
-//! is checked is what callers and backend servers see: no wrong page, nothing doubled that may run once, a
-//! refusal that is true, nothing cut by a planned end, and whole pages again once the faults are over.
+//! Faults follow each other and overlap. Callers keep using their connections until a process has ended. The
+//! checks cover what callers and backend servers observe: no wrong page, no at-most-once request executed
+//! twice, no refusal as not run of a request that ran, no request cut by a planned shutdown, and complete pages
+//! again once the faults are over.
 
 use std::collections::HashMap;
 use std::path::PathBuf;
@@ -23,46 +24,46 @@
 use super::caller::CallOutcome;
 use super::proxy::LinkFault;
 use super::recovery;
+use super::setup::Site;
+use super::setup::SiteOptions;
 use super::soak_load::Load;
 use super::soak_load::ObservedRequest;
 use super::store::StoreFault;
-use super::whole::Site;
-use super::whole::SiteOptions;
 
-/// The most violations that are told of.
-const TOLD_MAX: usize = 20;
+/// The maximum number of violations that are reported.
+const VIOLATIONS_MAX: usize = 20;
 
-/// How a soak is run.
+/// The options of a soak.
 #[derive(Builder)]
 pub struct SoakOptions {
-    /// The program.
+    /// The `gentiansill` program.
     pub bin: PathBuf,
-    /// Where settings and logs are written.
+    /// The directory for settings and logs.
     pub dir: PathBuf,
     /// The seed of all faults.
     pub seed: u64,
-    /// How long faults come.
+    /// The duration during which faults are injected.
     pub length: Duration,
-    /// VMs.
+    /// The number of VMs.
     #[builder(default = 3)]
     pub vms: usize,
-    /// Shards.
+    /// The number of shards.
     #[builder(default = 6)]
     pub shards: usize,
 }
 
-/// What a soak came to.
+/// The result of a soak.
 #[derive(Debug, Default)]
 pub struct SoakReport {
-    /// Requests by what became of them.
+    /// The number of requests by outcome.
     pub ends: HashMap<&'static str, u64>,
-    /// The faults, in order.
+    /// The injected faults, in order.
     pub faults: Vec<String>,
-    /// The promises broken; none on a good day.
+    /// The violated guarantees; empty if the soak passed.
     pub violations: Vec<String>,
 }
 
-/// A kind of fault.
+/// A kind of injected fault.
 #[derive(Clone, Copy, Debug, strum::EnumIter, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 enum Fault {
@@ -92,14 +93,14 @@
     Configure,
 }
 
-/// A time in which a VM may cut requests, as it was killed or stood still.
+/// A period in which a VM may cut requests, because it was killed or paused.
 struct Outage {
     vm: usize,
     from: Instant,
     until: Instant,
 }
 
-/// Runs a soak.
+/// Starts a site, injects faults for the given duration, and checks all requests.
 ///
 /// # Errors
 ///
@@ -111,10 +112,10 @@
         .vms(options.vms)
         .shards(options.shards)
         .build();
-    let mut run = Run {
+    let mut run = ActiveSoak {
         site: Site::start(site).await?,
         rng: ChaCha8Rng::seed_from_u64(options.seed),
-        pending: Vec::new(),
+        pending_repairs: Vec::new(),
         outages: Vec::new(),
         report: SoakReport::default(),
     };
@@ -122,57 +123,61 @@
     let end = Instant::now() + options.length;
     while Instant::now() < end {
         let wait = run.rng.random_range(100..700);
-        run.pass(Duration::from_millis(wait)).await?;
-        run.strike().await?;
+        run.sleep_and_repair(Duration::from_millis(wait)).await?;
+        run.inject_fault().await?;
     }
-    run.calm().await?;
-    let late = recovery::late(&run.site).await;
-    run.report.violations.extend(late);
-    let seen = load.stop().await;
-    run.check(&seen);
+    run.repair_all().await?;
+    let unrecovered = recovery::unrecovered_vms(&run.site).await;
+    run.report.violations.extend(unrecovered);
+    let requests = load.stop().await;
+    run.check_requests(&requests);
     Ok(run.report)
 }
 
-/// A soak under way.
-struct Run {
+/// A soak in progress.
+struct ActiveSoak {
     site: Site,
     rng: ChaCha8Rng,
-    /// What mends faults, and when.
-    pending: Vec<(Instant, Mend)>,
+    /// The repairs that end the injected faults, with their times.
+    pending_repairs: Vec<(Instant, Repair)>,
     outages: Vec<Outage>,
     report: SoakReport,
 }
 
-/// What mends a fault.
+/// An action that ends a fault.
 #[derive(Clone, Copy, Debug)]
-enum Mend {
+enum Repair {
     VmContinue(usize),
     VmRestart(usize),
     ServerRestart(usize),
-    ServerWell(usize),
+    ServerFaults(usize),
     ServerLink(usize),
     Store,
     StoreLink(usize),
 }
 
-impl Run {
-    /// Lets time pass, mending what falls due.
-    async fn pass(&mut self, d: Duration) -> Result<()> {
+impl ActiveSoak {
+    /// Sleeps for the given duration and makes the repairs that are due meanwhile.
+    async fn sleep_and_repair(&mut self, d: Duration) -> Result<()> {
         let until = Instant::now() + d;
         loop {
-            self.pending.sort_by_key(|(at, _)| *at);
-            let due = self.pending.first().filter(|(at, _)| *at <= until).copied();
-            let Some((at, mend)) = due else { break };
+            self.pending_repairs.sort_by_key(|(at, _)| *at);
+            let due = self
+                .pending_repairs
+                .first()
+                .filter(|(at, _)| *at <= until)
+                .copied();
+            let Some((at, repair)) = due else { break };
             tokio::time::sleep_until(at).await;
-            self.pending.remove(0);
-            self.mend(mend).await?;
+            self.pending_repairs.remove(0);
+            self.repair(repair).await?;
         }
         tokio::time::sleep_until(until).await;
         Ok(())
     }
 
-    /// Draws a fault and its length.
-    async fn strike(&mut self) -> Result<()> {
+    /// Draws a fault, its target and its duration, and injects it.
+    async fn inject_fault(&mut self) -> Result<()> {
         let all: Vec<Fault> = Fault::iter().collect();
         let Some(fault) = all.choose(&mut self.rng).copied() else {
             return Ok(());
@@ -184,52 +189,53 @@
             .faults
             .push(format!("{fault} vm={vm} server={server} {length:?}"));
         let until = Instant::now() + length;
-        let mend = self.begin(fault, vm, server, until).await?;
-        if let Some(mend) = mend {
-            self.pending.push((until, mend));
+        let repair = self.apply_fault(fault, vm, server, until).await?;
+        if let Some(repair) = repair {
+            self.pending_repairs.push((until, repair));
         }
         Ok(())
     }
 
-    async fn begin(
+    async fn apply_fault(
         &mut self,
         fault: Fault,
         vm: usize,
         server: usize,
         until: Instant,
-    ) -> Result<Option<Mend>> {
-        let is_down = |m: &Mend| matches!(m, Mend::VmRestart(v) | Mend::VmContinue(v) if *v == vm);
-        let vm_is_down = self.pending.iter().any(|(_, m)| is_down(m));
+    ) -> Result<Option<Repair>> {
+        let is_down =
+            |m: &Repair| matches!(m, Repair::VmRestart(v) | Repair::VmContinue(v) if *v == vm);
+        let vm_is_down = self.pending_repairs.iter().any(|(_, m)| is_down(m));
         let site = &mut self.site;
-        let ill = |f: fn(&mut BackendFaults)| {
+        let faulty = |f: fn(&mut BackendFaults)| {
             let mut faults = BackendFaults::default();
             f(&mut faults);
             faults
         };
-        let sick = match fault {
-            Fault::ServerPause => Some(ill(|f| f.pause = Some(Duration::from_millis(600)))),
-            Fault::ServerLoses => Some(ill(|f| f.loses = true)),
-            Fault::ServerTruncates => Some(ill(|f| f.truncates = true)),
-            Fault::ServerCrosses => Some(ill(|f| f.crosses = true)),
-            Fault::ServerSheds => Some(ill(|f| f.sheds = true)),
-            Fault::ServerFails => Some(ill(|f| f.fails = true)),
+        let server_faults = match fault {
+            Fault::ServerPause => Some(faulty(|f| f.pause = Some(Duration::from_millis(600)))),
+            Fault::ServerLoses => Some(faulty(|f| f.loses = true)),
+            Fault::ServerTruncates => Some(faulty(|f| f.truncates = true)),
+            Fault::ServerCrosses => Some(faulty(|f| f.crosses = true)),
+            Fault::ServerSheds => Some(faulty(|f| f.sheds = true)),
+            Fault::ServerFails => Some(faulty(|f| f.fails = true)),
             _ => None,
         };
-        if let Some(faults) = sick {
+        if let Some(faults) = server_faults {
             site.backends[server].set_faults(faults);
-            return Ok(Some(Mend::ServerWell(server)));
+            return Ok(Some(Repair::ServerFaults(server)));
         }
         let link = |harm| {
             site.backends[server].link().set_fault(harm);
-            Some(Mend::ServerLink(server))
+            Some(Repair::ServerLink(server))
         };
         let store = |fault| {
             site.store.set_fault(fault);
-            Some(Mend::Store)
+            Some(Repair::Store)
         };
         let store_link = |harm| {
             site.store_links[vm].set_fault(harm);
-            Some(Mend::StoreLink(vm))
+            Some(Repair::StoreLink(vm))
         };
         Ok(match fault {
             Fault::ServerLinkDelay => link(LinkFault::Delay(Duration::from_millis(80))),
@@ -253,9 +259,9 @@
             }
             Fault::ServerCrash => {
                 site.backends[server].crash();
-                Some(Mend::ServerRestart(server))
+                Some(Repair::ServerRestart(server))
             }
-            // A VM that is down already, or stands still, gets no second signal.
+            // A VM that is already down or paused gets no second signal.
             _ if vm_is_down => None,
             Fault::VmReload => {
                 site.vms[vm].signal(Signal::HUP);
@@ -263,23 +269,23 @@
             }
             Fault::VmTerm => {
                 site.vms[vm].signal(Signal::TERM);
-                Some(Mend::VmRestart(vm))
+                Some(Repair::VmRestart(vm))
             }
             Fault::VmKill => {
-                self.outage(vm, until);
+                self.record_outage(vm, until);
                 self.site.vms[vm].signal(Signal::KILL);
-                Some(Mend::VmRestart(vm))
+                Some(Repair::VmRestart(vm))
             }
             _ => {
-                self.outage(vm, until);
+                self.record_outage(vm, until);
                 self.site.vms[vm].signal(Signal::STOP);
-                Some(Mend::VmContinue(vm))
+                Some(Repair::VmContinue(vm))
             }
         })
     }
 
-    /// Notes that a VM may cut or hold up what comes until then and a little longer.
-    fn outage(&mut self, vm: usize, until: Instant) {
+    /// Records that a VM may cut or delay requests until the given time and 4 s longer.
+    fn record_outage(&mut self, vm: usize, until: Instant) {
         self.outages.push(Outage {
             vm,
             from: Instant::now(),
@@ -287,11 +293,11 @@
         });
     }
 
-    async fn mend(&mut self, mend: Mend) -> Result<()> {
+    async fn repair(&mut self, repair: Repair) -> Result<()> {
         let site = &mut self.site;
-        match mend {
-            Mend::VmContinue(vm) => site.vms[vm].signal(Signal::CONT),
-            Mend::VmRestart(vm) => {
+        match repair {
+            Repair::VmContinue(vm) => site.vms[vm].signal(Signal::CONT),
+            Repair::VmRestart(vm) => {
                 let ended = site.vms[vm].wait_for_exit(Duration::from_secs(8)).await;
                 if let Err(e) = ended {
                     self.report
@@ -301,27 +307,29 @@
                 let plan = self.site.vms[vm].plan().clone();
                 self.site.vms[vm] = self.site.launch(vm, plan)?;
             }
-            Mend::ServerRestart(server) => site.backends[server].restart().await?,
-            Mend::ServerWell(server) => site.backends[server].set_faults(BackendFaults::default()),
-            Mend::ServerLink(server) => site.backends[server].link().set_fault(LinkFault::None),
-            Mend::Store => site.store.set_fault(StoreFault::None),
-            Mend::StoreLink(vm) => site.store_links[vm].set_fault(LinkFault::None),
+            Repair::ServerRestart(server) => site.backends[server].restart().await?,
+            Repair::ServerFaults(server) => {
+                site.backends[server].set_faults(BackendFaults::default())
+            }
+            Repair::ServerLink(server) => site.backends[server].link().set_fault(LinkFault::None),
+            Repair::Store => site.store.set_fault(StoreFault::None),
+            Repair::StoreLink(vm) => site.store_links[vm].set_fault(LinkFault::None),
         }
         Ok(())
     }
 
-    /// Mends everything.
-    async fn calm(&mut self) -> Result<()> {
-        let last = self.pending.iter().map(|(at, _)| *at).max();
+    /// Waits for and makes all pending repairs.
+    async fn repair_all(&mut self) -> Result<()> {
+        let last = self.pending_repairs.iter().map(|(at, _)| *at).max();
         if let Some(last) = last {
-            self.pass(last.saturating_duration_since(Instant::now()))
+            self.sleep_and_repair(last.saturating_duration_since(Instant::now()))
                 .await?;
         }
         Ok(())
     }
 
-    /// Checks what callers saw against what ran.
-    fn check(&mut self, seen: &[ObservedRequest]) {
+    /// Compares what callers observed with what backend servers ran.
+    fn check_requests(&mut self, requests: &[ObservedRequest]) {
         let runs = self
             .site
             .runs
@@ -332,7 +340,7 @@
             *ran.entry(id).or_default() += n;
         }
         let mut violations = Vec::new();
-        for s in seen {
+        for s in requests {
             let ran = ran.get(s.id.as_str()).copied().unwrap_or(0);
             let kind = match &s.outcome {
                 CallOutcome::Right(0) => "whole",
@@ -351,25 +359,25 @@
                 CallOutcome::NotRun(None) => {
                     violations.push(format!("{}: no time to come back", s.id))
                 }
-                CallOutcome::Cut if !self.may_cut(s) => {
+                CallOutcome::Cut if !self.is_cut_allowed(s) => {
                     violations.push(format!("{}: cut by vm {}", s.id, s.vm));
                 }
                 _ if s.is_once && ran > 1 => violations.push(format!("{}: ran {ran} times", s.id)),
                 _ => {}
             }
         }
-        let left_out = violations.len().saturating_sub(TOLD_MAX);
-        violations.truncate(TOLD_MAX);
-        if left_out > 0 {
-            violations.push(format!("and {left_out} more"));
+        let omitted = violations.len().saturating_sub(VIOLATIONS_MAX);
+        violations.truncate(VIOLATIONS_MAX);
+        if omitted > 0 {
+            violations.push(format!("and {omitted} more"));
         }
         self.report.violations.extend(violations);
     }
 
-    /// Whether a request may have been cut: its VM was killed or stood still, or was not there at all.
-    fn may_cut(&self, s: &ObservedRequest) -> bool {
-        let meets = |o: &Outage| o.vm == s.vm && s.begun < o.until && s.ended > o.from;
+    /// Whether a request may have been cut: its VM was killed or paused, or was not running at all.
+    fn is_cut_allowed(&self, s: &ObservedRequest) -> bool {
+        let overlaps = |o: &Outage| o.vm == s.vm && s.begun < o.until && s.ended > o.from;
         let is_refused = s.ended - s.begun < Duration::from_millis(50);
-        is_refused || self.outages.iter().any(meets)
+        is_refused || self.outages.iter().any(overlaps)
     }
 }
--- a/crates/rig/src/site/soak_load.rs
+++ b/crates/rig/src/site/soak_load.rs
@@ -1,4 +1,4 @@
-//! The callers of a soak, and what they see.
+//! The callers of a soak and the requests that they observe.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -13,9 +13,9 @@
 use super::caller::CallOutcome;
 use super::caller::SiteCaller;
 use super::config::SiteRoute;
-use super::whole::Site;
+use super::setup::Site;
 
-/// One request as a caller saw it.
+/// One request as observed by its caller.
 pub(super) struct ObservedRequest {
     pub(super) id: String,
     pub(super) vm: usize,
@@ -25,25 +25,26 @@
     pub(super) outcome: CallOutcome,
 }
 
-/// Callers that go on asking every VM.
+/// Callers that send requests to every VM until stopped.
 pub(super) struct Load {
     stop: Arc<AtomicBool>,
-    seen: Arc<Mutex<Vec<ObservedRequest>>>,
+    requests: Arc<Mutex<Vec<ObservedRequest>>>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
 
-/// Callers at each VM.
-const CALLERS: usize = 3;
+/// The number of callers for each VM.
+const CALLERS_PER_VM: usize = 3;
 
 impl Load {
     pub(super) fn start(site: &Site) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
-        let seen = Arc::new(Mutex::new(Vec::new()));
+        let requests = Arc::new(Mutex::new(Vec::new()));
         let next = Arc::new(AtomicU64::new(0));
         let mut tasks = Vec::new();
         for (vm, process) in site.vms.iter().enumerate() {
-            for _ in 0..CALLERS {
-                let (stop, seen, next) = (Arc::clone(&stop), Arc::clone(&seen), Arc::clone(&next));
+            for _ in 0..CALLERS_PER_VM {
+                let (stop, requests, next) =
+                    (Arc::clone(&stop), Arc::clone(&requests), Arc::clone(&next));
                 let addr = process.plan().callers;
                 let routes = site.config.routes.clone();
                 tasks.push(tokio::spawn(async move {
@@ -53,7 +54,7 @@
                         let route: &SiteRoute = &routes[n as usize % routes.len()];
                         let begun = Instant::now();
                         let answer = caller.request(addr, route, &format!("s{n}")).await;
-                        let one = ObservedRequest {
+                        let request = ObservedRequest {
                             id: answer.id,
                             vm,
                             begun,
@@ -61,23 +62,28 @@
                             is_once: !route.is_safe,
                             outcome: answer.outcome,
                         };
-                        seen.lock()
+                        requests
+                            .lock()
                             .unwrap_or_else(PoisonError::into_inner)
-                            .push(one);
+                            .push(request);
                         tokio::time::sleep(Duration::from_millis(15)).await;
                     }
                 }));
             }
         }
-        Self { stop, seen, tasks }
+        Self {
+            stop,
+            requests,
+            tasks,
+        }
     }
 
     pub(super) async fn stop(self) -> Vec<ObservedRequest> {
         self.stop.store(true, Ordering::Relaxed);
         for task in self.tasks {
-            // A caller that panicked has told of it on stderr.
+            // A caller that panicked has already printed its message to stderr.
             let _ = task.await;
         }
-        std::mem::take(&mut *self.seen.lock().unwrap_or_else(PoisonError::into_inner))
+        std::mem::take(&mut *self.requests.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
--- a/crates/rig/src/site/store.rs
+++ b/crates/rig/src/site/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store, and how it misbehaves.
+//! The stand-in of the platform's store, with injected faults.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,34 +18,34 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-use super::http::Answers;
+use super::http::RequestHandler;
 use super::http::listen;
-use super::http::plain;
+use super::http::response;
 use super::http::serve;
 use super::objects::Objects;
 use crate::body::Body;
 
-/// How the store misbehaves towards all.
+/// An injected fault of the store, the same for every client.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreFault {
-    /// It does not.
+    /// No fault.
     #[default]
     None,
     /// It answers 503.
     Busy,
     /// It answers 429.
     Limited,
-    /// It takes calls and answers none.
+    /// It accepts calls and does not answer.
     Silent,
-    /// It takes calls for objects of these kinds and answers none.
+    /// It accepts calls for objects of these kinds and does not answer them.
     SilentTo(&'static [&'static str]),
-    /// It does what is asked and ends the connection without an answer.
+    /// It executes the call and closes the connection without an answer.
     Lost,
-    /// It answers so much later.
+    /// It delays every answer by this duration.
     Slow(Duration),
 }
 
-/// The platform's store.
+/// The running stand-in of the platform's store; stops when dropped.
 pub struct Store {
     addr: SocketAddr,
     inner: Arc<Inner>,
@@ -60,7 +60,7 @@
 }
 
 impl Store {
-    /// Starts an empty store on an address of the loopback range.
+    /// Starts an empty store on a free loopback port.
     ///
     /// # Errors
     ///
@@ -80,25 +80,25 @@
         Ok(Self { addr, inner, task })
     }
 
-    /// Where it listens.
+    /// Returns the address that it listens on.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Writes an object, as operators and servers do.
+    /// Writes an object directly, in place of operators and servers.
     pub fn put(&self, kind: &str, name: &str, spec: Value) {
         lock(&self.inner.objects).put(kind, name, spec);
         self.inner.changed.notify_waiters();
     }
 
-    /// Removes an object.
+    /// Removes an object directly.
     pub fn delete(&self, kind: &str, name: &str) {
         lock(&self.inner.objects).delete(kind, name);
         self.inner.changed.notify_waiters();
     }
 
-    /// The names of a kind's objects.
+    /// Returns the names of the objects of a kind.
     #[must_use]
     pub fn names(&self, kind: &str) -> Vec<String> {
         let listed = lock(&self.inner.objects).list(kind, "");
@@ -107,19 +107,19 @@
         names.map(str::to_owned).collect()
     }
 
-    /// Forgets all history and cuts the watches that wait.
+    /// Drops the change history; waiting watches get status 410.
     pub fn drop_history(&self) {
-        lock(&self.inner.objects).forget();
+        lock(&self.inner.objects).drop_history();
         self.inner.changed.notify_waiters();
     }
 
-    /// Misbehaves from now on.
+    /// Sets the fault that applies from now on.
     pub fn set_fault(&self, fault: StoreFault) {
         *lock(&self.inner.fault) = fault;
         self.inner.changed.notify_waiters();
     }
 
-    /// Calls made so far, by method and path without its query.
+    /// Returns the number of calls so far, by method and path without the query.
     #[must_use]
     pub fn calls(&self) -> BTreeMap<String, u64> {
         lock(&self.inner.calls).clone()
@@ -133,16 +133,16 @@
 }
 
 #[async_trait::async_trait]
-impl Answers for Inner {
-    async fn answer(&self, req: Request<Bytes>) -> Option<Response<Body>> {
+impl RequestHandler for Inner {
+    async fn respond(&self, req: Request<Bytes>) -> Option<Response<Body>> {
         let call = format!("{} {}", req.method(), req.uri().path());
         *lock(&self.calls).entry(call).or_default() += 1;
         let fault = *lock(&self.fault);
         match fault {
-            StoreFault::Busy => return Some(plain(503, "busy")),
-            StoreFault::Limited => return Some(plain(429, "limited")),
+            StoreFault::Busy => return Some(response(503, "busy")),
+            StoreFault::Limited => return Some(response(429, "limited")),
             StoreFault::Silent => std::future::pending().await,
-            StoreFault::SilentTo(kinds) if kinds.contains(&object_of(&req).0) => {
+            StoreFault::SilentTo(kinds) if kinds.contains(&kind_and_name(&req).0) => {
                 std::future::pending().await
             }
             StoreFault::Slow(by) => tokio::time::sleep(by).await,
@@ -155,33 +155,33 @@
 
 impl Inner {
     async fn handle(&self, req: &Request<Bytes>) -> Response<Body> {
-        let (kind, name) = object_of(req);
+        let (kind, name) = kind_and_name(req);
         let query = req.uri().query().unwrap_or("");
-        let asked = |key: &str| {
+        let param = |key: &str| {
             let mut pairs = query.split('&').filter_map(|p| p.split_once('='));
             pairs.find(|(k, _)| *k == key).map(|(_, v)| v.to_owned())
         };
-        if let Some(after) = asked("watch") {
-            let wait = asked("poll_timeout_ms").and_then(|w| w.parse().ok());
+        if let Some(after) = param("watch") {
+            let wait = param("poll_timeout_ms").and_then(|w| w.parse().ok());
             let wait = Duration::from_millis(wait.unwrap_or(30_000));
             return self.watch(kind, after.parse().unwrap_or(0), wait).await;
         }
         match *req.method() {
             Method::GET if name.is_empty() => {
-                let after = asked("after").unwrap_or_default();
+                let after = param("after").unwrap_or_default();
                 json(&lock(&self.objects).list(kind, &after))
             }
             Method::GET => match lock(&self.objects).get(kind, name) {
                 Some(object) => json(object),
-                None => plain(404, ""),
+                None => response(404, ""),
             },
             Method::POST => self.create(kind, req.body()),
             Method::PUT => self.replace(kind, name, req.body()),
             Method::DELETE => {
-                let wanted = asked("revision").and_then(|r| r.parse().ok());
-                self.remove(kind, name, wanted)
+                let if_revision = param("revision").and_then(|r| r.parse().ok());
+                self.remove(kind, name, if_revision)
             }
-            _ => plain(405, ""),
+            _ => response(405, ""),
         }
     }
 
@@ -190,7 +190,7 @@
         loop {
             let changed = self.changed.notified();
             match lock(&self.objects).changes(kind, after) {
-                Err(()) => return plain(410, ""),
+                Err(()) => return response(410, ""),
                 Ok(Some(page)) => return json(&page),
                 Ok(None) => {}
             }
@@ -203,56 +203,56 @@
 
     fn create(&self, kind: &str, body: &Bytes) -> Response<Body> {
         let Ok(object) = serde_json::from_slice::<Value>(body) else {
-            return plain(400, "");
+            return response(400, "");
         };
         let name = object["meta"]["name"].as_str().unwrap_or("").to_owned();
         let mut objects = lock(&self.objects);
         if objects.get(kind, &name).is_some() {
-            return plain(409, "{}");
+            return response(409, "{}");
         }
-        let made = objects.put(kind, &name, object["spec"].clone());
+        let stored = objects.put(kind, &name, object["spec"].clone());
         drop(objects);
         self.changed.notify_waiters();
-        json(&made)
+        json(&stored)
     }
 
-    fn remove(&self, kind: &str, name: &str, wanted: Option<u64>) -> Response<Body> {
+    fn remove(&self, kind: &str, name: &str, if_revision: Option<u64>) -> Response<Body> {
         let mut objects = lock(&self.objects);
         let Some(object) = objects.get(kind, name) else {
-            return plain(404, "{}");
+            return response(404, "{}");
         };
-        if wanted.is_some_and(|r| object["meta"]["revision"] != r) {
-            return plain(409, "{}");
+        if if_revision.is_some_and(|r| object["meta"]["revision"] != r) {
+            return response(409, "{}");
         }
         objects.delete(kind, name);
         drop(objects);
         self.changed.notify_waiters();
-        plain(200, "{}")
+        response(200, "{}")
     }
 
     fn replace(&self, kind: &str, name: &str, body: &Bytes) -> Response<Body> {
         let Ok(object) = serde_json::from_slice::<Value>(body) else {
-            return plain(400, "");
+            return response(400, "");
         };
         let mut objects = lock(&self.objects);
         if objects.get(kind, name).is_none() {
-            return plain(404, "");
+            return response(404, "");
         }
-        let made = objects.put(kind, name, object["spec"].clone());
+        let stored = objects.put(kind, name, object["spec"].clone());
         drop(objects);
         self.changed.notify_waiters();
-        json(&made)
+        json(&stored)
     }
 }
 
-/// The kind and the name that a call is about; the name is empty for all objects of the kind.
-fn object_of(req: &Request<Bytes>) -> (&str, &str) {
+/// Returns the kind and the name in a call's path; the name is empty for all objects of the kind.
+fn kind_and_name(req: &Request<Bytes>) -> (&str, &str) {
     let path = req.uri().path().trim_start_matches("/api/objects/");
     path.split_once('/').unwrap_or((path, ""))
 }
 
 fn json(value: &Value) -> Response<Body> {
-    plain(200, value.to_string())
+    response(200, value.to_string())
 }
 
 fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/crates/rig/src/site/vm.rs
+++ b/crates/rig/src/site/vm.rs
@@ -1,4 +1,4 @@
-//! One `gentiansill relay` process: started, signalled and ended by its id.
+//! Starts, signals and ends one `gentiansill relay` process, by its process id.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -16,27 +16,27 @@
 
 use crate::load::Caller;
 
-/// The time between two looks at something that a process brings about.
-const LOOK_AGAIN: Duration = Duration::from_millis(5);
+/// The interval between two checks of a process's state.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A VM of a site.
+/// The name, addresses and data centre of a VM.
 #[derive(Clone, Debug)]
 pub struct RelayVmPlan {
     /// Its name.
     pub name: String,
     /// Its data centre, which is also its region.
     pub zone: String,
-    /// For callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// For the balancer.
+    /// The address for the balancer's probes.
     pub status: SocketAddr,
-    /// For other VMs.
+    /// The address for other VMs.
     pub peers: SocketAddr,
-    /// Where the others listen for it.
+    /// The peer addresses of the VMs that it contacts first.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// A running process; killed when dropped.
+/// A running VM process; killed when dropped.
 pub struct RelayVm {
     plan: RelayVmPlan,
     child: Child,
@@ -52,7 +52,7 @@
     pub fn start(bin: &Path, dir: &Path, store: SocketAddr, plan: RelayVmPlan) -> Result<Self> {
         let failed = |e: std::io::Error| Error::new(ErrorKind::Io, e.to_string()).at("start a VM");
         let settings = dir.join(format!("{}.toml", plan.name));
-        std::fs::write(&settings, text(&plan, store)).map_err(failed)?;
+        std::fs::write(&settings, settings_text(&plan, store)).map_err(failed)?;
         let log = dir.join(format!("{}.log", plan.name));
         let log = File::options()
             .create(true)
@@ -75,19 +75,19 @@
         })
     }
 
-    /// Its plan.
+    /// Returns its plan.
     #[must_use]
     pub fn plan(&self) -> &RelayVmPlan {
         &self.plan
     }
 
-    /// Its settings file.
+    /// Returns the path of its settings file.
     #[must_use]
     pub fn settings(&self) -> &Path {
         &self.settings
     }
 
-    /// Waits until it is ready.
+    /// Waits until its status address answers that it is ready.
     ///
     /// # Errors
     ///
@@ -96,30 +96,33 @@
         let caller = Caller::new();
         let end = Instant::now() + limit;
         loop {
-            let asked = caller.get(self.plan.status, "/ready");
-            if let Ok(Ok((200, _))) = tokio::time::timeout(Duration::from_secs(1), asked).await {
+            let response = caller.get(self.plan.status, "/ready");
+            if let Ok(Ok((200, _))) = tokio::time::timeout(Duration::from_secs(1), response).await {
                 return Ok(());
             }
             if let Ok(Some(status)) = self.child.try_wait() {
                 return Err(Error::new(
                     ErrorKind::Io,
-                    format!("it exited with {status}"),
+                    format!("the process exited with {status}"),
                 ));
             }
             if Instant::now() > end {
-                return Err(Error::new(ErrorKind::Unavailable, "not ready in time"));
+                return Err(Error::new(
+                    ErrorKind::Unavailable,
+                    "the process was not ready in time",
+                ));
             }
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Sends a signal to it, and to nothing else.
+    /// Sends a signal to this process only.
     pub fn signal(&self, signal: Signal) {
-        // It may have ended; then there is nothing to signal.
+        // Fails if the process has ended; then there is nothing to signal.
         let _ = rustix::process::kill_process(Pid::from_child(&self.child), signal);
     }
 
-    /// Waits until it has ended; gives its exit code.
+    /// Waits until it has ended and returns its exit code.
     ///
     /// # Errors
     ///
@@ -133,10 +136,10 @@
             if Instant::now() > end {
                 return Err(Error::new(
                     ErrorKind::Unavailable,
-                    "it has not ended in time",
+                    "the process did not end in time",
                 ));
             }
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -148,7 +151,7 @@
     }
 }
 
-fn text(plan: &RelayVmPlan, store: SocketAddr) -> String {
+fn settings_text(plan: &RelayVmPlan, store: SocketAddr) -> String {
     let RelayVmPlan {
         name,
         zone,
--- a/crates/rig/src/site_demo.rs
+++ b/crates/rig/src/site_demo.rs
@@ -1,4 +1,4 @@
-//! `gs-rig site`: relaying VMs on a stand-in of the users' platform, every page checked.
+//! `gs-rig site`: runs relaying VMs on a stand-in of the users' platform and checks every page.
 
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -13,13 +13,13 @@
 
 use crate::args::Soak;
 
-/// The pause between two requests of the one caller.
+/// The delay between two requests of the only caller.
 const PAUSE: Duration = Duration::from_millis(5);
 
-/// Asks every VM on every route in turn; exits with 1 if an answer was wrong or none was whole.
+/// Sends requests to the VMs and routes in turn; exits with 1 if an answer was wrong or none was complete.
 pub(crate) async fn run(args: &Soak) -> Result<ExitCode> {
     std::fs::create_dir_all(&args.dir)
-        .map_err(|e| Error::new(ErrorKind::Io, e.to_string()).at("make a folder"))?;
+        .map_err(|e| Error::new(ErrorKind::Io, e.to_string()).at("create a directory"))?;
     let options = SiteOptions::builder()
         .bin(args.bin.clone())
         .dir(args.dir.clone())
--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -1,4 +1,4 @@
-//! `gs-rig soak`: the randomized soak, seed by seed.
+//! `gs-rig soak`: runs the randomized soak test for a range of seeds.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -9,13 +9,13 @@
 
 use crate::args::Soak;
 
-/// Runs the seeds one after the other; exits with 1 if a promise was broken.
+/// Runs the seeds one after the other; exits with 1 if a guarantee was violated.
 pub(crate) async fn run(args: &Soak) -> Result<ExitCode> {
     let mut broken = 0;
     for seed in args.seed..args.seed + args.seeds {
         let dir = args.dir.join(format!("soak-{seed}"));
         std::fs::create_dir_all(&dir)
-            .map_err(|e| Error::new(ErrorKind::Io, e.to_string()).at("make a folder"))?;
+            .map_err(|e| Error::new(ErrorKind::Io, e.to_string()).at("create a directory"))?;
         let options = SoakOptions::builder()
             .bin(args.bin.clone())
             .dir(dir.clone())
@@ -33,7 +33,7 @@
             report.violations.len()
         );
         if report.violations.is_empty() {
-            // Logs are kept for seeds that failed only; a leftover folder harms nothing.
+            // Logs are kept only for failed seeds; a directory that cannot be removed does no harm.
             let _ = std::fs::remove_dir_all(&dir);
             continue;
         }
--- a/crates/rig/src/storm.rs
+++ b/crates/rig/src/storm.rs
@@ -1,4 +1,4 @@
-//! `gs-rig storm`: goodput by load, and what is left of a storm of resends after it ends.
+//! `gs-rig storm`: measures goodput by load, and the recovery after a storm of resends.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -19,44 +19,44 @@
 
 use crate::args::Common;
 
-/// Makes a group of 2 servers × 2 slots run [`CAPACITY`] lookups a second.
+/// The service time with which a shard of 2 servers × 2 slots runs [`CAPACITY_PER_S`] lookups per second.
 const SERVICE_TIME: Duration = Duration::from_millis(80);
 
-/// Lookups a second that the servers of the group can run.
-const CAPACITY: f64 = 50.0;
+/// The capacity of the group's servers, in lookups per second.
+const CAPACITY_PER_S: f64 = 50.0;
 
-/// The loads of the sweep, in shares of the capacity.
-const SWEEP: [f64; 5] = [0.8, 1.0, 1.2, 1.5, 2.0];
+/// The loads of the sweep, as fractions of the capacity.
+const SWEEP_LOADS: [f64; 5] = [0.8, 1.0, 1.2, 1.5, 2.0];
 
-/// Load before anything is counted.
+/// The duration of the load before anything is counted.
 const WARM_UP: Duration = Duration::from_secs(2);
 
-/// The length of one line of a storm's table.
+/// The duration that one line of a storm's table covers.
 const SLICE: Duration = Duration::from_millis(500);
 
-/// Resends of one request at most.
-const RESENDS: u32 = 5;
+/// The maximum number of resends of one request.
+const RESENDS_MAX: u32 = 5;
 
-/// How much slower than before the storm is still normal.
-const NORMAL: f64 = 1.5;
+/// The p99 latency that still counts as normal, as a multiple of that before the storm.
+const NORMAL_LATENCY_FACTOR: f64 = 1.5;
 
-/// What callers do with a refusal.
+/// The reaction of callers to a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Manner {
+enum ResendPolicy {
     Once,
     ResendAtOnce,
     HonourRetryAfter,
 }
 
-/// A stretch of arrivals at one rate.
+/// A period of arrivals at one rate.
 #[derive(Clone, Copy, Debug)]
 struct Phase {
     load: f64,
     length: Duration,
-    manner: Manner,
+    resend_policy: ResendPolicy,
 }
 
-/// One request, resends counted by themselves; times are since the load began.
+/// One request or resend; times are measured from the start of the load.
 #[derive(Clone, Copy, Debug)]
 struct Sample {
     sent: Duration,
@@ -67,15 +67,19 @@
     wrong: bool,
 }
 
-/// Runs the sweep and both storms for both policies, and prints Markdown.
+/// Runs the sweep and the storms for both policies, and prints Markdown.
 pub async fn run(c: &Common) -> Result<ExitCode> {
     let corpus = Arc::new(Corpus::read(&c.text)?);
     println!("{}, seed {}, one lookup\n", c.deployment, c.seed);
     let (mut wrong, peak) = sweep(c, &corpus).await?;
     println!("peak {peak:.1} whole pages a second: normal is 0.6 of it, the storm 3 times\n");
-    for manner in [Manner::Once, Manner::ResendAtOnce, Manner::HonourRetryAfter] {
+    for resend_policy in [
+        ResendPolicy::Once,
+        ResendPolicy::ResendAtOnce,
+        ResendPolicy::HonourRetryAfter,
+    ] {
         for policy in ["chosen", "baseline"] {
-            wrong += storm(c, &corpus, peak / CAPACITY, manner, policy).await?;
+            wrong += storm(c, &corpus, peak / CAPACITY_PER_S, resend_policy, policy).await?;
         }
     }
     println!("wrong answers: {wrong}");
@@ -96,26 +100,27 @@
     Deployment::start(options).await
 }
 
-/// Whole pages a second at each load, and the most of them; every point has a deployment of its own.
+/// Measures the complete pages per second at each load, with a separate deployment for each, and returns the
+/// number of wrong answers and the peak.
 async fn sweep(c: &Common, corpus: &Arc<Corpus>) -> Result<(usize, f64)> {
     println!(
         "| policy | load | asked | refused | whole pages a second |\n|---|---:|---:|---:|---:|"
     );
     let (mut wrong, mut peak) = (0, 0.0_f64);
     for policy in ["chosen", "baseline"] {
-        for load in SWEEP {
+        for load in SWEEP_LOADS {
             let d = start(c, corpus, policy).await?;
             let length = WARM_UP + c.length;
-            let manner = Manner::Once;
+            let resend_policy = ResendPolicy::Once;
             let phase = Phase {
                 load,
                 length,
-                manner,
+                resend_policy,
             };
-            let samples = drive(&d, &[phase], c.seed).await;
+            let samples = send_phases(&d, &[phase], c.seed).await;
             wrong += count(&samples, |s| s.wrong);
             let asked: Vec<_> = within(&samples, WARM_UP, length).collect();
-            // By their ends, so that a backlog served after the load is no goodput.
+            // Counted by end time, so that a backlog served after the load does not count as goodput.
             let goodput = count(&samples, |s| {
                 s.whole && s.ended >= WARM_UP && s.ended < length
             });
@@ -132,27 +137,31 @@
     Ok((wrong, peak))
 }
 
-/// Normal load, a storm, normal load; a line for each half second and the time to recover.
+/// Runs normal load, a storm and normal load again; prints a line for each half second and the time to recover.
 ///
-/// Without resends there is no storm either, which shows what the load does by itself.
+/// With [`ResendPolicy::Once`] the load stays normal throughout, as a control run.
 async fn storm(
     c: &Common,
     corpus: &Arc<Corpus>,
     unit: f64,
-    manner: Manner,
+    resend_policy: ResendPolicy,
     policy: &str,
 ) -> Result<usize> {
     let d = start(c, corpus, policy).await?;
-    let normal = |s| phase(0.6 * unit, s, Manner::Once);
-    let storm = if manner == Manner::Once { 0.6 } else { 3.0 };
-    let phases = [normal(6), phase(storm * unit, 4, manner), normal(6)];
+    let normal = |s| phase(0.6 * unit, s, ResendPolicy::Once);
+    let storm = if resend_policy == ResendPolicy::Once {
+        0.6
+    } else {
+        3.0
+    };
+    let phases = [normal(6), phase(storm * unit, 4, resend_policy), normal(6)];
     let (begin, end) = (phases[0].length, phases[0].length + phases[1].length);
     let before_runs = d.servers.counts().summary().total;
-    let samples = drive(&d, &phases, c.seed).await;
+    let samples = send_phases(&d, &phases, c.seed).await;
     let total = d.servers.counts().summary().total;
-    let before = p(within(&samples, WARM_UP, begin), 0.99);
+    let before = latency_ms(within(&samples, WARM_UP, begin), 0.99);
     println!(
-        "storm of {manner:?}, {policy}; p99 before {before:.1} ms; servers ran {} parts, shed {}, connections opened {}\n",
+        "storm of {resend_policy:?}, {policy}; p99 before {before:.1} ms; servers ran {} parts, shed {}, connections opened {}\n",
         total.runs - before_runs.runs,
         total.shed - before_runs.shed,
         total.opened - before_runs.opened
@@ -164,31 +173,34 @@
     let mut at = Duration::ZERO;
     while at < end + phases[2].length {
         let slice = || within(&samples, at, at + SLICE);
-        let (p99, refused) = (p(slice(), 0.99), slice().filter(|s| s.refused).count());
+        let (p99, refused) = (
+            latency_ms(slice(), 0.99),
+            slice().filter(|s| s.refused).count(),
+        );
         println!(
             "| {:.1} | {} | {} | {:.1} | {p99:.1} | {refused} |",
             at.as_secs_f64(),
             slice().count(),
             slice().filter(|s| s.whole).count(),
-            p(slice(), 0.5)
+            latency_ms(slice(), 0.5)
         );
         at += SLICE;
-        let fits = p99 > 0.0 && p99 <= NORMAL * before && refused == 0;
-        if at > end && fits && recovered.is_none() {
+        let is_normal = p99 > 0.0 && p99 <= NORMAL_LATENCY_FACTOR * before && refused == 0;
+        if at > end && is_normal && recovered.is_none() {
             recovered = Some(at - end);
         }
-        // The first 2 s after a storm are its own.
-        outside += usize::from(at > end + WARM_UP && !fits);
+        // The first 2 s after the storm are allowed for recovery.
+        outside += usize::from(at > end + WARM_UP && !is_normal);
     }
     println!(
         "\nback to normal at the end of the first such half second: {recovered:?} after the storm; later than 2 s after it {outside} of 8 are not normal; fill by VM {}\n",
-        fills(&d).await
+        fill_by_vm(&d).await
     );
     Ok(count(&samples, |s| s.wrong))
 }
 
-/// What share of its time each VM lets a lookup's parts need on the mean.
-async fn fills(d: &Deployment) -> String {
+/// Returns for each VM the fraction of its time that admission lets a lookup's parts need on average, or `?`.
+async fn fill_by_vm(d: &Deployment) -> String {
     let mut out = Vec::new();
     for vm in &d.vms {
         let dump = Operator::new().dump(vm.plan().admin).await;
@@ -199,19 +211,19 @@
     out.join(" ")
 }
 
-fn phase(load: f64, seconds: u64, manner: Manner) -> Phase {
+fn phase(load: f64, seconds: u64, resend_policy: ResendPolicy) -> Phase {
     let length = Duration::from_secs(seconds);
     Phase {
         load,
         length,
-        manner,
+        resend_policy,
     }
 }
 
-/// Sends the phases one after another, open-loop, and waits until every request has ended.
-async fn drive(d: &Deployment, phases: &[Phase], seed: u64) -> Vec<Sample> {
+/// Sends the phases one after another in open loop, and waits until every request has ended.
+async fn send_phases(d: &Deployment, phases: &[Phase], seed: u64) -> Vec<Sample> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    // An early end spares most of the work, so it says nothing about capacity.
+    // An early end avoids most of the work, so such a lookup does not measure capacity.
     let lookup = d.shape.lookups.iter().find(|l| l.enough_at.is_none());
     let mut mix = d.mix(seed).only(&[lookup.map_or("", |l| l.name)]);
     let (caller, targets, checker) = (Caller::new(), d.targets(false), d.checker());
@@ -222,13 +234,13 @@
         until += phase.length;
         loop {
             let u: f64 = rng.random_range(f64::MIN_POSITIVE..1.0);
-            due += Duration::from_secs_f64(-u.ln() / (phase.load * CAPACITY));
+            due += Duration::from_secs_f64(-u.ln() / (phase.load * CAPACITY_PER_S));
             if due >= until {
                 due = until;
                 break;
             }
             tokio::time::sleep_until(start + due).await;
-            let (ask, manner) = (mix.draw(), phase.manner);
+            let (ask, resend_policy) = (mix.draw(), phase.resend_policy);
             let (caller, targets, checker) = (caller.clone(), targets.clone(), checker.clone());
             let delay = d.shape.to_callers;
             let send = move |ask: LookupRequest| {
@@ -258,10 +270,11 @@
                     let (sample, retry_after) = send(ask.clone()).await;
                     samples.push(sample);
                     let sent = u32::try_from(samples.len()).unwrap_or(u32::MAX);
-                    if !sample.refused || manner == Manner::Once || sent > RESENDS {
+                    if !sample.refused || resend_policy == ResendPolicy::Once || sent > RESENDS_MAX
+                    {
                         return samples;
                     }
-                    if manner == Manner::HonourRetryAfter {
+                    if resend_policy == ResendPolicy::HonourRetryAfter {
                         tokio::time::sleep(retry_after.unwrap_or_default()).await;
                     }
                 }
@@ -281,8 +294,8 @@
     samples.iter().filter(|s| fits(s)).count()
 }
 
-/// The latency of pages at this quantile, in milliseconds; 0 without pages.
-fn p<'a>(samples: impl Iterator<Item = &'a Sample>, quantile: f64) -> f64 {
+/// Returns the latency of pages at this quantile, in milliseconds; 0 without pages.
+fn latency_ms<'a>(samples: impl Iterator<Item = &'a Sample>, quantile: f64) -> f64 {
     let mut ms: Vec<f64> = samples
         .filter(|s| s.page)
         .map(|s| (s.ended - s.sent).as_secs_f64() * 1000.0)
--- a/crates/rig/tests/backend.rs
+++ b/crates/rig/tests/backend.rs
@@ -1,4 +1,4 @@
-//! The stand-in backend servers of a site answer as badly as they are told to.
+//! The stand-in backend servers of a site show the injected faults and can be restarted.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 
 const REQUEST: &[u8] = b"GET /page/q HTTP/1.1\r\nhost: a.example\r\nattempt-id: q\r\n\r\n";
 
-/// A test of answers that are cut short meets connections that end without an answer.
+/// Regression test: the connection of a truncated answer was closed before any byte of it was sent.
 #[tokio::test]
 async fn an_answer_cut_short_sends_its_head_and_some_of_its_body() {
     let store = Store::start().await.expect("a free port");
@@ -42,7 +42,8 @@
     assert_eq!(answer[end..], part("s", "/page/q")[..]);
 }
 
-/// Guards against a soak that ends early: while a server is down, a connection of somebody else takes its port.
+/// While a server is down, another program's connection may use its port; the restart must succeed nevertheless,
+/// or a soak ends early.
 #[tokio::test]
 async fn a_server_starts_again_though_a_connection_has_its_port() {
     let store = Store::start().await.expect("a free port");
@@ -56,7 +57,7 @@
         let socket = TcpSocket::new_v4().expect("a socket");
         match socket.bind(from) {
             Ok(()) => break socket,
-            // The server has yet to let go of it.
+            // The server has not released the port yet.
             Err(_) => tokio::task::yield_now().await,
         }
     };
@@ -66,7 +67,8 @@
     drop(connection);
 }
 
-/// Guards against a soak that ends early: two crashes of a server overlap, and the second restart finds it running.
+/// Two crashes of a server may overlap, so that the second restart finds it running; that must not end a soak
+/// early.
 #[tokio::test]
 async fn a_server_that_crashes_twice_is_started_once() {
     let store = Store::start().await.expect("a free port");
--- a/crates/rig/tests/checker.rs
+++ b/crates/rig/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker accepts the one right page and names what is wrong with any other.
+//! The checker accepts the right page only, and names the fault of any other.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,9 +13,9 @@
 use gs_rig::load::LookupRequest;
 use gs_rig::load::Reply;
 use gs_rig::net::Net;
+use gs_rig::reference::ReferenceSearch;
+use gs_rig::reference::SearchRequest;
 use gs_rig::server::Servers;
-use gs_rig::truth::Ask;
-use gs_rig::truth::Truth;
 use gs_types::prelude::*;
 use rstest::rstest;
 
@@ -24,7 +24,7 @@
 
 struct Bench {
     checker: Checker,
-    truth: Arc<Truth>,
+    reference: Arc<ReferenceSearch>,
     ask: LookupRequest,
 }
 
@@ -42,25 +42,25 @@
     snapshots
         .publish(&servers, "bulletin-desk", SNAPSHOT, SHARDS)
         .expect("published");
-    let truth = Arc::new(Truth::new(corpus.clone()));
+    let reference = Arc::new(ReferenceSearch::new(corpus.clone()));
     Bench {
-        checker: Checker::new(truth.clone(), snapshots, servers),
-        truth,
+        checker: Checker::new(reference.clone(), snapshots, servers),
+        reference,
         ask: LookupMix::new(&shape, &corpus, 1).only(&[lookup]).draw(),
     }
 }
 
 impl Bench {
-    /// The right answer where these shards are missing.
+    /// Returns the right answer if these shards are missing.
     fn right(&self, missing: &[u32]) -> Answer {
-        let ask = Ask {
+        let ask = SearchRequest {
             query: &self.ask.query,
             key: None,
             snapshot: SNAPSHOT,
             shards: SHARDS,
             page: self.ask.lookup.page as usize,
         };
-        let part = self.truth.brute_force(&ask, &|s| !missing.contains(&s.0));
+        let part = self.reference.search(&ask, &|s| !missing.contains(&s.0));
         let missing = missing.iter().map(|n| MissingShard {
             shard: ShardId(*n),
             reason: MissReason::Late,
--- a/crates/rig/tests/link.rs
+++ b/crates/rig/tests/link.rs
@@ -1,4 +1,4 @@
-//! Links between data centres carry bytes, and hold them while they are cut.
+//! Links between data centres forward bytes, and hold them during a partition.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/rig/tests/platform.rs
+++ b/crates/rig/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the platform, where the tests of its client do not reach.
+//! The stand-in of the platform, where the tests of its client do not cover it.
 
 use std::net::SocketAddr;
 
@@ -38,7 +38,7 @@
         .expect("a free port")
 }
 
-/// Calls from an address; the status and the body.
+/// Makes a call from an address and returns the status and the body.
 async fn call(p: &Platform, from: [u8; 4], method: &str, path: &str, body: &str) -> (u16, Bytes) {
     let mut connector = HttpConnector::new();
     connector.set_local_address(Some(from.into()));
@@ -122,8 +122,8 @@
     assert_eq!(status, 200);
     let (status, _) = call(&p, [127, 0, 1, 1], "PUT", path, "x").await;
     assert_eq!(status, 409);
-    let order = r#"{"down": true}"#;
-    let (status, _) = call(&p, [127, 0, 0, 1], "POST", "/control", order).await;
+    let command = r#"{"down": true}"#;
+    let (status, _) = call(&p, [127, 0, 0, 1], "POST", "/control", command).await;
     assert_eq!(status, 200);
     let (status, _) = call(&p, [127, 0, 1, 1], "GET", path, "").await;
     assert_eq!(status, 503);
--- a/crates/rig/tests/ports.rs
+++ b/crates/rig/tests/ports.rs
@@ -1,11 +1,11 @@
-//! Ports of stand-ins.
+//! Free ports for VMs.
 
 use std::net::Ipv4Addr;
 
 use gs_rig::site::free_ports;
 
-/// A process test fails once in some twenty runs, as one of its VMs does not start: two of its three listeners
-/// were given the same port.
+/// Regression test: two of a VM's three listeners got the same port, so that the VM did not start; a process test
+/// failed in about one of twenty runs.
 #[test]
 fn the_ports_of_a_vm_differ() {
     for _ in 0..10_000 {
--- a/crates/rig/tests/servers.rs
+++ b/crates/rig/tests/servers.rs
@@ -1,4 +1,4 @@
-//! The stand-in backend servers do what a test relies on.
+//! The stand-in backend servers serve parts and show the injected faults.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use gs_rig::corpus::Corpus;
 use gs_rig::index::SnapshotIndex;
 use gs_rig::net::Net;
+use gs_rig::reference::ReferenceSearch;
+use gs_rig::reference::SearchRequest;
 use gs_rig::server::ServerSpec;
 use gs_rig::server::Servers;
-use gs_rig::truth::Ask;
-use gs_rig::truth::Truth;
 use gs_types::prelude::*;
 use http_body_util::BodyExt;
 use http_body_util::Full;
@@ -80,7 +80,7 @@
 #[tokio::test]
 async fn merged_shards_are_the_brute_force_page() {
     let corpus = Arc::new(Corpus::sample(300));
-    let truth = Truth::new(corpus.clone());
+    let reference = ReferenceSearch::new(corpus.clone());
     let index = SnapshotIndex::build(&corpus, SNAPSHOT, 7);
     let mut hits = Vec::new();
     let mut matched = 0;
@@ -92,14 +92,14 @@
     }
     hits.sort_by(|a, b| b.score.cmp(&a.score).then_with(|| a.doc.cmp(&b.doc)));
     hits.truncate(10);
-    let ask = Ask {
+    let ask = SearchRequest {
         query: "larch levy",
         key: None,
         snapshot: SNAPSHOT,
         shards: 7,
         page: 10,
     };
-    assert_eq!(truth.brute_force(&ask, &|_| true), Part { hits, matched });
+    assert_eq!(reference.search(&ask, &|_| true), Part { hits, matched });
 }
 
 #[tokio::test]
@@ -133,7 +133,7 @@
     assert!(!digest_fits(&headers, &body));
 }
 
-/// A test of truncated parts meets connections that end without a reply.
+/// Regression test: the connection of a truncated part was closed before any byte of it was sent.
 #[tokio::test]
 async fn a_truncated_part_sends_its_head_and_some_of_its_body() {
     let servers = one_server(&Corpus::sample(50)).await;
