--- a/crates/rig/src/args.rs
+++ b/crates/rig/src/args.rs
@@ -206,7 +206,7 @@
 
 /// Adds the arguments of `soak` and `site`; `site` ignores the seeds.
 fn site_args(command: Command, dir: &'static str) -> Command {
-    let whole = |name: &'static str, default: &'static str, help: &'static str| {
+    let integer_arg = |name: &'static str, default: &'static str, help: &'static str| {
         Arg::new(name)
             .long(name)
             .value_name("N")
@@ -217,11 +217,15 @@
     command
         .arg(path("bin", "The gentiansill program").default_value("target/release/gentiansill"))
         .arg(path("dir", "Where settings and logs go").default_value(dir))
-        .arg(whole("seed", "1", "The first seed"))
-        .arg(whole("seeds", "1", "How many seeds, one after the other"))
-        .arg(whole("seconds", "20", "How long faults come"))
-        .arg(whole("vms", "3", "VMs, at most 60"))
-        .arg(whole("shards", "6", "Shards of two servers each"))
+        .arg(integer_arg("seed", "1", "The first seed"))
+        .arg(integer_arg(
+            "seeds",
+            "1",
+            "How many seeds, one after the other",
+        ))
+        .arg(integer_arg("seconds", "20", "How long faults come"))
+        .arg(integer_arg("vms", "3", "VMs, at most 60"))
+        .arg(integer_arg("shards", "6", "Shards of two servers each"))
 }
 
 fn path(name: &'static str, help: &'static str) -> Arg {
--- a/crates/rig/src/bare.rs
+++ b/crates/rig/src/bare.rs
@@ -90,10 +90,10 @@
             ok.then_some(())
         });
     }
-    let mut whole = 0;
+    let mut complete = 0;
     while let Some(part) = parts.join_next().await {
-        whole += u64::from(matches!(part, Ok(Some(()))));
+        complete += u64::from(matches!(part, Ok(Some(()))));
     }
-    let micros = u64::try_from(start.elapsed().as_micros()).unwrap_or(u64::MAX);
-    (whole, micros)
+    let duration_us = u64::try_from(start.elapsed().as_micros()).unwrap_or(u64::MAX);
+    (complete, duration_us)
 }
--- a/crates/rig/src/control.rs
+++ b/crates/rig/src/control.rs
@@ -7,7 +7,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::net::Site;
+use crate::net::SiteNumber;
 
 /// A command to the stand-ins. If `server` is absent, it applies to every server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -84,16 +84,16 @@
     /// Partition two sites from each other.
     Cut {
         /// One site.
-        a: Site,
+        a: SiteNumber,
         /// The other; 0 is the platform.
-        b: Site,
+        b: SiteNumber,
     },
     /// Heal a partition.
     Heal {
         /// One site.
-        a: Site,
+        a: SiteNumber,
         /// The other; 0 is the platform.
-        b: Site,
+        b: SiteNumber,
     },
 }
 
--- a/crates/rig/src/corpus.rs
+++ b/crates/rig/src/corpus.rs
@@ -42,13 +42,10 @@
         read_dir(dir, dir, &mut docs).map_err(|e| {
             Error::new(ErrorKind::Io, e.to_string())
                 .at("read the text to index")
-                .with_hint("give a directory with text files")
+                .with_hint("give a folder with text files")
         })?;
         if docs.is_empty() {
-            return Err(Error::new(
-                ErrorKind::NotFound,
-                "the directory contains no text",
-            ));
+            return Err(Error::new(ErrorKind::NotFound, "the folder holds no text"));
         }
         Ok(Self::from_docs(docs))
     }
--- a/crates/rig/src/cost.rs
+++ b/crates/rig/src/cost.rs
@@ -72,7 +72,7 @@
 /// Measures the time to ready of VMs that start together, and their memory when idle.
 async fn measure_start(args: &Cost, corpus: &Arc<Corpus>) -> Result<()> {
     let d = Deployment::start(options(args, corpus, args.common.shape.clone(), 4)).await?;
-    let mut ready: Vec<Duration> = d.ready_after.clone();
+    let mut ready: Vec<Duration> = d.times_to_ready.clone();
     ready.sort();
     tokio::time::sleep(WARM_UP).await;
     let mut resident = Vec::new();
@@ -152,7 +152,7 @@
     let failed = |e: String| Error::new(ErrorKind::Io, e).at("run the bare client");
     let shape = &args.common.shape;
     let group = &shape.groups[0];
-    let net = Arc::new(Net::fresh(shape.between));
+    let net = Arc::new(Net::with_unused_network(shape.between));
     let mut specs = group.servers(Duration::from_millis(4), args.common.seed)?;
     specs.iter_mut().for_each(|s| s.connections = u32::MAX);
     let own = Servers::start(net.clone(), specs).await?;
@@ -201,8 +201,8 @@
     let caller = Caller::new();
     let mut requests = JoinSet::new();
     for _ in 0..IN_FLIGHT_LOOKUPS {
-        let (caller, ask, addr) = (caller.clone(), mix.draw(), vm.plan().callers);
-        requests.spawn(async move { caller.request(addr, &ask).await });
+        let (caller, request, addr) = (caller.clone(), mix.draw(), vm.plan().callers);
+        requests.spawn(async move { caller.request(addr, &request).await });
     }
     tokio::time::sleep(WARM_UP).await;
     let busy = vm.usage()?.resident;
--- a/crates/rig/src/deploy/shape.rs
+++ b/crates/rig/src/deploy/shape.rs
@@ -4,7 +4,7 @@
 
 use gs_types::prelude::*;
 
-use crate::net::Site;
+use crate::net::SiteNumber;
 use crate::server::ServerSpec;
 
 /// The data centres, groups and lookups of a deployment.
@@ -111,7 +111,7 @@
     }
 
     fn server(&self, i: u32, r: u32, service_time: Duration, seed: u64) -> Result<ServerSpec> {
-        let site = Site::try_from((i + r) % 3).unwrap_or(0) + 1;
+        let site = SiteNumber::try_from((i + r) % 3).unwrap_or(0) + 1;
         Ok(ServerSpec::builder()
             .name(format!("{}-{i}-{r}", self.name).parse()?)
             .group(self.name.parse()?)
@@ -268,7 +268,7 @@
 
     /// Returns the name of a data centre.
     #[must_use]
-    pub fn data_centre(&self, site: Site) -> &'static str {
+    pub fn data_centre(&self, site: SiteNumber) -> &'static str {
         self.data_centres[usize::from(site.saturating_sub(1)) % self.data_centres.len()]
     }
 
--- a/crates/rig/src/deploy/vms.rs
+++ b/crates/rig/src/deploy/vms.rs
@@ -10,7 +10,7 @@
 
 use super::shape::Shape;
 use crate::net::Net;
-use crate::net::Site;
+use crate::net::SiteNumber;
 
 /// The host number of the first VM in each data centre.
 const FIRST_VM_HOST: u8 = 10;
@@ -24,7 +24,7 @@
     /// Its name.
     pub name: VmId,
     /// Its data centre's number.
-    pub site: Site,
+    pub site: SiteNumber,
     /// Its data centre's name.
     pub data_centre: &'static str,
     /// Its region.
@@ -54,7 +54,7 @@
     Ok(out)
 }
 
-fn plan(shape: &Shape, net: &Net, site: Site, n: u8) -> Result<VmPlan> {
+fn plan(shape: &Shape, net: &Net, site: SiteNumber, n: u8) -> Result<VmPlan> {
     let ip = net.ip(site, FIRST_VM_HOST + n);
     let port = |excluded: &[u16]| free_port(ip, excluded).map(|p| SocketAddr::from((ip, p)));
     let callers = port(&[])?;
--- a/crates/rig/src/deployment.rs
+++ b/crates/rig/src/deployment.rs
@@ -22,7 +22,7 @@
 use crate::load::LookupMix;
 use crate::load::Targets;
 use crate::net::Net;
-use crate::net::Site;
+use crate::net::SiteNumber;
 use crate::platform::Control;
 use crate::platform::MeshAddresses;
 use crate::platform::Platform;
@@ -42,7 +42,7 @@
 const BALANCER_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The sites of a deployment.
-const SITES: std::ops::RangeInclusive<Site> = 1..=3;
+const SITES: std::ops::RangeInclusive<SiteNumber> = 1..=3;
 
 /// The options of a deployment.
 #[derive(Clone, Debug, Builder)]
@@ -88,7 +88,7 @@
     /// Its VMs, ordered by data centre.
     pub vms: Vec<VmProcess>,
     /// The time from each VM's start until it reported ready.
-    pub ready_after: Vec<Duration>,
+    pub times_to_ready: Vec<Duration>,
     corpus: Arc<Corpus>,
     options: DeploymentOptions,
     dir: TempDir,
@@ -109,7 +109,7 @@
         }
         for vm in &mut d.vms {
             let after = vm.wait_until_ready(START_TIMEOUT).await?;
-            d.ready_after.push(after);
+            d.times_to_ready.push(after);
         }
         Ok(d)
     }
@@ -117,7 +117,7 @@
     async fn start_stand_ins(options: DeploymentOptions) -> Result<(Self, Vec<VmPlan>)> {
         let shape = options.shape.clone();
         let corpus = options.corpus.clone();
-        let net = Arc::new(Net::fresh(shape.between));
+        let net = Arc::new(Net::with_unused_network(shape.between));
         let specs = shape.servers(options.service_time, options.seed)?;
         let servers = Servers::start(net.clone(), specs.clone()).await?;
         let snapshots = Arc::new(Snapshots::new(shape.clone(), specs, corpus.clone()));
@@ -144,7 +144,7 @@
             platform,
             snapshots,
             vms: Vec::new(),
-            ready_after: Vec::new(),
+            times_to_ready: Vec::new(),
             corpus,
             options,
             dir,
@@ -217,7 +217,7 @@
     /// # Errors
     ///
     /// If the data centre's name does not fit the rules for names.
-    pub fn cut(&self, site: Site) -> Result<()> {
+    pub fn cut(&self, site: SiteNumber) -> Result<()> {
         for other in SITES.filter(|s| *s != site) {
             self.net.cut(site, other);
         }
@@ -251,7 +251,7 @@
         Ok(())
     }
 
-    fn cut_platform(&self, sites: &[Site]) -> Result<()> {
+    fn cut_platform(&self, sites: &[SiteNumber]) -> Result<()> {
         let names: Result<Vec<DataCentre>> = sites
             .iter()
             .map(|s| self.shape.data_centre(*s).parse())
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! - [`net`]: loopback addresses by data centre, one-way delays and cuts;
 //! - [`link`]: TCP links between data centres that can be delayed and cut;
-//! - [`corpus`], [`index`] and [`reference`]: the text that is searched, its sharded index, and the
+//! - [`corpus`], [`index`] and [`mod@reference`]: the text that is searched, its sharded index, and the
 //!   brute-force search that every page is compared with;
 //! - [`server`]: backend servers that index, rank, queue, fail on command and count what ran;
 //! - [`control`]: control commands to the stand-ins;
--- a/crates/rig/src/link.rs
+++ b/crates/rig/src/link.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 use crate::net::Net;
-use crate::net::Site;
+use crate::net::SiteNumber;
 
 /// The host number of the links in each data centre.
 const LINK_HOST: u8 = 2;
@@ -37,8 +37,8 @@
 #[derive(Clone, Debug)]
 struct Ends {
     net: Arc<Net>,
-    from: Site,
-    to: Site,
+    from: SiteNumber,
+    to: SiteNumber,
     target: SocketAddr,
 }
 
@@ -48,7 +48,12 @@
     /// # Errors
     ///
     /// If no port can be bound.
-    pub async fn start(net: Arc<Net>, from: Site, to: Site, target: SocketAddr) -> Result<Self> {
+    pub async fn start(
+        net: Arc<Net>,
+        from: SiteNumber,
+        to: SiteNumber,
+        target: SocketAddr,
+    ) -> Result<Self> {
         let failed =
             |e: std::io::Error| Error::new(ErrorKind::Io, e.to_string()).at("start a link");
         let listener = TcpListener::bind((net.ip(from, LINK_HOST), 0))
@@ -116,7 +121,7 @@
 /// Copies the bytes of one direction in order, each chunk after the delay.
 async fn copy_direction(
     net: Arc<Net>,
-    direction: (Site, Site),
+    direction: (SiteNumber, SiteNumber),
     mut r: OwnedReadHalf,
     mut w: OwnedWriteHalf,
 ) {
--- a/crates/rig/src/load/caller.rs
+++ b/crates/rig/src/load/caller.rs
@@ -112,8 +112,8 @@
     }
 
     /// Sends one lookup to the VM at this address.
-    pub async fn request(&self, vm: SocketAddr, ask: &LookupRequest) -> Reply {
-        let req = match build_request(vm, ask) {
+    pub async fn request(&self, vm: SocketAddr, request: &LookupRequest) -> Reply {
+        let req = match build_request(vm, request) {
             Ok(req) => req,
             Err(e) => return Reply::Cut(e.to_string()),
         };
@@ -170,21 +170,24 @@
     }
 }
 
-fn build_request(vm: SocketAddr, ask: &LookupRequest) -> Result<Request<Full<Bytes>>> {
-    let mut body = json!({ "query": ask.query });
-    if let Some(key) = &ask.key {
+fn build_request(vm: SocketAddr, request: &LookupRequest) -> Result<Request<Full<Bytes>>> {
+    let mut body = json!({ "query": request.query });
+    if let Some(key) = &request.key {
         body["key"] = json!(key);
     }
-    if let Some(d) = ask.deadline {
+    if let Some(d) = request.deadline {
         body["deadline"] = json!(humantime::format_duration(d).to_string());
     }
-    if let Some(floor) = ask.floor {
+    if let Some(floor) = request.floor {
         body["floor"] = json!(floor);
     }
-    let path = format!("/v1/fronts/{}/lookups/{}", ask.front, ask.lookup.name);
+    let path = format!(
+        "/v1/fronts/{}/lookups/{}",
+        request.front, request.lookup.name
+    );
     let mut req =
         Request::post(format!("http://{vm}{path}")).header("content-type", "application/json");
-    if let Some(key) = &ask.idempotency_key {
+    if let Some(key) = &request.idempotency_key {
         req = req.header("idempotency-key", key);
     }
     req.body(Full::from(body.to_string()))
--- a/crates/rig/src/load/check.rs
+++ b/crates/rig/src/load/check.rs
@@ -60,9 +60,9 @@
 
     /// Returns the first fault found in a reply, if any.
     #[must_use]
-    pub fn check(&self, ask: &LookupRequest, reply: &Reply) -> Option<Fault> {
+    pub fn check(&self, request: &LookupRequest, reply: &Reply) -> Option<Fault> {
         match reply {
-            Reply::Outcome { answer, .. } => self.check_answer(ask, answer),
+            Reply::Outcome { answer, .. } => self.check_answer(request, answer),
             Reply::Cut(_) => Some(Fault::Cut),
             Reply::Other { .. } => Some(Fault::NoOutcome),
             Reply::Unreachable => None,
@@ -79,12 +79,12 @@
         }
     }
 
-    fn check_answer(&self, ask: &LookupRequest, answer: &CallerAnswer) -> Option<Fault> {
-        if answer.front != ask.front || answer.lookup != ask.lookup.name {
+    fn check_answer(&self, request: &LookupRequest, answer: &CallerAnswer) -> Option<Fault> {
+        if answer.front != request.front || answer.lookup != request.lookup.name {
             return Some(Fault::Crossed);
         }
         match &answer.outcome {
-            Outcome::Answered(page) => self.check_page(ask, page),
+            Outcome::Answered(page) => self.check_page(request, page),
             Outcome::NotRun(_) => self.check_not_run(&answer.request_id),
             Outcome::Unknown(_) => None,
         }
@@ -99,47 +99,47 @@
         ran.then_some(Fault::NotRunButRan)
     }
 
-    fn check_page(&self, ask: &LookupRequest, page: &Answer) -> Option<Fault> {
-        let shards = self.snapshots.shards(ask.lookup.group, page.snapshot);
-        let asked = match ask.lookup.scope {
+    fn check_page(&self, request: &LookupRequest, page: &Answer) -> Option<Fault> {
+        let shards = self.snapshots.shards(request.lookup.group, page.snapshot);
+        let queried = match request.lookup.scope {
             Scope::Scatter => shards,
             Scope::Keyed => 1,
         };
         let missing: BTreeSet<ShardId> = page.coverage.missing.iter().map(|m| m.shard).collect();
         let c = &page.coverage;
         let adds_up = shards > 0
-            && c.shards == asked
+            && c.shards == queried
             && missing.len() == c.missing.len()
-            && c.whole as usize + missing.len() == asked as usize;
+            && c.whole as usize + missing.len() == queried as usize;
         if !adds_up {
             return Some(Fault::Coverage);
         }
-        if ask.lookup.promise == Promise::Complete && !c.is_full() {
+        if request.lookup.promise == Promise::Complete && !c.is_full() {
             return Some(Fault::Thin);
         }
-        let early_ok = ask
+        let early_ok = request
             .lookup
             .enough_at
             .is_some_and(|n| page.hits.len() >= n as usize);
         if page.ended_early && !early_ok {
             return Some(Fault::EarlyEnd);
         }
-        self.check_hits(ask, page, shards, &missing)
+        self.check_hits(request, page, shards, &missing)
     }
 
     fn check_hits(
         &self,
-        ask: &LookupRequest,
+        request: &LookupRequest,
         page: &Answer,
         shards: u32,
         missing: &BTreeSet<ShardId>,
     ) -> Option<Fault> {
         let reference = SearchRequest {
-            query: &ask.query,
-            key: ask.key.as_deref(),
+            query: &request.query,
+            key: request.key.as_deref(),
             snapshot: page.snapshot,
             shards,
-            page: ask.lookup.page as usize,
+            page: request.lookup.page as usize,
         };
         let part = self
             .reference
--- a/crates/rig/src/load/open_loop.rs
+++ b/crates/rig/src/load/open_loop.rs
@@ -129,20 +129,23 @@
 }
 
 /// Sends one request and its resends; latency is measured from the scheduled arrival.
-async fn send_with_resends(shared: Shared, ask: LookupRequest, due: Instant) {
+async fn send_with_resends(shared: Shared, request: LookupRequest, due: Instant) {
     let mut left = shared.spec.resends.map_or(0, |r| r.resends_max);
     loop {
-        let reply = send(&shared, &ask).await;
+        let reply = send(&shared, &request).await;
         let took = due.elapsed();
         let slowest = shared.checker.as_ref().and_then(|c| c.slowest_part(&reply));
-        let fault = shared.checker.as_ref().and_then(|c| c.check(&ask, &reply));
+        let fault = shared
+            .checker
+            .as_ref()
+            .and_then(|c| c.check(&request, &reply));
         if let Some(f) = fault {
-            log::warn!("event=wrong-answer fault={f:?} ask={ask:?} reply={reply:?}");
+            log::warn!("event=wrong-answer fault={f:?} ask={request:?} reply={reply:?}");
         }
         let done = reply.page().is_some();
         {
             let mut tallies = lock(&shared.tallies);
-            let tally = tallies.entry(ask.lookup.name).or_default();
+            let tally = tallies.entry(request.lookup.name).or_default();
             tally.count(&reply, took, fault);
             if let Some(slowest) = slowest {
                 tally.count_added(took, slowest);
@@ -159,7 +162,7 @@
     }
 }
 
-async fn send(shared: &Shared, ask: &LookupRequest) -> Reply {
+async fn send(shared: &Shared, request: &LookupRequest) -> Reply {
     let delay = shared.spec.to_callers;
     let Some(vm) = shared.targets.next() else {
         return Reply::Unreachable;
@@ -167,7 +170,7 @@
     if !delay.is_zero() {
         tokio::time::sleep(delay).await;
     }
-    let reply = shared.caller.request(vm, ask).await;
+    let reply = shared.caller.request(vm, request).await;
     if !delay.is_zero() {
         tokio::time::sleep(delay).await;
     }
--- a/crates/rig/src/net.rs
+++ b/crates/rig/src/net.rs
@@ -14,10 +14,10 @@
 use tokio::sync::watch;
 
 /// The number of a data centre, from 1; 0 stands for the platform and the callers.
-pub type Site = u8;
+pub type SiteNumber = u8;
 
 /// The site of the platform and of the callers, outside every data centre.
-pub const OUTSIDE: Site = 0;
+pub const OUTSIDE: SiteNumber = 0;
 
 /// The number of networks among which rigs choose, starting with `127.2.0.0/16`.
 const NETWORK_COUNT: u32 = 250;
@@ -27,7 +27,7 @@
 pub struct Net {
     net: u8,
     between: Duration,
-    cuts: watch::Sender<BTreeSet<(Site, Site)>>,
+    cuts: watch::Sender<BTreeSet<(SiteNumber, SiteNumber)>>,
 }
 
 impl Net {
@@ -44,7 +44,7 @@
     /// Uses a network that differs from those of the other rigs of this process, and almost always
     /// from those of other processes.
     #[must_use]
-    pub fn fresh(between: Duration) -> Self {
+    pub fn with_unused_network(between: Duration) -> Self {
         static ALLOCATED: AtomicU32 = AtomicU32::new(0);
         let n = ALLOCATED.fetch_add(1, Ordering::Relaxed);
         let spread = std::process::id().wrapping_mul(37).wrapping_add(n) % NETWORK_COUNT;
@@ -53,13 +53,13 @@
 
     /// Returns the address of a host in a data centre.
     #[must_use]
-    pub fn ip(&self, site: Site, host: u8) -> Ipv4Addr {
+    pub fn ip(&self, site: SiteNumber, host: u8) -> Ipv4Addr {
         Ipv4Addr::new(127, self.net, site, host)
     }
 
     /// Returns the data centre of an address.
     #[must_use]
-    pub fn site(addr: SocketAddr) -> Site {
+    pub fn site(addr: SocketAddr) -> SiteNumber {
         match addr.ip() {
             IpAddr::V4(ip) => ip.octets()[2],
             IpAddr::V6(_) => OUTSIDE,
@@ -68,7 +68,7 @@
 
     /// Returns the one-way delay between two sites; zero within a site and to or from the outside.
     #[must_use]
-    pub fn one_way(&self, a: Site, b: Site) -> Duration {
+    pub fn one_way(&self, a: SiteNumber, b: SiteNumber) -> Duration {
         if a == b || a == OUTSIDE || b == OUTSIDE {
             Duration::ZERO
         } else {
@@ -77,14 +77,14 @@
     }
 
     /// Partitions two sites from each other.
-    pub fn cut(&self, a: Site, b: Site) {
+    pub fn cut(&self, a: SiteNumber, b: SiteNumber) {
         self.cuts.send_modify(|c| {
             c.insert(pair(a, b));
         });
     }
 
     /// Heals the partition between two sites.
-    pub fn heal(&self, a: Site, b: Site) {
+    pub fn heal(&self, a: SiteNumber, b: SiteNumber) {
         self.cuts.send_modify(|c| {
             c.remove(&pair(a, b));
         });
@@ -92,12 +92,12 @@
 
     /// Whether two sites are partitioned from each other.
     #[must_use]
-    pub fn is_cut(&self, a: Site, b: Site) -> bool {
+    pub fn is_cut(&self, a: SiteNumber, b: SiteNumber) -> bool {
         self.cuts.borrow().contains(&pair(a, b))
     }
 
     /// Waits until two sites are not partitioned.
-    pub async fn wait_until_healed(&self, a: Site, b: Site) {
+    pub async fn wait_until_healed(&self, a: SiteNumber, b: SiteNumber) {
         let mut rx = self.cuts.subscribe();
         // The sender lives as long as `self`, so the wait cannot fail.
         let _ = rx.wait_for(|c| !c.contains(&pair(a, b))).await;
@@ -105,7 +105,7 @@
 
     /// Simulates the transfer of one message from `a` to `b`: waits for the delay and for the end of
     /// any partition.
-    pub async fn carry(&self, a: Site, b: Site) {
+    pub async fn carry(&self, a: SiteNumber, b: SiteNumber) {
         let delay = self.one_way(a, b);
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
@@ -116,6 +116,6 @@
     }
 }
 
-fn pair(a: Site, b: Site) -> (Site, Site) {
+fn pair(a: SiteNumber, b: SiteNumber) -> (SiteNumber, SiteNumber) {
     (a.min(b), a.max(b))
 }
--- a/crates/rig/src/platform/vms.rs
+++ b/crates/rig/src/platform/vms.rs
@@ -75,12 +75,12 @@
     /// Returns the list that is now visible to a caller at this address.
     pub(super) fn list_for(&self, source: IpAddr) -> Vec<Vm> {
         let now = Instant::now();
-        let seen = self
+        let visible = self
             .versions
             .iter()
             .rev()
             .find(|(at, _)| *at + self.lag <= now);
-        let mut vms = seen.map_or(&self.initial, |(_, vms)| vms).clone();
+        let mut vms = visible.map_or(&self.initial, |(_, vms)| vms).clone();
         if let Some(links) = self.mesh_addresses.get(&source) {
             for vm in &mut vms {
                 vm.mesh = links.get(&vm.vm).copied().unwrap_or(vm.mesh);
--- a/crates/rig/src/policy_comparison.rs
+++ b/crates/rig/src/policy_comparison.rs
@@ -136,8 +136,8 @@
     let mut mix = d.mix(args.common.seed);
     if scenario.is_one_lookup() {
         // An early end avoids most of the work, so such a lookup does not measure capacity.
-        let whole = d.shape.lookups.iter().find(|l| l.enough_at.is_none());
-        mix = mix.only(&[whole.map_or("", |l| l.name)]);
+        let lookup = d.shape.lookups.iter().find(|l| l.enough_at.is_none());
+        mix = mix.only(&[lookup.map_or("", |l| l.name)]);
     }
     if let Some(word) = scenario.poison_word() {
         mix = mix.poisoned(word, POISON_EVERY);
--- a/crates/rig/src/reference.rs
+++ b/crates/rig/src/reference.rs
@@ -44,33 +44,36 @@
     /// Returns the right result for a query: the best hits among the snapshot's documents whose
     /// shards are accepted by `covers`.
     #[must_use]
-    pub fn search(&self, ask: &SearchRequest<'_>, covers: &dyn Fn(ShardId) -> bool) -> Part {
-        let found = self.matches(ask);
-        let covered = |m: &&Match| covers(shard_of(&m.doc.id, ask.shards));
+    pub fn search(&self, request: &SearchRequest<'_>, covers: &dyn Fn(ShardId) -> bool) -> Part {
+        let found = self.matches(request);
+        let covered = |m: &&Match| covers(shard_of(&m.doc.id, request.shards));
         let matched = found.iter().filter(covered).count() as u64;
-        let hits = found.iter().filter(covered).take(ask.page);
+        let hits = found.iter().filter(covered).take(request.page);
         Part {
             hits: hits.map(|m| hit(&m.doc, m.score)).collect(),
             matched,
         }
     }
 
-    fn matches(&self, ask: &SearchRequest<'_>) -> Arc<Vec<Match>> {
+    fn matches(&self, request: &SearchRequest<'_>) -> Arc<Vec<Match>> {
         let key = (
-            ask.snapshot,
-            ask.query.to_owned(),
-            ask.key.map(str::to_owned),
+            request.snapshot,
+            request.query.to_owned(),
+            request.key.map(str::to_owned),
         );
         let mut found = self.found.lock().unwrap_or_else(PoisonError::into_inner);
-        found.entry(key).or_insert_with(|| self.scan(ask)).clone()
+        found
+            .entry(key)
+            .or_insert_with(|| self.scan(request))
+            .clone()
     }
 
-    fn scan(&self, ask: &SearchRequest<'_>) -> Arc<Vec<Match>> {
-        let wanted: Vec<String> = words(ask.query).collect();
+    fn scan(&self, request: &SearchRequest<'_>) -> Arc<Vec<Match>> {
+        let wanted: Vec<String> = words(request.query).collect();
         let mut found: Vec<Match> = self
             .corpus
-            .in_snapshot(ask.snapshot)
-            .filter(|d| ask.key.is_none_or(|k| *d.book == *k))
+            .in_snapshot(request.snapshot)
+            .filter(|d| request.key.is_none_or(|k| *d.book == *k))
             .filter_map(|d| {
                 score(d, &wanted).map(|score| Match {
                     doc: d.clone(),
--- a/crates/rig/src/server/answer.rs
+++ b/crates/rig/src/server/answer.rs
@@ -22,7 +22,7 @@
 use super::state::Server;
 use super::state::lock;
 use crate::body::Body;
-use crate::net::Site;
+use crate::net::SiteNumber;
 
 /// The longest query accepted, in bytes.
 const QUERY_MAX_BYTES: usize = 64 << 10;
@@ -33,7 +33,7 @@
 /// Answers one request that came from the given site.
 pub(super) async fn handle(
     server: Arc<Server>,
-    from: Site,
+    from: SiteNumber,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, io::Error> {
     let start = Instant::now();
--- a/crates/rig/src/server/spec.rs
+++ b/crates/rig/src/server/spec.rs
@@ -5,7 +5,7 @@
 use bon::Builder;
 use gs_types::prelude::*;
 
-use crate::net::Site;
+use crate::net::SiteNumber;
 
 /// The parameters of one stand-in backend server.
 #[derive(Clone, Debug, Builder)]
@@ -23,7 +23,7 @@
     #[builder(default = 1)]
     pub services: u32,
     /// Its data centre.
-    pub site: Site,
+    pub site: SiteNumber,
     /// The number of lookups that it runs concurrently.
     pub slots: u32,
     /// The maximum number of connections; further ones are closed at once.
--- a/crates/rig/src/site/caller.rs
+++ b/crates/rig/src/site/caller.rs
@@ -108,8 +108,8 @@
     let Some((page, share)) = route.page else {
         let service = &route.services[0];
         let stamped = text("answer-stamp").is_some_and(|s| is_stamp_of(s, service, id));
-        let is_whole = res.body() == &part(service, target);
-        return match stamped && is_whole {
+        let is_complete = res.body() == &part(service, target);
+        return match stamped && is_complete {
             true => CallOutcome::Right(0),
             false => wrong("not the server's answer"),
         };
--- a/crates/rig/src/site/proxy.rs
+++ b/crates/rig/src/site/proxy.rs
@@ -46,13 +46,13 @@
         let failed = |e: std::io::Error| Error::new(ErrorKind::Io, e.to_string()).at("start proxy");
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.map_err(failed)?;
         let addr = listener.local_addr().map_err(failed)?;
-        let (fault, seen) = watch::channel(LinkFault::None);
+        let (fault, receiver) = watch::channel(LinkFault::None);
         let task = tokio::spawn(async move {
             let mut connections = tokio::task::JoinSet::new();
             loop {
                 tokio::select! {
                     Ok((client, _)) = listener.accept() => {
-                        connections.spawn(connection(client, target, seen.clone()));
+                        connections.spawn(connection(client, target, receiver.clone()));
                     }
                     Some(_) = connections.join_next() => {}
                 }
--- a/crates/rig/src/site/soak.rs
+++ b/crates/rig/src/site/soak.rs
@@ -376,8 +376,8 @@
 
     /// Whether a request may have been cut: its VM was killed or paused, or was not running at all.
     fn is_cut_allowed(&self, s: &ObservedRequest) -> bool {
-        let overlaps = |o: &Outage| o.vm == s.vm && s.begun < o.until && s.ended > o.from;
-        let is_refused = s.ended - s.begun < Duration::from_millis(50);
+        let overlaps = |o: &Outage| o.vm == s.vm && s.started < o.until && s.ended > o.from;
+        let is_refused = s.ended - s.started < Duration::from_millis(50);
         is_refused || self.outages.iter().any(overlaps)
     }
 }
--- a/crates/rig/src/site/soak_load.rs
+++ b/crates/rig/src/site/soak_load.rs
@@ -19,7 +19,7 @@
 pub(super) struct ObservedRequest {
     pub(super) id: String,
     pub(super) vm: usize,
-    pub(super) begun: Instant,
+    pub(super) started: Instant,
     pub(super) ended: Instant,
     pub(super) is_once: bool,
     pub(super) outcome: CallOutcome,
@@ -52,12 +52,12 @@
                     while !stop.load(Ordering::Relaxed) {
                         let n = next.fetch_add(1, Ordering::Relaxed);
                         let route: &SiteRoute = &routes[n as usize % routes.len()];
-                        let begun = Instant::now();
+                        let started = Instant::now();
                         let answer = caller.request(addr, route, &format!("s{n}")).await;
                         let request = ObservedRequest {
                             id: answer.id,
                             vm,
-                            begun,
+                            started,
                             ended: Instant::now(),
                             is_once: !route.is_safe,
                             outcome: answer.outcome,
--- a/crates/rig/src/site_demo.rs
+++ b/crates/rig/src/site_demo.rs
@@ -19,7 +19,7 @@
 /// Sends requests to the VMs and routes in turn; exits with 1 if an answer was wrong or none was complete.
 pub(crate) async fn run(args: &Soak) -> Result<ExitCode> {
     std::fs::create_dir_all(&args.dir)
-        .map_err(|e| Error::new(ErrorKind::Io, e.to_string()).at("create a directory"))?;
+        .map_err(|e| Error::new(ErrorKind::Io, e.to_string()).at("make a folder"))?;
     let options = SiteOptions::builder()
         .bin(args.bin.clone())
         .dir(args.dir.clone())
@@ -37,16 +37,16 @@
     let end = Instant::now() + Duration::from_secs(args.seconds);
     let mut ends: BTreeMap<(String, &'static str), u64> = BTreeMap::new();
     let mut wrong = Vec::new();
-    let mut took = Vec::new();
+    let mut latencies = Vec::new();
     for n in 0.. {
         if Instant::now() > end {
             break;
         }
         let route = &site.config.routes[n % site.config.routes.len()];
         let vm = site.vms[n % site.vms.len()].plan().callers;
-        let begun = Instant::now();
+        let started = Instant::now();
         let answer = caller.request(vm, route, &format!("demo-{n}")).await;
-        took.push(begun.elapsed());
+        latencies.push(started.elapsed());
         let kind = match answer.outcome {
             CallOutcome::Right(0) => "whole",
             CallOutcome::Right(_) => "partial",
@@ -61,14 +61,16 @@
         *ends.entry((route.prefix.clone(), kind)).or_default() += 1;
         tokio::time::sleep(PAUSE).await;
     }
-    took.sort_unstable();
+    latencies.sort_unstable();
     for ((prefix, kind), n) in &ends {
         println!("{prefix:8} {kind:8} {n}");
     }
-    if let Some(middle) = took.get(took.len() / 2) {
-        println!("median {:.1} ms", middle.as_secs_f64() * 1e3);
+    if let Some(median) = latencies.get(latencies.len() / 2) {
+        println!("median {:.1} ms", median.as_secs_f64() * 1e3);
     }
     wrong.iter().for_each(|w| println!("wrong: {w}"));
-    let is_any_whole = ends.keys().any(|(_, kind)| *kind == "whole");
-    Ok(ExitCode::from(u8::from(!wrong.is_empty() || !is_any_whole)))
+    let is_any_complete = ends.keys().any(|(_, kind)| *kind == "whole");
+    Ok(ExitCode::from(u8::from(
+        !wrong.is_empty() || !is_any_complete,
+    )))
 }
--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -15,7 +15,7 @@
     for seed in args.seed..args.seed + args.seeds {
         let dir = args.dir.join(format!("soak-{seed}"));
         std::fs::create_dir_all(&dir)
-            .map_err(|e| Error::new(ErrorKind::Io, e.to_string()).at("create a directory"))?;
+            .map_err(|e| Error::new(ErrorKind::Io, e.to_string()).at("make a folder"))?;
         let options = SoakOptions::builder()
             .bin(args.bin.clone())
             .dir(dir.clone())
--- a/crates/rig/src/storm.rs
+++ b/crates/rig/src/storm.rs
@@ -62,7 +62,7 @@
     sent: Duration,
     ended: Duration,
     page: bool,
-    whole: bool,
+    complete: bool,
     refused: bool,
     wrong: bool,
 }
@@ -119,17 +119,17 @@
             };
             let samples = send_phases(&d, &[phase], c.seed).await;
             wrong += count(&samples, |s| s.wrong);
-            let asked: Vec<_> = within(&samples, WARM_UP, length).collect();
+            let sent: Vec<_> = within(&samples, WARM_UP, length).collect();
             // Counted by end time, so that a backlog served after the load does not count as goodput.
             let goodput = count(&samples, |s| {
-                s.whole && s.ended >= WARM_UP && s.ended < length
+                s.complete && s.ended >= WARM_UP && s.ended < length
             });
             let goodput = goodput as f64 / c.length.as_secs_f64();
             peak = peak.max(goodput);
             println!(
                 "| {policy} | {load} | {} | {} | {goodput:.1} |",
-                asked.len(),
-                asked.iter().filter(|s| s.refused).count(),
+                sent.len(),
+                sent.iter().filter(|s| s.refused).count(),
             );
         }
     }
@@ -181,7 +181,7 @@
             "| {:.1} | {} | {} | {:.1} | {p99:.1} | {refused} |",
             at.as_secs_f64(),
             slice().count(),
-            slice().filter(|s| s.whole).count(),
+            slice().filter(|s| s.complete).count(),
             latency_ms(slice(), 0.5)
         );
         at += SLICE;
@@ -240,16 +240,16 @@
                 break;
             }
             tokio::time::sleep_until(start + due).await;
-            let (ask, resend_policy) = (mix.draw(), phase.resend_policy);
+            let (request, resend_policy) = (mix.draw(), phase.resend_policy);
             let (caller, targets, checker) = (caller.clone(), targets.clone(), checker.clone());
             let delay = d.shape.to_callers;
-            let send = move |ask: LookupRequest| {
+            let send = move |request: LookupRequest| {
                 let (caller, vm, checker) = (caller.clone(), targets.next(), checker.clone());
                 async move {
                     let sent = start.elapsed();
                     tokio::time::sleep(delay).await;
                     let reply = caller
-                        .request(vm.expect("a deployment has VMs"), &ask)
+                        .request(vm.expect("a deployment has VMs"), &request)
                         .await;
                     tokio::time::sleep(delay).await;
                     let page = reply.page();
@@ -257,9 +257,9 @@
                         sent,
                         ended: start.elapsed(),
                         page: page.is_some(),
-                        whole: page.is_some_and(|a| a.coverage.is_full()),
+                        complete: page.is_some_and(|a| a.coverage.is_full()),
                         refused: page.is_none(),
-                        wrong: checker.check(&ask, &reply).is_some(),
+                        wrong: checker.check(&request, &reply).is_some(),
                     };
                     (sample, reply.refusal().and_then(|r| r.retry_after))
                 }
@@ -267,7 +267,7 @@
             requests.spawn(async move {
                 let mut samples = Vec::new();
                 loop {
-                    let (sample, retry_after) = send(ask.clone()).await;
+                    let (sample, retry_after) = send(request.clone()).await;
                     samples.push(sample);
                     let sent = u32::try_from(samples.len()).unwrap_or(u32::MAX);
                     if !sample.refused || resend_policy == ResendPolicy::Once || sent > RESENDS_MAX
--- a/crates/rig/tests/checker.rs
+++ b/crates/rig/tests/checker.rs
@@ -25,7 +25,7 @@
 struct Bench {
     checker: Checker,
     reference: Arc<ReferenceSearch>,
-    ask: LookupRequest,
+    request: LookupRequest,
 }
 
 async fn bench(lookup: &str) -> Bench {
@@ -34,7 +34,7 @@
     let specs = shape
         .servers(Duration::from_millis(1), 1)
         .expect("names that fit");
-    let net = Arc::new(Net::fresh(Duration::ZERO));
+    let net = Arc::new(Net::with_unused_network(Duration::ZERO));
     let servers = Servers::start(net, specs.clone())
         .await
         .expect("free ports");
@@ -46,21 +46,23 @@
     Bench {
         checker: Checker::new(reference.clone(), snapshots, servers),
         reference,
-        ask: LookupMix::new(&shape, &corpus, 1).only(&[lookup]).draw(),
+        request: LookupMix::new(&shape, &corpus, 1).only(&[lookup]).draw(),
     }
 }
 
 impl Bench {
     /// Returns the right answer if these shards are missing.
     fn right(&self, missing: &[u32]) -> Answer {
-        let ask = SearchRequest {
-            query: &self.ask.query,
+        let request = SearchRequest {
+            query: &self.request.query,
             key: None,
             snapshot: SNAPSHOT,
             shards: SHARDS,
-            page: self.ask.lookup.page as usize,
+            page: self.request.lookup.page as usize,
         };
-        let part = self.reference.search(&ask, &|s| !missing.contains(&s.0));
+        let part = self
+            .reference
+            .search(&request, &|s| !missing.contains(&s.0));
         let missing = missing.iter().map(|n| MissingShard {
             shard: ShardId(*n),
             reason: MissReason::Late,
@@ -83,8 +85,8 @@
     fn check(&self, page: Answer) -> Option<Fault> {
         let answer = CallerAnswer {
             request_id: "v.1.2".to_owned(),
-            front: self.ask.front.to_owned(),
-            lookup: self.ask.lookup.name.to_owned(),
+            front: self.request.front.to_owned(),
+            lookup: self.request.lookup.name.to_owned(),
             outcome: Outcome::Answered(page),
         };
         let reply = Reply::Outcome {
@@ -92,7 +94,7 @@
             retry_after: false,
             answer: Box::new(answer),
         };
-        self.checker.check(&self.ask, &reply)
+        self.checker.check(&self.request, &reply)
     }
 }
 
--- a/crates/rig/tests/link.rs
+++ b/crates/rig/tests/link.rs
@@ -12,7 +12,7 @@
 
 #[tokio::test]
 async fn a_cut_link_holds_bytes_until_it_is_healed() {
-    let net = Arc::new(Net::fresh(Duration::from_millis(1)));
+    let net = Arc::new(Net::with_unused_network(Duration::from_millis(1)));
     let listener = TcpListener::bind((net.ip(2, 1), 0)).await.expect("a port");
     let target = listener.local_addr().expect("an address");
     let link = Link::start(net.clone(), 1, 2, target)
@@ -37,7 +37,7 @@
 
 #[tokio::test]
 async fn a_closed_end_closes_the_other() {
-    let net = Arc::new(Net::fresh(Duration::ZERO));
+    let net = Arc::new(Net::with_unused_network(Duration::ZERO));
     let listener = TcpListener::bind((net.ip(2, 1), 0)).await.expect("a port");
     let target = listener.local_addr().expect("an address");
     let link = Link::start(net, 1, 2, target).await.expect("a port");
--- a/crates/rig/tests/servers.rs
+++ b/crates/rig/tests/servers.rs
@@ -33,7 +33,7 @@
 }
 
 async fn one_server(corpus: &Corpus) -> Servers {
-    let net = Arc::new(Net::fresh(Duration::ZERO));
+    let net = Arc::new(Net::with_unused_network(Duration::ZERO));
     let group: GroupName = "g".parse().expect("a name");
     let spec = ServerSpec::builder()
         .name(name())
@@ -92,14 +92,17 @@
     }
     hits.sort_by(|a, b| b.score.cmp(&a.score).then_with(|| a.doc.cmp(&b.doc)));
     hits.truncate(10);
-    let ask = SearchRequest {
+    let request = SearchRequest {
         query: "larch levy",
         key: None,
         snapshot: SNAPSHOT,
         shards: 7,
         page: 10,
     };
-    assert_eq!(reference.search(&ask, &|_| true), Part { hits, matched });
+    assert_eq!(
+        reference.search(&request, &|_| true),
+        Part { hits, matched }
+    );
 }
 
 #[tokio::test]
