--- a/crates/rig/src/args.rs
+++ b/crates/rig/src/args.rs
@@ -14,7 +14,7 @@
 
 /// The options of every subcommand that starts a deployment.
 #[derive(Clone, Debug)]
-pub struct Common {
+pub struct CommonArgs {
     /// The `gentiansill` program.
     pub bin: PathBuf,
     /// The directory whose text is indexed.
@@ -34,7 +34,7 @@
 
 /// The options of `gs-rig soak` and `gs-rig site`.
 #[derive(Clone, Debug)]
-pub struct Soak {
+pub struct SoakArgs {
     /// The `gentiansill` program.
     pub bin: PathBuf,
     /// The directory for settings and logs.
@@ -53,9 +53,9 @@
 
 /// The options of `gs-rig demo`.
 #[derive(Clone, Debug)]
-pub struct Demo {
-    /// Common options.
-    pub common: Common,
+pub struct DemoArgs {
+    /// CommonArgs options.
+    pub common: CommonArgs,
     /// Arrivals per second.
     pub rate: f64,
     /// The address of the control port for the stand-ins.
@@ -64,9 +64,9 @@
 
 /// The options of `gs-rig table`.
 #[derive(Clone, Debug)]
-pub struct Table {
-    /// Common options.
-    pub common: Common,
+pub struct TableArgs {
+    /// CommonArgs options.
+    pub common: CommonArgs,
     /// The scenarios to run; all if empty.
     pub scenarios: Vec<String>,
     /// The policies to compare.
@@ -77,16 +77,16 @@
 
 /// The options of `gs-rig cost`.
 #[derive(Clone, Debug)]
-pub struct Cost {
-    /// Common options.
-    pub common: Common,
+pub struct CostArgs {
+    /// CommonArgs options.
+    pub common: CommonArgs,
     /// Arrivals per second.
     pub rate: f64,
 }
 
 /// The options of `gs-rig bare`.
 #[derive(Clone, Debug)]
-pub struct Bare {
+pub struct BareArgs {
     /// The servers to query, one for each shard.
     pub servers: Vec<SocketAddr>,
     /// The source address of the connections.
@@ -255,13 +255,13 @@
 }
 
 /// Reads the options of `gs-rig soak` and `gs-rig site`.
-pub fn soak(m: &ArgMatches) -> Result<Soak> {
+pub fn soak(m: &ArgMatches) -> Result<SoakArgs> {
     let vms: u64 = read(m, "vms")?;
     if vms == 0 || vms > VMS_MAX {
         return Err(Error::new(ErrorKind::BadInput, "`vms` is out of range")
             .with_hint(format!("give 1 to {VMS_MAX}")));
     }
-    Ok(Soak {
+    Ok(SoakArgs {
         bin: read(m, "bin")?,
         dir: read(m, "dir")?,
         seed: read(m, "seed")?,
@@ -273,8 +273,8 @@
 }
 
 /// Reads the options of `gs-rig demo`.
-pub fn demo(m: &ArgMatches) -> Result<Demo> {
-    Ok(Demo {
+pub fn demo(m: &ArgMatches) -> Result<DemoArgs> {
+    Ok(DemoArgs {
         common: read_common(m)?,
         rate: read(m, "rate")?,
         control: read(m, "control")?,
@@ -282,12 +282,12 @@
 }
 
 /// Reads the options of `gs-rig table`.
-pub fn table(m: &ArgMatches) -> Result<Table> {
+pub fn table(m: &ArgMatches) -> Result<TableArgs> {
     let mut policies = read_list(m, "policy");
     if policies.is_empty() {
         policies = vec!["chosen".to_owned(), "baseline".to_owned()];
     }
-    Ok(Table {
+    Ok(TableArgs {
         common: read_common(m)?,
         scenarios: read_list(m, "scenario"),
         policies,
@@ -296,25 +296,25 @@
 }
 
 /// Reads the options of `gs-rig cost`.
-pub fn cost(m: &ArgMatches) -> Result<Cost> {
-    Ok(Cost {
+pub fn cost(m: &ArgMatches) -> Result<CostArgs> {
+    Ok(CostArgs {
         common: read_common(m)?,
         rate: read(m, "rate")?,
     })
 }
 
 /// Reads the options of `gs-rig storm`.
-pub fn storm(m: &ArgMatches) -> Result<Common> {
+pub fn storm(m: &ArgMatches) -> Result<CommonArgs> {
     read_common(m)
 }
 
 /// Reads the options of `gs-rig bare`.
-pub fn bare(m: &ArgMatches) -> Result<Bare> {
+pub fn bare(m: &ArgMatches) -> Result<BareArgs> {
     let servers: std::result::Result<_, _> = read_list(m, "server")
         .iter()
         .map(|s| s.parse::<SocketAddr>())
         .collect();
-    Ok(Bare {
+    Ok(BareArgs {
         servers: servers.map_err(|e| Error::new(ErrorKind::BadInput, e.to_string()))?,
         source: read(m, "source")?,
         rate: read(m, "rate")?,
@@ -323,13 +323,13 @@
     })
 }
 
-fn read_common(m: &ArgMatches) -> Result<Common> {
+fn read_common(m: &ArgMatches) -> Result<CommonArgs> {
     let deployment: String = read(m, "deployment")?;
     let shape = match deployment.as_str() {
         "lankapura" => Shape::lankapura(),
         _ => Shape::derwent_quill(),
     };
-    Ok(Common {
+    Ok(CommonArgs {
         bin: read(m, "bin")?,
         text: read(m, "text")?,
         shape,
--- a/crates/rig/src/bare.rs
+++ b/crates/rig/src/bare.rs
@@ -19,12 +19,12 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-use crate::args::Bare;
+use crate::args::BareArgs;
 
 type Http = Client<HttpConnector, Full<Bytes>>;
 
 /// Sends fan-outs at a given mean rate and prints parts, processor time and median latency as JSON.
-pub async fn run(args: &Bare) -> Result<ExitCode> {
+pub async fn run(args: &BareArgs) -> Result<ExitCode> {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     connector.set_local_address(Some(args.source));
@@ -46,7 +46,7 @@
 }
 
 /// Returns the number of parts and the duration in microseconds of each fan-out.
-async fn fan_outs(args: &Bare, http: &Http) -> Vec<(u64, u64)> {
+async fn fan_outs(args: &BareArgs, http: &Http) -> Vec<(u64, u64)> {
     let mut rng = ChaCha8Rng::seed_from_u64(args.seed);
     let mut running = JoinSet::new();
     let mut ended = Vec::new();
--- a/crates/rig/src/corpus.rs
+++ b/crates/rig/src/corpus.rs
@@ -8,7 +8,7 @@
 /// The maximum length of a document's text, in bytes.
 const TEXT_MAX_BYTES: usize = 240;
 
-/// Each snapshot omits one document in this number.
+/// A snapshot omits one out of this many documents.
 const OMITTED_ONE_IN: u64 = 17;
 
 /// The maximum size of a file, in bytes; larger ones are skipped.
--- a/crates/rig/src/cost.rs
+++ b/crates/rig/src/cost.rs
@@ -22,13 +22,13 @@
 use serde::Deserialize;
 use tokio::task::JoinSet;
 
-use crate::args::Cost;
+use crate::args::CostArgs;
 
 /// The number of lookups in flight for the memory measurement.
 const IN_FLIGHT_LOOKUPS: usize = 2000;
 
 /// The duration of the load before anything is measured.
-const WARM_UP: Duration = Duration::from_secs(2);
+const WARM_UP_DURATION: Duration = Duration::from_secs(2);
 
 /// The output of `gs-rig bare`.
 #[derive(Debug, Deserialize)]
@@ -40,20 +40,20 @@
 }
 
 /// Runs the measurements and prints them as Markdown lines.
-pub async fn run(args: &Cost) -> Result<ExitCode> {
+pub async fn run(args: &CostArgs) -> Result<ExitCode> {
     let corpus = Arc::new(Corpus::read(&args.common.text)?);
-    measure_start(args, &corpus).await?;
+    measure_startup(args, &corpus).await?;
     measure_cpu(args, &corpus).await?;
     measure_memory(args, &corpus).await?;
     Ok(ExitCode::SUCCESS)
 }
 
-fn options(args: &Cost, corpus: &Arc<Corpus>, shape: Shape, service: u64) -> DeploymentOptions {
+fn options(args: &CostArgs, corpus: &Arc<Corpus>, shape: Shape, service: u64) -> DeploymentOptions {
     options_with(args, corpus, shape, service, "")
 }
 
 fn options_with(
-    args: &Cost,
+    args: &CostArgs,
     corpus: &Arc<Corpus>,
     shape: Shape,
     service: u64,
@@ -70,11 +70,11 @@
 }
 
 /// Measures the time to ready of VMs that start together, and their memory when idle.
-async fn measure_start(args: &Cost, corpus: &Arc<Corpus>) -> Result<()> {
+async fn measure_startup(args: &CostArgs, corpus: &Arc<Corpus>) -> Result<()> {
     let d = Deployment::start(options(args, corpus, args.common.shape.clone(), 4)).await?;
     let mut ready: Vec<Duration> = d.times_to_ready.clone();
     ready.sort();
-    tokio::time::sleep(WARM_UP).await;
+    tokio::time::sleep(WARM_UP_DURATION).await;
     let mut resident = Vec::new();
     for vm in &d.vms {
         resident.push(vm.usage()?.resident.0 >> 20);
@@ -89,14 +89,14 @@
 }
 
 /// Compares the processor time of one VM under load with a bare client of the same fan-out.
-async fn measure_cpu(args: &Cost, corpus: &Arc<Corpus>) -> Result<()> {
+async fn measure_cpu(args: &CostArgs, corpus: &Arc<Corpus>) -> Result<()> {
     let shape = Shape {
         vms_per_site: 1,
         to_callers: Duration::ZERO,
         ..args.common.shape.clone()
     };
     let d = Deployment::start(options(args, corpus, shape, 4)).await?;
-    load_one(args, &d, WARM_UP).await;
+    load_one(args, &d, WARM_UP_DURATION).await;
     let before = d.vms[0].usage()?;
     let runs = d.servers.counts().summary().total.runs;
     let tally = load_one(args, &d, args.common.length).await;
@@ -132,7 +132,7 @@
     Ok(())
 }
 
-async fn load_one(args: &Cost, d: &Deployment, length: Duration) -> Tally {
+async fn load_one(args: &CostArgs, d: &Deployment, length: Duration) -> Tally {
     let name = d.shape.lookups[0].name;
     let spec = LoadSpec::builder()
         .rate(args.rate)
@@ -147,8 +147,8 @@
 
 /// Runs this program's bare client in its own process, so that its processor time can be measured.
 ///
-/// It uses separate servers with the same parameters, as the VMs occupy all connections of theirs.
-async fn run_bare(args: &Cost, corpus: &Arc<Corpus>) -> Result<BareReport> {
+/// It uses separate servers with the same parameters, as the VMs occupy all connections to their own servers.
+async fn run_bare(args: &CostArgs, corpus: &Arc<Corpus>) -> Result<BareReport> {
     let failed = |e: String| Error::new(ErrorKind::Io, e).at("run the bare client");
     let shape = &args.common.shape;
     let group = &shape.groups[0];
@@ -182,7 +182,7 @@
 }
 
 /// Measures the memory of one VM with many lookups in flight that wait for slow servers.
-async fn measure_memory(args: &Cost, corpus: &Arc<Corpus>) -> Result<()> {
+async fn measure_memory(args: &CostArgs, corpus: &Arc<Corpus>) -> Result<()> {
     let mut shape = Shape {
         vms_per_site: 1,
         to_callers: Duration::ZERO,
@@ -204,7 +204,7 @@
         let (caller, request, addr) = (caller.clone(), mix.draw(), vm.plan().callers);
         requests.spawn(async move { caller.request(addr, &request).await });
     }
-    tokio::time::sleep(WARM_UP).await;
+    tokio::time::sleep(WARM_UP_DURATION).await;
     let busy = vm.usage()?.resident;
     let mut ended: BTreeMap<String, usize> = BTreeMap::new();
     while let Some(Ok(reply)) = requests.try_join_next() {
--- a/crates/rig/src/demo.rs
+++ b/crates/rig/src/demo.rs
@@ -14,16 +14,16 @@
 use gs_rig::load::Tally;
 use gs_types::prelude::*;
 
-use crate::args::Demo;
+use crate::args::DemoArgs;
 
 /// The interval between two lines of progress.
-const SLICE: Duration = Duration::from_secs(2);
+const SLICE_DURATION: Duration = Duration::from_secs(2);
 
 /// The settings of the demo's processes that differ from the defaults.
 const SETTINGS: &str = "[log]\nlevel = \"info\"\n";
 
 /// Runs the demo; succeeds only if every page was right.
-pub async fn run(args: &Demo) -> Result<ExitCode> {
+pub async fn run(args: &DemoArgs) -> Result<ExitCode> {
     let c = &args.common;
     let corpus = Arc::new(Corpus::read(&c.text)?);
     println!(
@@ -48,18 +48,18 @@
         c.shape.data_centres.join(", "),
         started.elapsed(),
     );
-    let tallies = slices(args, &d).await;
-    Ok(report(&d, &tallies))
+    let tallies = run_slices(args, &d).await;
+    Ok(print_report(&d, &tallies))
 }
 
 /// Sends the load in slices and prints a line of progress after each.
-async fn slices(args: &Demo, d: &Deployment) -> BTreeMap<&'static str, Tally> {
+async fn run_slices(args: &DemoArgs, d: &Deployment) -> BTreeMap<&'static str, Tally> {
     let mut sum: BTreeMap<&'static str, Tally> = BTreeMap::new();
     let c = &args.common;
     let mut left = c.length;
     let mut seed = c.seed;
     while !left.is_zero() {
-        let length = left.min(SLICE);
+        let length = left.min(SLICE_DURATION);
         left -= length;
         let spec = LoadSpec::builder()
             .rate(args.rate)
@@ -72,7 +72,7 @@
             sum.entry(name).or_default().add(t);
         }
         seed += 1;
-        let all = all(&sum);
+        let all = sum_tallies(&sum);
         println!(
             "demo: {:>4.1}s asked={} answered={} wrong={}",
             (c.length - left).as_secs_f64(),
@@ -84,14 +84,14 @@
     sum
 }
 
-fn all(tallies: &BTreeMap<&'static str, Tally>) -> Tally {
+fn sum_tallies(tallies: &BTreeMap<&'static str, Tally>) -> Tally {
     let mut all = Tally::default();
     tallies.values().for_each(|t| all.add(t));
     all
 }
 
-fn report(d: &Deployment, tallies: &BTreeMap<&'static str, Tally>) -> ExitCode {
-    let all = all(tallies);
+fn print_report(d: &Deployment, tallies: &BTreeMap<&'static str, Tally>) -> ExitCode {
+    let all = sum_tallies(tallies);
     let mut rows: Vec<_> = tallies.iter().map(|(name, t)| t.row(name)).collect();
     rows.push(all.row("all"));
     println!("\n{}", load::table(&rows));
--- a/crates/rig/src/lib.rs
+++ b/crates/rig/src/lib.rs
@@ -3,10 +3,10 @@
 //! This crate is for development only: the stand-ins replace the platform, the backend servers and
 //! the links between data centres in process tests, in `scripts/demo` and in the measurements.
 //!
-//! - [`net`]: loopback addresses by data centre, one-way delays and cuts;
-//! - [`link`]: TCP links between data centres that can be delayed and cut;
-//! - [`corpus`], [`index`] and [`mod@reference`]: the text that is searched, its sharded index, and the
-//!   brute-force search that every page is compared with;
+//! - [`net`]: loopback addresses by data centre, one-way delays and partitions;
+//! - [`link`]: TCP links between data centres that delay bytes and can be partitioned;
+//! - [`corpus`], [`index`] and [`mod@reference`]: the searched text, its sharded index, and the
+//!   brute-force search with which every page is compared;
 //! - [`server`]: backend servers that index, rank, queue, fail on command and count what ran;
 //! - [`control`]: control commands to the stand-ins;
 //! - [`deploy`]: the example deployments as settings files and platform objects;
--- a/crates/rig/src/link.rs
+++ b/crates/rig/src/link.rs
@@ -35,7 +35,7 @@
 
 /// The two sites of a link and its target address.
 #[derive(Clone, Debug)]
-struct Ends {
+struct LinkEnds {
     net: Arc<Net>,
     from: SiteNumber,
     to: SiteNumber,
@@ -60,7 +60,7 @@
             .await
             .map_err(failed)?;
         let addr = listener.local_addr().map_err(failed)?;
-        let ends = Ends {
+        let ends = LinkEnds {
             net,
             from,
             to,
@@ -94,8 +94,8 @@
 }
 
 /// Forwards one connection; when either end closes, the other is closed too.
-async fn serve_connection(ends: Ends, client: tokio::net::TcpStream) {
-    let Ends { net, from, to, .. } = &ends;
+async fn serve_connection(ends: LinkEnds, client: tokio::net::TcpStream) {
+    let LinkEnds { net, from, to, .. } = &ends;
     net.carry(*from, *to).await;
     let Some(upstream) = connect_target(&ends).await else {
         return;
@@ -111,7 +111,7 @@
 }
 
 /// Connects from an address of the client's site, so that the target can derive the site.
-async fn connect_target(ends: &Ends) -> Option<tokio::net::TcpStream> {
+async fn connect_target(ends: &LinkEnds) -> Option<tokio::net::TcpStream> {
     let socket = TcpSocket::new_v4().ok()?;
     let source = SocketAddr::from((ends.net.ip(ends.from, LINK_HOST), 0));
     socket.bind(source).ok()?;
--- a/crates/rig/src/load/open_loop.rs
+++ b/crates/rig/src/load/open_loop.rs
@@ -86,7 +86,7 @@
 
 /// The state shared by all requests of a run.
 #[derive(Clone)]
-struct Shared {
+struct SharedState {
     caller: Caller,
     targets: Arc<Targets>,
     checker: Option<Checker>,
@@ -103,7 +103,7 @@
 ) -> BTreeMap<&'static str, Tally> {
     let mut rng = ChaCha8Rng::seed_from_u64(spec.seed);
     let tallies = Tallies::default();
-    let shared = Shared {
+    let shared = SharedState {
         caller: Caller::new(),
         targets,
         checker,
@@ -129,7 +129,7 @@
 }
 
 /// Sends one request and its resends; latency is measured from the scheduled arrival.
-async fn send_with_resends(shared: Shared, request: LookupRequest, due: Instant) {
+async fn send_with_resends(shared: SharedState, request: LookupRequest, due: Instant) {
     let mut left = shared.spec.resends.map_or(0, |r| r.resends_max);
     loop {
         let reply = send(&shared, &request).await;
@@ -162,7 +162,7 @@
     }
 }
 
-async fn send(shared: &Shared, request: &LookupRequest) -> Reply {
+async fn send(shared: &SharedState, request: &LookupRequest) -> Reply {
     let delay = shared.spec.to_callers;
     let Some(vm) = shared.targets.next() else {
         return Reply::Unreachable;
--- a/crates/rig/src/load/tally.rs
+++ b/crates/rig/src/load/tally.rs
@@ -41,7 +41,7 @@
     pub whole: u64,
     /// Attempts beyond one per shard.
     pub extra: u64,
-    /// Refusals that say "not run", by reason.
+    /// Refusals as "not run", by reason.
     pub not_run: BTreeMap<String, u64>,
     /// Refusals with an unknown outcome, by reason.
     pub unknown: BTreeMap<String, u64>,
@@ -74,7 +74,7 @@
     pub coverage: f64,
     /// Extra attempts per shard queried, in per cent.
     pub extra: f64,
-    /// Refusals that say "not run".
+    /// Refusals as "not run".
     pub not_run: u64,
     /// Refusals with an unknown outcome.
     pub unknown: u64,
--- a/crates/rig/src/platform/http.rs
+++ b/crates/rig/src/platform/http.rs
@@ -17,7 +17,7 @@
 use tokio::time::Instant;
 
 use super::counts::CallKind;
-use super::server::Shared;
+use super::server::SharedState;
 
 /// The maximum size of an object, in bytes.
 const OBJECT_MAX_BYTES: usize = 1_000_000;
@@ -38,9 +38,9 @@
 
 impl std::error::Error for AnswerLost {}
 
-/// Answers a call, or fails to drop its connection.
+/// Answers a call; the error makes the server drop the connection instead.
 pub(super) async fn answer(
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     source: IpAddr,
     req: Request<Incoming>,
 ) -> Result<Reply, AnswerLost> {
@@ -90,7 +90,7 @@
 
 /// Counts the call, and holds or refuses it if a fault or limit requires it.
 async fn admit(
-    shared: &Shared,
+    shared: &SharedState,
     source: IpAddr,
     kind: CallKind,
     path: &str,
@@ -119,7 +119,7 @@
 }
 
 /// Waits until calls from the source are answered again; the held call itself is never answered.
-async fn hold_call(shared: &Shared, source: IpAddr) {
+async fn hold_call(shared: &SharedState, source: IpAddr) {
     let mut changes = shared.subscribe();
     while shared.lock().is_held(source) {
         if changes.changed().await.is_err() {
@@ -129,7 +129,7 @@
 }
 
 async fn execute(
-    shared: &Shared,
+    shared: &SharedState,
     source: IpAddr,
     kind: CallKind,
     path: String,
@@ -145,14 +145,18 @@
     }
 }
 
-fn read(shared: &Shared, path: &str) -> Reply {
+fn read(shared: &SharedState, path: &str) -> Reply {
     match shared.lock().objects.get(path) {
         Some((version, content)) => versioned(StatusCode::OK, version, content),
         None => status(StatusCode::NOT_FOUND),
     }
 }
 
-async fn write(shared: &Shared, path: String, req: Request<Incoming>) -> Result<Reply, AnswerLost> {
+async fn write(
+    shared: &SharedState,
+    path: String,
+    req: Request<Incoming>,
+) -> Result<Reply, AnswerLost> {
     let Some(if_version) = if_version(&req) else {
         return Ok(status(StatusCode::BAD_REQUEST));
     };
@@ -181,7 +185,7 @@
         }
         (result, lost)
     };
-    shared.changed();
+    shared.notify_change();
     match result {
         Ok(_) if lost => Err(AnswerLost),
         Ok(version) => Ok(versioned(StatusCode::OK, version, Bytes::new())),
@@ -189,12 +193,12 @@
     }
 }
 
-fn delete(shared: &Shared, path: &str, req: &Request<Incoming>) -> Reply {
+fn delete(shared: &SharedState, path: &str, req: &Request<Incoming>) -> Reply {
     let Some(if_version) = if_version(req) else {
         return status(StatusCode::BAD_REQUEST);
     };
     let result = shared.lock().objects.delete(path, if_version);
-    shared.changed();
+    shared.notify_change();
     match result {
         Ok(true) => status(StatusCode::OK),
         Ok(false) => status(StatusCode::NOT_FOUND),
@@ -202,7 +206,7 @@
     }
 }
 
-fn list(shared: &Shared, prefix: &str) -> Reply {
+fn list(shared: &SharedState, prefix: &str) -> Reply {
     let s = shared.lock();
     let objects: Vec<_> = s
         .objects
@@ -213,7 +217,7 @@
     json_reply(&json!({"revision": s.objects.revision(), "objects": objects}))
 }
 
-async fn watch(shared: &Shared, prefix: &str, req: &Request<Incoming>) -> Reply {
+async fn watch(shared: &SharedState, prefix: &str, req: &Request<Incoming>) -> Reply {
     let number = |name| query(req, name).and_then(|v| v.parse::<u64>().ok());
     let (Some(after), Some(wait)) = (number("after"), number("wait_ms")) else {
         return status(StatusCode::BAD_REQUEST);
@@ -224,7 +228,7 @@
     loop {
         {
             let s = shared.lock();
-            let Some(changed) = s.objects.changed(prefix, after) else {
+            let Some(changed) = s.objects.changes_since(prefix, after) else {
                 return status(StatusCode::GONE);
             };
             if s.down {
@@ -240,10 +244,10 @@
 }
 
 /// Counts a watch as waiting until dropped.
-struct WaitingWatch<'a>(&'a Shared);
+struct WaitingWatch<'a>(&'a SharedState);
 
 impl<'a> WaitingWatch<'a> {
-    fn new(shared: &'a Shared) -> Self {
+    fn new(shared: &'a SharedState) -> Self {
         shared.lock().counts.waiting += 1;
         Self(shared)
     }
@@ -255,7 +259,7 @@
     }
 }
 
-async fn control(shared: &Shared, req: Request<Incoming>) -> Reply {
+async fn control(shared: &SharedState, req: Request<Incoming>) -> Reply {
     let Ok(body) = Limited::new(req.into_body(), OBJECT_MAX_BYTES)
         .collect()
         .await
--- a/crates/rig/src/platform/objects.rs
+++ b/crates/rig/src/platform/objects.rs
@@ -20,7 +20,7 @@
 
 /// An object that changed, as returned by a watch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Changed {
+pub(super) struct ChangedObject {
     pub(super) path: String,
     pub(super) version: u64,
     pub(super) deleted: bool,
@@ -81,7 +81,7 @@
     }
 
     /// Returns the changes under a prefix after a revision; `None` if the history no longer covers it.
-    pub(super) fn changed(&self, prefix: &str, after: u64) -> Option<Vec<Changed>> {
+    pub(super) fn changes_since(&self, prefix: &str, after: u64) -> Option<Vec<ChangedObject>> {
         // A revision above the current one comes from an earlier instance of the store.
         if after < self.compacted || after > self.revision {
             return None;
@@ -91,7 +91,7 @@
         let changed = live
             .chain(deleted)
             .filter(|(p, v, _)| *v > after && p.starts_with(prefix))
-            .map(|(p, version, deleted)| Changed {
+            .map(|(p, version, deleted)| ChangedObject {
                 path: p.clone(),
                 version,
                 deleted,
--- a/crates/rig/src/platform/server.rs
+++ b/crates/rig/src/platform/server.rs
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 pub struct Platform {
     addr: SocketAddr,
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     task: JoinHandle<()>,
 }
 
@@ -76,7 +76,7 @@
         };
         let listener = TcpListener::bind(options.addr).await.map_err(io)?;
         let addr = listener.local_addr().map_err(io)?;
-        let shared = Arc::new(Shared::new(&options));
+        let shared = Arc::new(SharedState::new(&options));
         let task = tokio::spawn(accept(listener, shared.clone()));
         Ok(Self { addr, shared, task })
     }
@@ -102,7 +102,7 @@
     /// counted.
     pub fn put(&self, path: &str, content: impl Into<Bytes>) -> u64 {
         let version = self.shared.lock().objects.set(path, content.into());
-        self.shared.changed();
+        self.shared.notify_change();
         version
     }
 
@@ -128,7 +128,7 @@
 
 /// The state shared by all connections.
 #[derive(Debug)]
-pub(super) struct Shared {
+pub(super) struct SharedState {
     state: Mutex<State>,
     /// The number of changes so far; wakes held and waiting calls.
     change: watch::Sender<u64>,
@@ -148,12 +148,12 @@
     cut: Vec<IpAddr>,
     cut_data_centres: Vec<DataCentre>,
     limits: Limits,
-    window: Window,
+    window: RateWindow,
 }
 
 /// The calls in the current second.
 #[derive(Debug)]
-struct Window {
+struct RateWindow {
     start: Instant,
     reads: u32,
     writes: u32,
@@ -170,7 +170,7 @@
     /// Counts a call against its limit; returns `false` if the limit is exceeded.
     pub(super) fn count_against_limit(&mut self, kind: CallKind) -> bool {
         if self.window.start.elapsed() >= Duration::from_secs(1) {
-            self.window = Window {
+            self.window = RateWindow {
                 start: Instant::now(),
                 reads: 0,
                 writes: 0,
@@ -231,7 +231,7 @@
     }
 }
 
-impl Shared {
+impl SharedState {
     fn new(options: &PlatformOptions) -> Self {
         let state = State {
             objects: Objects::default(),
@@ -246,7 +246,7 @@
             cut: Vec::new(),
             cut_data_centres: Vec::new(),
             limits: Limits::default(),
-            window: Window {
+            window: RateWindow {
                 start: Instant::now(),
                 reads: 0,
                 writes: 0,
@@ -264,7 +264,7 @@
     }
 
     /// Wakes held and waiting calls, which then check the state again.
-    pub(super) fn changed(&self) {
+    pub(super) fn notify_change(&self) {
         self.change.send_modify(|n| *n += 1);
     }
 
@@ -276,11 +276,11 @@
     /// Applies a control command and wakes held and waiting calls.
     pub(super) fn control(&self, control: Control) {
         self.lock().apply(control);
-        self.changed();
+        self.notify_change();
     }
 }
 
-async fn accept(listener: TcpListener, shared: Arc<Shared>) {
+async fn accept(listener: TcpListener, shared: Arc<SharedState>) {
     let mut connections = JoinSet::new();
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
@@ -293,7 +293,7 @@
     }
 }
 
-async fn connection(stream: TcpStream, peer: SocketAddr, shared: Arc<Shared>) {
+async fn connection(stream: TcpStream, peer: SocketAddr, shared: Arc<SharedState>) {
     if let Err(e) = stream.set_nodelay(true) {
         log::debug!("event=nodelay-failed peer={peer} error=\"{e}\"");
     }
--- a/crates/rig/src/policy_comparison.rs
+++ b/crates/rig/src/policy_comparison.rs
@@ -18,13 +18,13 @@
 use gs_types::prelude::*;
 use strum::IntoEnumIterator;
 
-use crate::args::Table;
+use crate::args::TableArgs;
 use crate::scenario::Scenario;
 
 /// The duration of the load before faults are injected and requests are counted.
-const WARM_UP: Duration = Duration::from_secs(2);
+const WARM_UP_DURATION: Duration = Duration::from_secs(2);
 
-/// In scenarios with poisoned lookups, one lookup in this number is poisoned.
+/// In scenarios with poisoned lookups, one out of this many lookups is poisoned.
 const POISON_EVERY: u32 = 100;
 
 /// The measurement of one scenario under one policy.
@@ -50,7 +50,7 @@
 }
 
 /// Runs the comparison and prints it as Markdown.
-pub async fn run(args: &Table) -> Result<ExitCode> {
+pub async fn run(args: &TableArgs) -> Result<ExitCode> {
     let corpus = Arc::new(Corpus::read(&args.common.text)?);
     let mut lines = Vec::new();
     for scenario in Scenario::iter() {
@@ -80,7 +80,7 @@
 }
 
 async fn measure(
-    args: &Table,
+    args: &TableArgs,
     corpus: &Arc<Corpus>,
     scenario: Scenario,
     policy: &str,
@@ -96,11 +96,11 @@
         .settings(settings)
         .build();
     let d = Deployment::start(options).await?;
-    load_for(&d, args, scenario, WARM_UP, c.seed).await;
+    run_load(&d, args, scenario, WARM_UP_DURATION, c.seed).await;
     let before = d.servers.counts().summary().total;
     let (injected, tally) = tokio::join!(
         scenario.inject(&d, c.length),
-        load_for(&d, args, scenario, c.length, c.seed + 1),
+        run_load(&d, args, scenario, c.length, c.seed + 1),
     );
     injected?;
     let after = d.servers.counts().summary().total;
@@ -115,9 +115,9 @@
     })
 }
 
-async fn load_for(
+async fn run_load(
     d: &Deployment,
-    args: &Table,
+    args: &TableArgs,
     scenario: Scenario,
     length: Duration,
     seed: u64,
@@ -193,7 +193,7 @@
     );
 }
 
-fn print_table(args: &Table, lines: &[Measurement]) {
+fn print_table(args: &TableArgs, lines: &[Measurement]) {
     let rows: Vec<Row> = lines.iter().map(|l| l.row.clone()).collect();
     println!(
         "{}, {:?} a run, seed {}\n",
@@ -211,7 +211,7 @@
     }
 }
 
-fn plot(args: &Table, lines: &[Measurement]) -> Plot {
+fn plot(args: &TableArgs, lines: &[Measurement]) -> Plot {
     let mut scenarios: Vec<String> = Vec::new();
     for l in lines {
         let name = l.scenario.name().to_owned();
--- a/crates/rig/src/scenario.rs
+++ b/crates/rig/src/scenario.rs
@@ -93,26 +93,26 @@
     pub async fn inject(self, d: &Deployment, length: Duration) -> Result<()> {
         match self {
             Self::NoFault | Self::AtCapacity | Self::TwiceCapacity => Ok(()),
-            Self::Stragglers1 => stragglers(d, 0.01).await,
-            Self::Stragglers5 => stragglers(d, 0.05).await,
-            Self::ReplicaLost => lose_replicas(d).await,
-            Self::RollingDrain => drain(d, length).await,
+            Self::Stragglers1 => inject_stragglers(d, 0.01).await,
+            Self::Stragglers5 => inject_stragglers(d, 0.05).await,
+            Self::ReplicaLost => kill_replicas(d).await,
+            Self::RollingDrain => drain_in_turn(d, length).await,
             Self::Repartition => repartition(d, length).await,
-            Self::MisleadingLoad => mislead(d).await,
-            Self::Poison => poison(d, self.poison_word()).await,
+            Self::MisleadingLoad => inject_false_load(d).await,
+            Self::Poison => inject_poison(d, self.poison_word()).await,
             Self::StragglersAndReplicaLost => {
-                stragglers(d, 0.01).await?;
-                lose_replicas(d).await
+                inject_stragglers(d, 0.01).await?;
+                kill_replicas(d).await
             }
             Self::DrainAndRepartition => {
-                let (a, b) = tokio::join!(drain(d, length), repartition(d, length));
+                let (a, b) = tokio::join!(drain_in_turn(d, length), repartition(d, length));
                 a.and(b)
             }
         }
     }
 }
 
-async fn stragglers(d: &Deployment, share: f64) -> Result<()> {
+async fn inject_stragglers(d: &Deployment, share: f64) -> Result<()> {
     d.servers
         .apply(Command::Stragglers {
             server: None,
@@ -122,7 +122,7 @@
         .await
 }
 
-async fn poison(d: &Deployment, word: Option<&str>) -> Result<()> {
+async fn inject_poison(d: &Deployment, word: Option<&str>) -> Result<()> {
     d.servers
         .apply(Command::Poison {
             word: word.map(str::to_owned),
@@ -131,20 +131,20 @@
         .await
 }
 
-async fn lose_replicas(d: &Deployment) -> Result<()> {
-    for server in scattered(d, &|i, r| (i + r) % 3 == 0) {
+async fn kill_replicas(d: &Deployment) -> Result<()> {
+    for server in scatter_servers(d, &|i, r| (i + r) % 3 == 0) {
         d.servers.apply(Command::Kill { server }).await?;
     }
     Ok(())
 }
 
-async fn mislead(d: &Deployment) -> Result<()> {
-    for server in scattered(d, &|_, r| r == 0) {
+async fn inject_false_load(d: &Deployment) -> Result<()> {
+    for server in scatter_servers(d, &|_, r| r == 0) {
         let load = Some(MISLEADING_LOAD);
         let server = Some(server);
         d.servers.apply(Command::Mislead { server, load }).await?;
     }
-    for server in scattered(d, &|_, r| r == 1) {
+    for server in scatter_servers(d, &|_, r| r == 1) {
         let load = Some(0);
         let server = Some(server);
         d.servers.apply(Command::Mislead { server, load }).await?;
@@ -153,8 +153,8 @@
 }
 
 /// Drains and restarts one server of each of the first services, one after another.
-async fn drain(d: &Deployment, length: Duration) -> Result<()> {
-    let servers = scattered(d, &|i, r| i < 4 && r == 0);
+async fn drain_in_turn(d: &Deployment, length: Duration) -> Result<()> {
+    let servers = scatter_servers(d, &|i, r| i < 4 && r == 0);
     let each = length / u32::try_from(servers.len() + 1).unwrap_or(1);
     for server in servers {
         let name = server.clone();
@@ -174,7 +174,7 @@
         d.publish(g.name, new, g.services - g.services / 4)?;
     }
     tokio::time::sleep(length / 3).await;
-    for server in scattered(d, &|_, _| true) {
+    for server in scatter_servers(d, &|_, _| true) {
         let (server, snapshot) = (Some(server), old);
         d.servers
             .apply(Command::Forget { server, snapshot })
@@ -184,7 +184,7 @@
 }
 
 /// Returns the servers of the scatter groups whose service and replica numbers are wanted.
-fn scattered(d: &Deployment, is_wanted: &dyn Fn(u32, u32) -> bool) -> Vec<ServerName> {
+fn scatter_servers(d: &Deployment, is_wanted: &dyn Fn(u32, u32) -> bool) -> Vec<ServerName> {
     let mut out = Vec::new();
     for g in d.shape.groups.iter().filter(|g| g.services > 1) {
         for i in 0..g.services {
--- a/crates/rig/src/server/answer.rs
+++ b/crates/rig/src/server/answer.rs
@@ -108,7 +108,7 @@
     tokio::select! {
         resp = execute(server, &request) => resp,
         _ = &mut cancelled => {
-            server.common.counts.change(&server.spec.name, |c| c.cancelled += 1);
+            server.common.counts.update(&server.spec.name, |c| c.cancelled += 1);
             reply::empty(499, &[("x-attempt", &request.attempt)])
         }
         () = tokio::time::sleep_until(end) => reply::empty(504, &[("x-attempt", &request.attempt)]),
@@ -125,16 +125,16 @@
     let counts = &server.common.counts;
     counts.note_offer(&server.spec.name, draining);
     if draining.is_some() {
-        counts.change(&server.spec.name, |c| c.refused += 1);
+        counts.update(&server.spec.name, |c| c.refused += 1);
         return Some(reply::draining(&request.attempt));
     }
     if !snapshots.contains(&request.snapshot) || !server.spec.holds(request.shard) {
-        counts.change(&server.spec.name, |c| c.refused += 1);
+        counts.update(&server.spec.name, |c| c.refused += 1);
         return Some(reply::no_snapshot(&request.attempt, &snapshots));
     }
     let full = server.load.load(Ordering::Relaxed) >= server.spec.slots + server.spec.queue;
     if shed || full {
-        counts.change(&server.spec.name, |c| c.shed += 1);
+        counts.update(&server.spec.name, |c| c.shed += 1);
         return Some(reply::shed(&request.attempt));
     }
     None
@@ -144,7 +144,7 @@
     server
         .common
         .counts
-        .change(&server.spec.name, |c| c.cancelled += 1);
+        .update(&server.spec.name, |c| c.cancelled += 1);
     reply::empty(499, &[("x-attempt", attempt), ("x-not-run", "1")])
 }
 
--- a/crates/rig/src/server/counts.rs
+++ b/crates/rig/src/server/counts.rs
@@ -121,7 +121,7 @@
         }
     }
 
-    pub(super) fn change(&self, server: &ServerName, f: impl FnOnce(&mut ServerCounts)) {
+    pub(super) fn update(&self, server: &ServerName, f: impl FnOnce(&mut ServerCounts)) {
         let mut inner = self.lock();
         match inner.servers.get_mut(server) {
             Some(c) => f(c),
@@ -130,7 +130,7 @@
     }
 
     pub(super) fn note_run(&self, server: &ServerName, attempt: &str, key: Option<&str>) {
-        self.change(server, |c| c.runs += 1);
+        self.update(server, |c| c.runs += 1);
         let mut inner = self.lock();
         let n = inner
             .attempts
@@ -153,7 +153,7 @@
 
     pub(super) fn note_offer(&self, server: &ServerName, draining_for: Option<Duration>) {
         if draining_for.is_some_and(|d| d > DRAIN_NOTICE_MAX) {
-            self.change(server, |c| c.late_offers += 1);
+            self.update(server, |c| c.late_offers += 1);
         }
     }
 
--- a/crates/rig/src/server/listen.rs
+++ b/crates/rig/src/server/listen.rs
@@ -52,7 +52,7 @@
     }
     let (_connection_guard, open) = CountGuard::new(&server.open);
     let over = open > server.spec.connections;
-    server.common.counts.change(&server.spec.name, |c| {
+    server.common.counts.update(&server.spec.name, |c| {
         c.opened += 1;
         c.peak_open = c.peak_open.max(open);
         c.over_limit += u64::from(over);
--- a/crates/rig/src/server/servers.rs
+++ b/crates/rig/src/server/servers.rs
@@ -130,7 +130,7 @@
         match command {
             Command::Drain { server } => {
                 let now = Instant::now();
-                self.change(Some(&server), |f| f.draining = Some(now))
+                self.update_faults(Some(&server), |f| f.draining = Some(now))
             }
             Command::Kill { server } => {
                 self.server(&server)?.kill();
@@ -140,15 +140,15 @@
                 self.server(&server)?.restart().await;
                 Ok(())
             }
-            Command::Shed { server, on } => self.change(server.as_ref(), |f| f.shed = on),
+            Command::Shed { server, on } => self.update_faults(server.as_ref(), |f| f.shed = on),
             Command::Mislead { server, load } => {
-                self.change(server.as_ref(), |f| f.claimed_load = load)
+                self.update_faults(server.as_ref(), |f| f.claimed_load = load)
             }
             Command::Stragglers {
                 server,
                 share,
                 factor,
-            } => self.change(server.as_ref(), |f| {
+            } => self.update_faults(server.as_ref(), |f| {
                 f.straggle_share = share;
                 f.straggle_factor = factor;
             }),
@@ -157,14 +157,14 @@
                 *lock(&self.common.poison) = word.map(|w| (w, down));
                 Ok(())
             }
-            Command::Spoil { server, how, share } => self.change(server.as_ref(), |f| {
+            Command::Spoil { server, how, share } => self.update_faults(server.as_ref(), |f| {
                 f.reply_fault = how;
                 f.reply_fault_share = share;
             }),
-            Command::Hold { server, snapshot } => self.change(server.as_ref(), |f| {
+            Command::Hold { server, snapshot } => self.update_faults(server.as_ref(), |f| {
                 f.snapshots.insert(snapshot);
             }),
-            Command::Forget { server, snapshot } => self.change(server.as_ref(), |f| {
+            Command::Forget { server, snapshot } => self.update_faults(server.as_ref(), |f| {
                 f.snapshots.remove(&snapshot);
             }),
             Command::Cut { a, b } => {
@@ -203,7 +203,7 @@
         self.servers.0.get(name).ok_or_else(missing)
     }
 
-    fn change(&self, server: Option<&ServerName>, f: impl Fn(&mut Faults)) -> Result<()> {
+    fn update_faults(&self, server: Option<&ServerName>, f: impl Fn(&mut Faults)) -> Result<()> {
         match server {
             Some(name) => f(&mut self.server(name)?.faults()),
             None => self.servers.0.values().for_each(|s| f(&mut s.faults())),
--- a/crates/rig/src/server/state.rs
+++ b/crates/rig/src/server/state.rs
@@ -123,7 +123,7 @@
         }
         self.common
             .counts
-            .change(&self.spec.name, |c| c.crashes += 1);
+            .update(&self.spec.name, |c| c.crashes += 1);
         log::info!(
             "event=server-crashed server={} down={down:?}",
             self.spec.name
--- a/crates/rig/src/site/soak.rs
+++ b/crates/rig/src/site/soak.rs
@@ -112,26 +112,26 @@
         .vms(options.vms)
         .shards(options.shards)
         .build();
-    let mut run = ActiveSoak {
+    let mut active = ActiveSoak {
         site: Site::start(site).await?,
         rng: ChaCha8Rng::seed_from_u64(options.seed),
         pending_repairs: Vec::new(),
         outages: Vec::new(),
         report: SoakReport::default(),
     };
-    let load = Load::start(&run.site);
+    let load = Load::start(&active.site);
     let end = Instant::now() + options.length;
     while Instant::now() < end {
-        let wait = run.rng.random_range(100..700);
-        run.sleep_and_repair(Duration::from_millis(wait)).await?;
-        run.inject_fault().await?;
+        let wait = active.rng.random_range(100..700);
+        active.sleep_and_repair(Duration::from_millis(wait)).await?;
+        active.inject_fault().await?;
     }
-    run.repair_all().await?;
-    let unrecovered = recovery::unrecovered_vms(&run.site).await;
-    run.report.violations.extend(unrecovered);
+    active.repair_all().await?;
+    let unrecovered = recovery::unrecovered_vms(&active.site).await;
+    active.report.violations.extend(unrecovered);
     let requests = load.stop().await;
-    run.check_requests(&requests);
-    Ok(run.report)
+    active.check_requests(&requests);
+    Ok(active.report)
 }
 
 /// A soak in progress.
@@ -225,16 +225,16 @@
             site.backends[server].set_faults(faults);
             return Ok(Some(Repair::ServerFaults(server)));
         }
-        let link = |harm| {
-            site.backends[server].link().set_fault(harm);
+        let link = |fault| {
+            site.backends[server].link().set_fault(fault);
             Some(Repair::ServerLink(server))
         };
         let store = |fault| {
             site.store.set_fault(fault);
             Some(Repair::Store)
         };
-        let store_link = |harm| {
-            site.store_links[vm].set_fault(harm);
+        let store_link = |fault| {
+            site.store_links[vm].set_fault(fault);
             Some(Repair::StoreLink(vm))
         };
         Ok(match fault {
--- a/crates/rig/src/site_demo.rs
+++ b/crates/rig/src/site_demo.rs
@@ -11,13 +11,13 @@
 use gs_types::prelude::*;
 use tokio::time::Instant;
 
-use crate::args::Soak;
+use crate::args::SoakArgs;
 
 /// The delay between two requests of the only caller.
-const PAUSE: Duration = Duration::from_millis(5);
+const REQUEST_DELAY: Duration = Duration::from_millis(5);
 
 /// Sends requests to the VMs and routes in turn; exits with 1 if an answer was wrong or none was complete.
-pub(crate) async fn run(args: &Soak) -> Result<ExitCode> {
+pub(crate) async fn run(args: &SoakArgs) -> Result<ExitCode> {
     std::fs::create_dir_all(&args.dir)
         .map_err(|e| Error::new(ErrorKind::Io, e.to_string()).at("make a folder"))?;
     let options = SiteOptions::builder()
@@ -59,7 +59,7 @@
             }
         };
         *ends.entry((route.prefix.clone(), kind)).or_default() += 1;
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(REQUEST_DELAY).await;
     }
     latencies.sort_unstable();
     for ((prefix, kind), n) in &ends {
--- a/crates/rig/src/soak.rs
+++ b/crates/rig/src/soak.rs
@@ -7,10 +7,10 @@
 use gs_rig::site::soak;
 use gs_types::prelude::*;
 
-use crate::args::Soak;
+use crate::args::SoakArgs;
 
 /// Runs the seeds one after the other; exits with 1 if a guarantee was violated.
-pub(crate) async fn run(args: &Soak) -> Result<ExitCode> {
+pub(crate) async fn run(args: &SoakArgs) -> Result<ExitCode> {
     let mut broken = 0;
     for seed in args.seed..args.seed + args.seeds {
         let dir = args.dir.join(format!("soak-{seed}"));
--- a/crates/rig/src/storm.rs
+++ b/crates/rig/src/storm.rs
@@ -17,7 +17,7 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-use crate::args::Common;
+use crate::args::CommonArgs;
 
 /// The service time with which a shard of 2 servers × 2 slots runs [`CAPACITY_PER_S`] lookups per second.
 const SERVICE_TIME: Duration = Duration::from_millis(80);
@@ -29,10 +29,10 @@
 const SWEEP_LOADS: [f64; 5] = [0.8, 1.0, 1.2, 1.5, 2.0];
 
 /// The duration of the load before anything is counted.
-const WARM_UP: Duration = Duration::from_secs(2);
+const WARM_UP_DURATION: Duration = Duration::from_secs(2);
 
 /// The duration that one line of a storm's table covers.
-const SLICE: Duration = Duration::from_millis(500);
+const SLICE_DURATION: Duration = Duration::from_millis(500);
 
 /// The maximum number of resends of one request.
 const RESENDS_MAX: u32 = 5;
@@ -68,7 +68,7 @@
 }
 
 /// Runs the sweep and the storms for both policies, and prints Markdown.
-pub async fn run(c: &Common) -> Result<ExitCode> {
+pub async fn run(c: &CommonArgs) -> Result<ExitCode> {
     let corpus = Arc::new(Corpus::read(&c.text)?);
     println!("{}, seed {}, one lookup\n", c.deployment, c.seed);
     let (mut wrong, peak) = sweep(c, &corpus).await?;
@@ -86,7 +86,11 @@
     Ok(ExitCode::from(u8::from(wrong > 0)))
 }
 
-async fn start(c: &Common, corpus: &Arc<Corpus>, policy: &str) -> Result<Deployment> {
+async fn start_deployment(
+    c: &CommonArgs,
+    corpus: &Arc<Corpus>,
+    policy: &str,
+) -> Result<Deployment> {
     let options = DeploymentOptions::builder()
         .shape(c.shape.clone())
         .corpus(corpus.clone())
@@ -102,15 +106,15 @@
 
 /// Measures the complete pages per second at each load, with a separate deployment for each, and returns the
 /// number of wrong answers and the peak.
-async fn sweep(c: &Common, corpus: &Arc<Corpus>) -> Result<(usize, f64)> {
+async fn sweep(c: &CommonArgs, corpus: &Arc<Corpus>) -> Result<(usize, f64)> {
     println!(
         "| policy | load | asked | refused | whole pages a second |\n|---|---:|---:|---:|---:|"
     );
     let (mut wrong, mut peak) = (0, 0.0_f64);
     for policy in ["chosen", "baseline"] {
         for load in SWEEP_LOADS {
-            let d = start(c, corpus, policy).await?;
-            let length = WARM_UP + c.length;
+            let d = start_deployment(c, corpus, policy).await?;
+            let length = WARM_UP_DURATION + c.length;
             let resend_policy = ResendPolicy::Once;
             let phase = Phase {
                 load,
@@ -119,10 +123,10 @@
             };
             let samples = send_phases(&d, &[phase], c.seed).await;
             wrong += count(&samples, |s| s.wrong);
-            let sent: Vec<_> = within(&samples, WARM_UP, length).collect();
+            let sent: Vec<_> = sent_within(&samples, WARM_UP_DURATION, length).collect();
             // Counted by end time, so that a backlog served after the load does not count as goodput.
             let goodput = count(&samples, |s| {
-                s.complete && s.ended >= WARM_UP && s.ended < length
+                s.complete && s.ended >= WARM_UP_DURATION && s.ended < length
             });
             let goodput = goodput as f64 / c.length.as_secs_f64();
             peak = peak.max(goodput);
@@ -141,25 +145,29 @@
 ///
 /// With [`ResendPolicy::Once`] the load stays normal throughout, as a control run.
 async fn storm(
-    c: &Common,
+    c: &CommonArgs,
     corpus: &Arc<Corpus>,
     unit: f64,
     resend_policy: ResendPolicy,
     policy: &str,
 ) -> Result<usize> {
-    let d = start(c, corpus, policy).await?;
-    let normal = |s| phase(0.6 * unit, s, ResendPolicy::Once);
+    let d = start_deployment(c, corpus, policy).await?;
+    let normal = |s| new_phase(0.6 * unit, s, ResendPolicy::Once);
     let storm = if resend_policy == ResendPolicy::Once {
         0.6
     } else {
         3.0
     };
-    let phases = [normal(6), phase(storm * unit, 4, resend_policy), normal(6)];
+    let phases = [
+        normal(6),
+        new_phase(storm * unit, 4, resend_policy),
+        normal(6),
+    ];
     let (begin, end) = (phases[0].length, phases[0].length + phases[1].length);
     let before_runs = d.servers.counts().summary().total;
     let samples = send_phases(&d, &phases, c.seed).await;
     let total = d.servers.counts().summary().total;
-    let before = latency_ms(within(&samples, WARM_UP, begin), 0.99);
+    let before = latency_ms(sent_within(&samples, WARM_UP_DURATION, begin), 0.99);
     println!(
         "storm of {resend_policy:?}, {policy}; p99 before {before:.1} ms; servers ran {} parts, shed {}, connections opened {}\n",
         total.runs - before_runs.runs,
@@ -172,7 +180,7 @@
     let (mut recovered, mut outside) = (None, 0);
     let mut at = Duration::ZERO;
     while at < end + phases[2].length {
-        let slice = || within(&samples, at, at + SLICE);
+        let slice = || sent_within(&samples, at, at + SLICE_DURATION);
         let (p99, refused) = (
             latency_ms(slice(), 0.99),
             slice().filter(|s| s.refused).count(),
@@ -184,13 +192,13 @@
             slice().filter(|s| s.complete).count(),
             latency_ms(slice(), 0.5)
         );
-        at += SLICE;
+        at += SLICE_DURATION;
         let is_normal = p99 > 0.0 && p99 <= NORMAL_LATENCY_FACTOR * before && refused == 0;
         if at > end && is_normal && recovered.is_none() {
             recovered = Some(at - end);
         }
         // The first 2 s after the storm are allowed for recovery.
-        outside += usize::from(at > end + WARM_UP && !is_normal);
+        outside += usize::from(at > end + WARM_UP_DURATION && !is_normal);
     }
     println!(
         "\nback to normal at the end of the first such half second: {recovered:?} after the storm; later than 2 s after it {outside} of 8 are not normal; fill by VM {}\n",
@@ -211,7 +219,7 @@
     out.join(" ")
 }
 
-fn phase(load: f64, seconds: u64, resend_policy: ResendPolicy) -> Phase {
+fn new_phase(load: f64, seconds: u64, resend_policy: ResendPolicy) -> Phase {
     let length = Duration::from_secs(seconds);
     Phase {
         load,
@@ -284,7 +292,7 @@
     requests.join_all().await.into_iter().flatten().collect()
 }
 
-fn within(samples: &[Sample], from: Duration, to: Duration) -> impl Iterator<Item = &Sample> {
+fn sent_within(samples: &[Sample], from: Duration, to: Duration) -> impl Iterator<Item = &Sample> {
     samples
         .iter()
         .filter(move |s| s.sent >= from && s.sent < to)
