--- a/crates/rig/src/args.rs
+++ b/crates/rig/src/args.rs
@@ -12,94 +12,94 @@
 use gs_rig::deploy::Shape;
 use gs_types::prelude::*;
 
-/// What every subcommand that starts a deployment takes.
+/// The options of every subcommand that starts a deployment.
 #[derive(Clone, Debug)]
-pub struct Common {
+pub struct CommonArgs {
     /// The `gentiansill` program.
     pub bin: PathBuf,
-    /// The folder whose text is indexed.
+    /// The directory whose text is indexed.
     pub text: PathBuf,
-    /// The sizes.
+    /// The sizes and delays of the deployment.
     pub shape: Shape,
     /// The deployment's name.
     pub deployment: String,
-    /// How long each run takes requests.
+    /// The duration of each load run.
     pub length: Duration,
-    /// The seed of everything drawn.
+    /// The seed of all random choices.
     pub seed: u64,
 }
 
-/// The most VMs of a soak: each is a process.
+/// The maximum number of VMs of a soak; each is a process.
 const VMS_MAX: u64 = 60;
 
-/// `gs-rig soak` and `gs-rig site`.
+/// The options of `gs-rig soak` and `gs-rig site`.
 #[derive(Clone, Debug)]
-pub struct Soak {
+pub struct SoakArgs {
     /// The `gentiansill` program.
     pub bin: PathBuf,
-    /// Where settings and logs go.
+    /// The directory for settings and logs.
     pub dir: PathBuf,
     /// The first seed.
     pub seed: u64,
-    /// How many seeds.
+    /// The number of seeds.
     pub seeds: u64,
-    /// How long faults come, in seconds.
+    /// The duration during which faults are injected, in seconds.
     pub seconds: u64,
-    /// VMs.
+    /// The number of VMs.
     pub vms: usize,
-    /// Shards.
+    /// The number of shards.
     pub shards: usize,
 }
 
-/// `gs-rig demo`.
+/// The options of `gs-rig demo`.
 #[derive(Clone, Debug)]
-pub struct Demo {
-    /// Common options.
-    pub common: Common,
-    /// Arrivals a second.
+pub struct DemoArgs {
+    /// CommonArgs options.
+    pub common: CommonArgs,
+    /// Arrivals per second.
     pub rate: f64,
-    /// Where commands to the stand-ins are taken.
+    /// The address of the control port for the stand-ins.
     pub control: SocketAddr,
 }
 
-/// `gs-rig table`.
+/// The options of `gs-rig table`.
 #[derive(Clone, Debug)]
-pub struct Table {
-    /// Common options.
-    pub common: Common,
-    /// The scenarios, all if empty.
+pub struct TableArgs {
+    /// CommonArgs options.
+    pub common: CommonArgs,
+    /// The scenarios to run; all if empty.
     pub scenarios: Vec<String>,
-    /// The policies compared.
+    /// The policies to compare.
     pub policies: Vec<String>,
-    /// Where the plot goes.
+    /// The file for the plot.
     pub svg: Option<PathBuf>,
 }
 
-/// `gs-rig cost`.
+/// The options of `gs-rig cost`.
 #[derive(Clone, Debug)]
-pub struct Cost {
-    /// Common options.
-    pub common: Common,
-    /// Arrivals a second.
+pub struct CostArgs {
+    /// CommonArgs options.
+    pub common: CommonArgs,
+    /// Arrivals per second.
     pub rate: f64,
 }
 
-/// `gs-rig bare`.
+/// The options of `gs-rig bare`.
 #[derive(Clone, Debug)]
-pub struct Bare {
-    /// The servers asked, one for each shard.
+pub struct BareArgs {
+    /// The servers to query, one for each shard.
     pub servers: Vec<SocketAddr>,
-    /// The address that connections start from.
+    /// The source address of the connections.
     pub source: std::net::IpAddr,
-    /// Arrivals a second.
+    /// Arrivals per second.
     pub rate: f64,
-    /// How long requests arrive.
+    /// The duration of the arrivals.
     pub length: Duration,
     /// The seed of the arrivals.
     pub seed: u64,
 }
 
-/// The whole command line.
+/// Returns the definition of the command line.
 pub fn command() -> Command {
     Command::new("gs-rig")
         .about("Runs gentiansill with stand-ins for everything around it, and measures it")
@@ -204,9 +204,9 @@
     )
 }
 
-/// What both take; `site` has no use for seeds.
+/// Adds the arguments of `soak` and `site`; `site` ignores the seeds.
 fn site_args(command: Command, dir: &'static str) -> Command {
-    let whole = |name: &'static str, default: &'static str, help: &'static str| {
+    let integer_arg = |name: &'static str, default: &'static str, help: &'static str| {
         Arg::new(name)
             .long(name)
             .value_name("N")
@@ -217,11 +217,15 @@
     command
         .arg(path("bin", "The gentiansill program").default_value("target/release/gentiansill"))
         .arg(path("dir", "Where settings and logs go").default_value(dir))
-        .arg(whole("seed", "1", "The first seed"))
-        .arg(whole("seeds", "1", "How many seeds, one after the other"))
-        .arg(whole("seconds", "20", "How long faults come"))
-        .arg(whole("vms", "3", "VMs, at most 60"))
-        .arg(whole("shards", "6", "Shards of two servers each"))
+        .arg(integer_arg("seed", "1", "The first seed"))
+        .arg(integer_arg(
+            "seeds",
+            "1",
+            "How many seeds, one after the other",
+        ))
+        .arg(integer_arg("seconds", "20", "How long faults come"))
+        .arg(integer_arg("vms", "3", "VMs, at most 60"))
+        .arg(integer_arg("shards", "6", "Shards of two servers each"))
 }
 
 fn path(name: &'static str, help: &'static str) -> Arg {
@@ -250,14 +254,14 @@
         .help(help)
 }
 
-/// Reads `gs-rig soak` and `gs-rig site`.
-pub fn soak(m: &ArgMatches) -> Result<Soak> {
+/// Reads the options of `gs-rig soak` and `gs-rig site`.
+pub fn soak(m: &ArgMatches) -> Result<SoakArgs> {
     let vms: u64 = read(m, "vms")?;
     if vms == 0 || vms > VMS_MAX {
         return Err(Error::new(ErrorKind::BadInput, "`vms` is out of range")
             .with_hint(format!("give 1 to {VMS_MAX}")));
     }
-    Ok(Soak {
+    Ok(SoakArgs {
         bin: read(m, "bin")?,
         dir: read(m, "dir")?,
         seed: read(m, "seed")?,
@@ -268,22 +272,22 @@
     })
 }
 
-/// Reads `gs-rig demo`.
-pub fn demo(m: &ArgMatches) -> Result<Demo> {
-    Ok(Demo {
+/// Reads the options of `gs-rig demo`.
+pub fn demo(m: &ArgMatches) -> Result<DemoArgs> {
+    Ok(DemoArgs {
         common: read_common(m)?,
         rate: read(m, "rate")?,
         control: read(m, "control")?,
     })
 }
 
-/// Reads `gs-rig table`.
-pub fn table(m: &ArgMatches) -> Result<Table> {
+/// Reads the options of `gs-rig table`.
+pub fn table(m: &ArgMatches) -> Result<TableArgs> {
     let mut policies = read_list(m, "policy");
     if policies.is_empty() {
         policies = vec!["chosen".to_owned(), "baseline".to_owned()];
     }
-    Ok(Table {
+    Ok(TableArgs {
         common: read_common(m)?,
         scenarios: read_list(m, "scenario"),
         policies,
@@ -291,26 +295,26 @@
     })
 }
 
-/// Reads `gs-rig cost`.
-pub fn cost(m: &ArgMatches) -> Result<Cost> {
-    Ok(Cost {
+/// Reads the options of `gs-rig cost`.
+pub fn cost(m: &ArgMatches) -> Result<CostArgs> {
+    Ok(CostArgs {
         common: read_common(m)?,
         rate: read(m, "rate")?,
     })
 }
 
-/// Reads `gs-rig storm`.
-pub fn storm(m: &ArgMatches) -> Result<Common> {
+/// Reads the options of `gs-rig storm`.
+pub fn storm(m: &ArgMatches) -> Result<CommonArgs> {
     read_common(m)
 }
 
-/// Reads `gs-rig bare`.
-pub fn bare(m: &ArgMatches) -> Result<Bare> {
+/// Reads the options of `gs-rig bare`.
+pub fn bare(m: &ArgMatches) -> Result<BareArgs> {
     let servers: std::result::Result<_, _> = read_list(m, "server")
         .iter()
         .map(|s| s.parse::<SocketAddr>())
         .collect();
-    Ok(Bare {
+    Ok(BareArgs {
         servers: servers.map_err(|e| Error::new(ErrorKind::BadInput, e.to_string()))?,
         source: read(m, "source")?,
         rate: read(m, "rate")?,
@@ -319,13 +323,13 @@
     })
 }
 
-fn read_common(m: &ArgMatches) -> Result<Common> {
+fn read_common(m: &ArgMatches) -> Result<CommonArgs> {
     let deployment: String = read(m, "deployment")?;
     let shape = match deployment.as_str() {
         "lankapura" => Shape::lankapura(),
         _ => Shape::derwent_quill(),
     };
-    Ok(Common {
+    Ok(CommonArgs {
         bin: read(m, "bin")?,
         text: read(m, "text")?,
         shape,
--- a/crates/rig/src/bare.rs
+++ b/crates/rig/src/bare.rs
@@ -1,4 +1,4 @@
-//! `gs-rig bare`: the same fan-out with nothing but a hyper client, as the measure of cost.
+//! `gs-rig bare`: the same fan-out with a plain hyper client, as the baseline for costs.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -19,12 +19,12 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-use crate::args::Bare;
+use crate::args::BareArgs;
 
 type Http = Client<HttpConnector, Full<Bytes>>;
 
-/// Fans out at a steady rate and prints parts, processor time and median latency as JSON.
-pub async fn run(args: &Bare) -> Result<ExitCode> {
+/// Sends fan-outs at a given mean rate and prints parts, processor time and median latency as JSON.
+pub async fn run(args: &BareArgs) -> Result<ExitCode> {
     let mut connector = HttpConnector::new();
     connector.set_nodelay(true);
     connector.set_local_address(Some(args.source));
@@ -45,8 +45,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Parts and microseconds of each fan-out.
-async fn fan_outs(args: &Bare, http: &Http) -> Vec<(u64, u64)> {
+/// Returns the number of parts and the duration in microseconds of each fan-out.
+async fn fan_outs(args: &BareArgs, http: &Http) -> Vec<(u64, u64)> {
     let mut rng = ChaCha8Rng::seed_from_u64(args.seed);
     let mut running = JoinSet::new();
     let mut ended = Vec::new();
@@ -90,10 +90,10 @@
             ok.then_some(())
         });
     }
-    let mut whole = 0;
+    let mut complete = 0;
     while let Some(part) = parts.join_next().await {
-        whole += u64::from(matches!(part, Ok(Some(()))));
+        complete += u64::from(matches!(part, Ok(Some(()))));
     }
-    let micros = u64::try_from(start.elapsed().as_micros()).unwrap_or(u64::MAX);
-    (whole, micros)
+    let duration_us = u64::try_from(start.elapsed().as_micros()).unwrap_or(u64::MAX);
+    (complete, duration_us)
 }
--- a/crates/rig/src/scenario.rs
+++ b/crates/rig/src/scenario.rs
@@ -1,4 +1,4 @@
-//! The faults of the comparison, each put on while the load runs.
+//! The scenarios of the policy comparison; each injects its faults while the load runs.
 
 use std::time::Duration;
 
@@ -8,55 +8,55 @@
 use strum::EnumIter;
 use strum::IntoStaticStr;
 
-/// How many times the service time a straggler takes.
+/// The factor by which the service time of a straggler grows.
 const STRAGGLER_FACTOR: f64 = 10.0;
 
-/// The word that crashes servers, in no text that is indexed but this one.
-const POISON: &str = "crashingword";
+/// The word that crashes servers; of all indexed files, only this one contains it.
+const POISON_WORD: &str = "crashingword";
 
-/// How long a poisoned server stays down, in milliseconds.
+/// The time until a crashed server restarts, in milliseconds.
 const POISON_DOWN_MS: u64 = 1000;
 
-/// A load that no server can have, claimed by misleading ones.
-const FALSE_LOAD: u32 = 1000;
+/// The false load that misleading servers report, higher than any true load.
+const MISLEADING_LOAD: u32 = 1000;
 
-/// One line of the comparison.
+/// A scenario of the comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Scenario {
-    /// Nothing.
+    /// No fault.
     NoFault,
     /// One request in a hundred takes ten times as long.
     Stragglers1,
-    /// Five requests in a hundred do.
+    /// Five requests in a hundred take ten times as long.
     Stragglers5,
-    /// Every server of the scatter groups in the first data centre is down.
+    /// All servers of the scatter groups in the first data centre are down.
     ReplicaLost,
     /// One server after another drains and restarts.
     RollingDrain,
     /// Every scatter group gets a new snapshot with other shards, and drops the old one.
     Repartition,
-    /// Idle servers claim a load, and every other one claims none.
+    /// One replica of each service reports a high load, and the other reports none.
     MisleadingLoad,
-    /// The servers take twenty times as long, and the load is 0.9 of what they can do.
+    /// The servers take twenty times as long, and the load is 0.9 of their capacity.
     AtCapacity,
-    /// As before, with twice the load.
+    /// The same with a load of twice the capacity.
     TwiceCapacity,
-    /// A lookup crashes servers and is sent again and again.
+    /// A lookup crashes servers, and callers resend it.
     Poison,
-    /// Stragglers while the replicas of a data centre are lost.
+    /// One request in a hundred is a straggler while the replicas of a data centre are down.
     StragglersAndReplicaLost,
     /// Drains during a repartition.
     DrainAndRepartition,
 }
 
 impl Scenario {
-    /// Its name.
+    /// Returns its name.
     pub fn name(self) -> &'static str {
         self.into()
     }
 
-    /// The mean service time of the servers under it.
+    /// Returns the mean service time of the servers.
     pub fn service_time(self) -> Duration {
         match self {
             Self::AtCapacity | Self::TwiceCapacity => Duration::from_millis(80),
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Arrivals a second: the capacity scenarios load one group, whose shards run 2 servers × 2
-    /// slots / 80 ms = 50 lookups a second.
+    /// Returns the arrivals per second. The capacity scenarios load one group, whose shards can run
+    /// 2 servers × 2 slots / 80 ms = 50 lookups per second.
     pub fn rate(self) -> f64 {
         match self {
             Self::AtCapacity => 45.0,
@@ -74,45 +74,45 @@
         }
     }
 
-    /// Whether only the first lookup of the deployment is asked.
-    pub fn one_lookup(self) -> bool {
+    /// Whether the load consists of one lookup of the deployment only.
+    pub fn is_one_lookup(self) -> bool {
         matches!(self, Self::AtCapacity | Self::TwiceCapacity)
     }
 
-    /// Whether callers ask again after a refusal.
-    pub fn resends(self) -> bool {
+    /// Whether callers resend requests that got no page.
+    pub fn has_resends(self) -> bool {
         self == Self::Poison
     }
 
-    /// The word that poisons, if it does.
-    pub fn poison(self) -> Option<&'static str> {
-        (self == Self::Poison).then_some(POISON)
+    /// Returns the word that crashes servers, if the scenario has one.
+    pub fn poison_word(self) -> Option<&'static str> {
+        (self == Self::Poison).then_some(POISON_WORD)
     }
 
-    /// Puts the fault on, over at most `length`.
-    pub async fn drive(self, d: &Deployment, length: Duration) -> Result<()> {
+    /// Injects the faults, over at most `length`.
+    pub async fn inject(self, d: &Deployment, length: Duration) -> Result<()> {
         match self {
             Self::NoFault | Self::AtCapacity | Self::TwiceCapacity => Ok(()),
-            Self::Stragglers1 => stragglers(d, 0.01).await,
-            Self::Stragglers5 => stragglers(d, 0.05).await,
-            Self::ReplicaLost => lose_replicas(d).await,
-            Self::RollingDrain => drain(d, length).await,
+            Self::Stragglers1 => inject_stragglers(d, 0.01).await,
+            Self::Stragglers5 => inject_stragglers(d, 0.05).await,
+            Self::ReplicaLost => kill_replicas(d).await,
+            Self::RollingDrain => drain_in_turn(d, length).await,
             Self::Repartition => repartition(d, length).await,
-            Self::MisleadingLoad => mislead(d).await,
-            Self::Poison => poison(d, self.poison()).await,
+            Self::MisleadingLoad => inject_false_load(d).await,
+            Self::Poison => inject_poison(d, self.poison_word()).await,
             Self::StragglersAndReplicaLost => {
-                stragglers(d, 0.01).await?;
-                lose_replicas(d).await
+                inject_stragglers(d, 0.01).await?;
+                kill_replicas(d).await
             }
             Self::DrainAndRepartition => {
-                let (a, b) = tokio::join!(drain(d, length), repartition(d, length));
+                let (a, b) = tokio::join!(drain_in_turn(d, length), repartition(d, length));
                 a.and(b)
             }
         }
     }
 }
 
-async fn stragglers(d: &Deployment, share: f64) -> Result<()> {
+async fn inject_stragglers(d: &Deployment, share: f64) -> Result<()> {
     d.servers
         .apply(Command::Stragglers {
             server: None,
@@ -122,7 +122,7 @@
         .await
 }
 
-async fn poison(d: &Deployment, word: Option<&str>) -> Result<()> {
+async fn inject_poison(d: &Deployment, word: Option<&str>) -> Result<()> {
     d.servers
         .apply(Command::Poison {
             word: word.map(str::to_owned),
@@ -131,20 +131,20 @@
         .await
 }
 
-async fn lose_replicas(d: &Deployment) -> Result<()> {
-    for server in scattered(d, &|i, r| (i + r) % 3 == 0) {
+async fn kill_replicas(d: &Deployment) -> Result<()> {
+    for server in scatter_servers(d, &|i, r| (i + r) % 3 == 0) {
         d.servers.apply(Command::Kill { server }).await?;
     }
     Ok(())
 }
 
-async fn mislead(d: &Deployment) -> Result<()> {
-    for server in scattered(d, &|_, r| r == 0) {
-        let load = Some(FALSE_LOAD);
+async fn inject_false_load(d: &Deployment) -> Result<()> {
+    for server in scatter_servers(d, &|_, r| r == 0) {
+        let load = Some(MISLEADING_LOAD);
         let server = Some(server);
         d.servers.apply(Command::Mislead { server, load }).await?;
     }
-    for server in scattered(d, &|_, r| r == 1) {
+    for server in scatter_servers(d, &|_, r| r == 1) {
         let load = Some(0);
         let server = Some(server);
         d.servers.apply(Command::Mislead { server, load }).await?;
@@ -153,8 +153,8 @@
 }
 
 /// Drains and restarts one server of each of the first services, one after another.
-async fn drain(d: &Deployment, length: Duration) -> Result<()> {
-    let servers = scattered(d, &|i, r| i < 4 && r == 0);
+async fn drain_in_turn(d: &Deployment, length: Duration) -> Result<()> {
+    let servers = scatter_servers(d, &|i, r| i < 4 && r == 0);
     let each = length / u32::try_from(servers.len() + 1).unwrap_or(1);
     for server in servers {
         let name = server.clone();
@@ -165,7 +165,7 @@
     Ok(())
 }
 
-/// A third into the run there is a new snapshot, two thirds into it the old one is gone.
+/// Publishes a new snapshot after a third of the run, and drops the old one after two thirds.
 async fn repartition(d: &Deployment, length: Duration) -> Result<()> {
     let (old, new) = (SnapshotId(1), SnapshotId(2));
     tokio::time::sleep(length / 3).await;
@@ -174,7 +174,7 @@
         d.publish(g.name, new, g.services - g.services / 4)?;
     }
     tokio::time::sleep(length / 3).await;
-    for server in scattered(d, &|_, _| true) {
+    for server in scatter_servers(d, &|_, _| true) {
         let (server, snapshot) = (Some(server), old);
         d.servers
             .apply(Command::Forget { server, snapshot })
@@ -183,12 +183,12 @@
     Ok(())
 }
 
-/// The servers of the scatter groups whose service and replica numbers fit.
-fn scattered(d: &Deployment, fits: &dyn Fn(u32, u32) -> bool) -> Vec<ServerName> {
+/// Returns the servers of the scatter groups whose service and replica numbers are wanted.
+fn scatter_servers(d: &Deployment, is_wanted: &dyn Fn(u32, u32) -> bool) -> Vec<ServerName> {
     let mut out = Vec::new();
     for g in d.shape.groups.iter().filter(|g| g.services > 1) {
         for i in 0..g.services {
-            for r in (0..g.replicas).filter(|r| fits(i, *r)) {
+            for r in (0..g.replicas).filter(|r| is_wanted(i, *r)) {
                 let name = format!("{}-{i}-{r}", g.name);
                 out.extend(name.parse::<ServerName>());
             }
--- a/crates/rig/tests/checker.rs
+++ b/crates/rig/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker accepts the one right page and names what is wrong with any other.
+//! The checker accepts the right page only, and names the fault of any other.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,16 +6,16 @@
 use gs_rig::corpus::Corpus;
 use gs_rig::deploy::Shape;
 use gs_rig::deploy::Snapshots;
-use gs_rig::load::AskMix;
 use gs_rig::load::CallerAnswer;
 use gs_rig::load::Checker;
 use gs_rig::load::Fault;
-use gs_rig::load::LookupAsk;
+use gs_rig::load::LookupMix;
+use gs_rig::load::LookupRequest;
 use gs_rig::load::Reply;
 use gs_rig::net::Net;
+use gs_rig::reference::ReferenceSearch;
+use gs_rig::reference::SearchRequest;
 use gs_rig::server::Servers;
-use gs_rig::truth::Ask;
-use gs_rig::truth::Truth;
 use gs_types::prelude::*;
 use rstest::rstest;
 
@@ -24,8 +24,8 @@
 
 struct Bench {
     checker: Checker,
-    truth: Arc<Truth>,
-    ask: LookupAsk,
+    reference: Arc<ReferenceSearch>,
+    request: LookupRequest,
 }
 
 async fn bench(lookup: &str) -> Bench {
@@ -34,7 +34,7 @@
     let specs = shape
         .servers(Duration::from_millis(1), 1)
         .expect("names that fit");
-    let net = Arc::new(Net::fresh(Duration::ZERO));
+    let net = Arc::new(Net::with_unused_network(Duration::ZERO));
     let servers = Servers::start(net, specs.clone())
         .await
         .expect("free ports");
@@ -42,25 +42,27 @@
     snapshots
         .publish(&servers, "bulletin-desk", SNAPSHOT, SHARDS)
         .expect("published");
-    let truth = Arc::new(Truth::new(corpus.clone()));
+    let reference = Arc::new(ReferenceSearch::new(corpus.clone()));
     Bench {
-        checker: Checker::new(truth.clone(), snapshots, servers),
-        truth,
-        ask: AskMix::new(&shape, &corpus, 1).only(&[lookup]).draw(),
+        checker: Checker::new(reference.clone(), snapshots, servers),
+        reference,
+        request: LookupMix::new(&shape, &corpus, 1).only(&[lookup]).draw(),
     }
 }
 
 impl Bench {
-    /// The right answer where these shards are missing.
+    /// Returns the right answer if these shards are missing.
     fn right(&self, missing: &[u32]) -> Answer {
-        let ask = Ask {
-            query: &self.ask.query,
+        let request = SearchRequest {
+            query: &self.request.query,
             key: None,
             snapshot: SNAPSHOT,
             shards: SHARDS,
-            page: self.ask.lookup.page as usize,
+            page: self.request.lookup.page as usize,
         };
-        let part = self.truth.brute_force(&ask, &|s| !missing.contains(&s.0));
+        let part = self
+            .reference
+            .search(&request, &|s| !missing.contains(&s.0));
         let missing = missing.iter().map(|n| MissingShard {
             shard: ShardId(*n),
             reason: MissReason::Late,
@@ -83,8 +85,8 @@
     fn check(&self, page: Answer) -> Option<Fault> {
         let answer = CallerAnswer {
             request_id: "v.1.2".to_owned(),
-            front: self.ask.front.to_owned(),
-            lookup: self.ask.lookup.name.to_owned(),
+            front: self.request.front.to_owned(),
+            lookup: self.request.lookup.name.to_owned(),
             outcome: Outcome::Answered(page),
         };
         let reply = Reply::Outcome {
@@ -92,7 +94,7 @@
             retry_after: false,
             answer: Box::new(answer),
         };
-        self.checker.check(&self.ask, &reply)
+        self.checker.check(&self.request, &reply)
     }
 }
 
