--- a/crates/follow/src/lib.rs
+++ b/crates/follow/src/lib.rs
@@ -4,8 +4,9 @@
 //! This needs no agreement between VMs: every VM computes the same candidates from the list of VMs. Where two lists
 //! differ, a VM that does not query the register reports so, and its follower tries the next candidate.
 //!
-//! [`candidates()`] ranks the VMs, [`SourceSelector`] is the state machine that chooses whom to follow, [`PollSchedule`] schedules
-//! the polls of the list of VMs, and [`Mirror`] holds the known objects of one kind and their changes, for followers.
+//! [`candidates()`] ranks the VMs, [`SourceSelector`] is the state machine that chooses whom to follow,
+//! [`PollSchedule`] schedules the polls of the list of VMs, and [`Mirror`] holds the known objects of one kind and
+//! their changes, for followers.
 //!
 //! ```
 //! use gs_follow::Mirror;
--- a/crates/follow/src/source_selector.rs
+++ b/crates/follow/src/source_selector.rs
@@ -1,7 +1,7 @@
 //! Chooses the source from which a VM learns the register's contents: the register itself or a peer.
 //!
-//! Hundreds of VMs that each queried the register for every change, and all of them again after each outage, would
-//! overload it. The choice also handles direct VMs that are killed, paused, or partitioned from the register or
+//! If each of hundreds of VMs queried the register for every change, and all of them again after each outage, they
+//! would overload it. The choice also handles direct VMs that are killed, paused, or partitioned from the register or
 //! from their followers.
 
 use std::collections::HashMap;
@@ -125,7 +125,7 @@
         all
     }
 
-    /// Puts a peer into backoff that did not answer or does not query the register, and chooses again.
+    /// Puts a peer that did not answer or does not query the register into backoff, and chooses again.
     pub fn on_peer_failed(&mut self, now: Instant, name: &VmId) {
         let failures = self.backoffs.get(name).map_or(0, |b| b.failures);
         let until = now + PEER_BACKOFF_MIN * (1 << failures.min(BACKOFF_DOUBLINGS_MAX));
--- a/crates/follow/tests/follow/source_selector.rs
+++ b/crates/follow/tests/follow/source_selector.rs
@@ -82,7 +82,7 @@
     assert_eq!(followed(&with_failures("vm-08")), "vm-02");
 }
 
-/// A VM that is partitioned from all others must query the register, rather than receive nothing.
+/// A VM that is partitioned from all others but not from the register must query it, rather than receive nothing.
 #[test]
 fn a_vm_that_no_candidate_answers_asks_by_itself() {
     let now = Instant::now();
@@ -158,7 +158,7 @@
     assert_eq!(peer(&s), before);
 }
 
-/// The source, and with it a call to the register, must not change at every poll of the list of VMs.
+/// The source must not change at every poll of the list of VMs, as each change costs a call to the register.
 #[test]
 fn a_list_that_changes_little_keeps_the_source() {
     let now = Instant::now();
--- a/crates/relay/src/admission.rs
+++ b/crates/relay/src/admission.rs
@@ -76,7 +76,8 @@
         Ok(())
     }
 
-    /// Refuses a request too few of whose parts have a server to give an answer.
+    /// Refuses a request that cannot be answered because too few of its parts have an available
+    /// server.
     pub(crate) fn check_servers_reachable(
         &mut self,
         now: Instant,
@@ -157,8 +158,8 @@
         Some(*last)
     }
 
-    /// Returns `Some` if too few parts have a server to give an answer, with the time at which the
-    /// next one becomes available, if that is known.
+    /// Returns `Some` if too few parts have an available server for an answer, with the time at
+    /// which the next server becomes available, if that is known.
     fn unreachable_until(
         &mut self,
         now: Instant,
--- a/crates/relay/src/attempt_end.rs
+++ b/crates/relay/src/attempt_end.rs
@@ -27,7 +27,8 @@
         out: &mut Vec<Action>,
     ) {
         if let Some((server, begun, route)) = self.core.orphaned_attempts.remove(&id) {
-            // Its request has ended; the queue ahead of the attempt is no longer known.
+            // Its request has ended, and with it the record of the queue ahead of the attempt: the
+            // time that it would have taken on an idle server is not known.
             self.core
                 .update_server_health(now, server, id, (begun, 0.0), &route, &end);
             return;
@@ -194,7 +195,7 @@
         self.try_part(now, request, index, cause, out);
     }
 
-    /// Returns whether a server is not known to be unreachable.
+    /// Returns whether a server is known and was not unreachable at the last contact.
     fn was_reachable(&self, server: ServerKey) -> bool {
         let view = self.servers.get(server);
         view.is_some_and(|v| !v.was_unreachable())
--- a/crates/relay/src/attempt_log.rs
+++ b/crates/relay/src/attempt_log.rs
@@ -11,8 +11,8 @@
 use crate::attempt::Cause;
 use crate::servers::Servers;
 
-/// The most records of one request; parts that were complete after their initial attempt are
-/// skipped.
+/// The most records of one request; parts that were complete after their initial attempt explain
+/// nothing and are skipped.
 const RECORDS_MAX: usize = 24;
 
 /// One attempt of a request, as logged.
--- a/crates/relay/src/budget.rs
+++ b/crates/relay/src/budget.rs
@@ -76,7 +76,7 @@
         true
     }
 
-    /// Returns to the budget the extra attempt that was taken last, as it was never sent.
+    /// Gives back the extra attempt taken last, which was never sent.
     pub fn give_back(&mut self) {
         if let Some(b) = self.buckets.back_mut()
             && b.extra > 0
--- a/crates/relay/src/bundle.rs
+++ b/crates/relay/src/bundle.rs
@@ -235,8 +235,8 @@
             self.note_survived_at_peer(request);
         }
         request.bundles[n].page = Some(page);
-        // The peer has already waited for them, so they are retried only if fewer than the wanted
-        // parts are complete.
+        // The peer has already waited for the missing parts, so they are retried only if fewer
+        // parts are complete than are wanted.
         let is_enough = request.complete >= request.parts_wanted;
         for index in missing {
             if is_enough {
--- a/crates/relay/src/coalesce_delay.rs
+++ b/crates/relay/src/coalesce_delay.rs
@@ -38,6 +38,8 @@
 
 impl CoalesceDelay {
     /// Creates the delay of a process from the time for which a leaving server continues to serve.
+    ///
+    /// `first_start` allows the longer delays of a fleet that starts for the first time.
     #[must_use]
     pub fn new(drain: Duration, first_start: bool) -> Self {
         let delay_max = drain.mul_f64(DELAY_MAX_FRACTION).max(DELAY_MIN);
--- a/crates/relay/src/completion.rs
+++ b/crates/relay/src/completion.rs
@@ -40,8 +40,8 @@
 /// Decides whether a request waits, is answered or fails.
 ///
 /// A request fails as soon as too many parts are abandoned, not at its time limit, so that the
-/// caller still has time to retry. A delegating VM has little use for fewer parts than it wants,
-/// but some; it receives those that have arrived.
+/// caller still has time to retry. Fewer parts than wanted are of little use to a delegating VM,
+/// but better than none, so it receives those that have arrived.
 #[must_use]
 pub fn decide_completion(now: Instant, p: &Progress) -> CompletionDecision {
     let open = p.parts - p.complete - p.abandoned;
--- a/crates/relay/src/counters.rs
+++ b/crates/relay/src/counters.rs
@@ -25,7 +25,7 @@
     pub attempts: u64,
     /// Attempts made in parallel with a slow one.
     pub hedges: u64,
-    /// Hedges that answered first.
+    /// Hedges whose answer arrived first.
     pub hedges_won: u64,
     /// Attempts made after one that failed.
     pub retries: u64,
--- a/crates/relay/src/delegation.rs
+++ b/crates/relay/src/delegation.rs
@@ -271,7 +271,8 @@
                 bundles.push((peer, parts));
             }
         }
-        // The iteration order of a hash map differs between runs.
+        // The iteration order of a hash map differs between runs, and the same events must give the
+        // same actions.
         bundles.sort_unstable_by(|a, b| a.1.cmp(&b.1));
         bundles
     }
--- a/crates/relay/src/hedge.rs
+++ b/crates/relay/src/hedge.rs
@@ -10,7 +10,7 @@
 use gs_limit::HedgePolicy;
 use gs_limit::LearnedDelay;
 
-/// Weight of a new sample in a route's mean execution time.
+/// Weight of a new sample in a route's mean execution time; the first samples have equal weights.
 const EXECUTION_SAMPLE_WEIGHT: f64 = 0.02;
 
 /// Upper bound of a sample, as a multiple of the mean, so that a stall does not count as execution
@@ -24,9 +24,9 @@
 /// Fraction of the objective that an attempt is expected to take before there are samples.
 const INITIAL_EXECUTION_FRACTION: f64 = 0.1;
 
-/// Fraction of the objective before which no attempt is hedged, also if most are faster: the rest
-/// of the objective is enough for a second attempt, and fewer of the attempts that are still in
-/// flight by then would be answered without one.
+/// Fraction of the objective before which no attempt is hedged, even if most are faster: the rest
+/// of the objective is enough for a second attempt, and of the attempts still in flight by then
+/// fewer would be answered without a hedge than after a shorter delay.
 const HEDGE_DELAY_MIN_FRACTION: f64 = 0.3;
 
 /// Hedge delays and mean execution time of a route's attempts.
--- a/crates/relay/src/options.rs
+++ b/crates/relay/src/options.rs
@@ -24,8 +24,8 @@
     pub regions: HashMap<DataCentre, Region>,
     /// The data centre of this VM.
     pub data_centre: DataCentre,
-    /// Number of VMs that may exist before they are listed; each gets an equal share of what all
-    /// share.
+    /// Number of VMs assumed to exist until they are listed; each gets an equal share of the extra
+    /// attempts, and of the attempts that a server can execute in time.
     #[builder(default = 12)]
     pub peers: u32,
     /// Extra attempts allowed for each request for a service.
--- a/crates/relay/src/peer_vms.rs
+++ b/crates/relay/src/peer_vms.rs
@@ -10,8 +10,9 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Fraction of the cores and of the link of the strongest in its region that a VM needs to run
-/// fan-outs: with less, assembling a page of 90 parts takes longer than delegating it.
+/// Fraction of the most cores and of the fastest link in its region that a VM needs to run
+/// fan-outs: with less, assembling a page of 90 parts takes longer than delegating them and
+/// receiving the page.
 const STRONG_FRACTION: f64 = 0.5;
 
 /// Ratio of the VMs that may exist to those listed: some may just have been added.
@@ -68,9 +69,9 @@
     pub(crate) fn new(vms: Vec<PeerVm>) -> Self {
         let mut strongest: HashMap<Region, Capacity> = HashMap::new();
         for vm in &vms {
-            let b = strongest.entry(vm.region.clone()).or_insert(vm.capacity);
-            b.cores = b.cores.max(vm.capacity.cores);
-            b.megabits = b.megabits.max(vm.capacity.megabits);
+            let best = strongest.entry(vm.region.clone()).or_insert(vm.capacity);
+            best.cores = best.cores.max(vm.capacity.cores);
+            best.megabits = best.megabits.max(vm.capacity.megabits);
         }
         Self { vms, strongest }
     }
--- a/crates/relay/src/placement.rs
+++ b/crates/relay/src/placement.rs
@@ -112,8 +112,8 @@
     /// Returns the expected time of a part that is started now, queues included; `None` without an
     /// available server.
     ///
-    /// Unlike [`Self::choose_server`] it takes into account the parts that wait for this VM's
-    /// connections.
+    /// Unlike [`Self::choose_server`], it includes servers without a free connection, and counts
+    /// the parts that wait for one.
     pub(crate) fn expected_part_time(
         &self,
         service: &ServiceName,
--- a/crates/relay/src/register_reachability.rs
+++ b/crates/relay/src/register_reachability.rs
@@ -15,7 +15,7 @@
 }
 
 impl RegisterReachability {
-    /// Assumes that the register is reachable.
+    /// Creates the state; the register counts as reachable until the first event about it.
     pub(crate) fn new() -> Self {
         Self {
             is_reachable: true,
--- a/crates/relay/src/registration.rs
+++ b/crates/relay/src/registration.rs
@@ -96,7 +96,8 @@
         };
         view.is_used = is_used;
         if !is_used {
-            // Open connections would occupy the server, which resets those of other VMs in turn.
+            // Connections opened earlier would stay open, and the server would reset those of other
+            // VMs instead.
             if view.last_connect.take().is_some() {
                 out.push(Action::Disconnect(entry.name.clone()));
             }
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -81,8 +81,8 @@
     pub(crate) rebuild_plans_at: Option<Instant>,
     /// Servers whose register entry is missing, with the time at which they are removed.
     pub(crate) missing_servers: HashMap<ServerName, Instant>,
-    /// Services of which a server has freed a connection or has more of them, since their queue was
-    /// last dispatched.
+    /// Services of which a server has a newly freed connection or may now have more connections,
+    /// since their queue was last dispatched.
     pub(crate) freed_services: Vec<ServiceName>,
     pub(crate) in_flight: usize,
     /// The last pause of this process.
--- a/crates/relay/src/seed_state.rs
+++ b/crates/relay/src/seed_state.rs
@@ -29,8 +29,8 @@
         let core = &self.core;
         let entries = core.servers.all().map(|v| &v.entry);
         let known = entries.filter(|e| {
-            // Servers whose entry is missing may be removed; a starting VM cannot know since when
-            // it is missing.
+            // A server whose entry is missing may have left, and a starting VM cannot know for how
+            // long the entry has been missing.
             !core.peers_known.contains(&e.name) && !core.missing_servers.contains_key(&e.name)
         });
         Some(SeedState {
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -44,10 +44,10 @@
     }
 
     /// Sets the largest number of connections of this VM to a server.
-    pub(crate) fn set_connections(&mut self, name: &ServerName, most: Connections) {
+    pub(crate) fn set_connections(&mut self, name: &ServerName, connections_max: Connections) {
         let key = self.by_name.get(name);
         if let Some(view) = key.and_then(|k| self.views.get_mut(k)) {
-            view.connections = most.0;
+            view.connections = connections_max.0;
         }
     }
 
--- a/crates/relay/src/shard_crashes.rs
+++ b/crates/relay/src/shard_crashes.rs
@@ -1,8 +1,8 @@
 //! Tracks requests that crash the servers of one shard while other shards answer them.
 //!
-//! Such a fan-out crashes that shard again each time its caller repeats it. As a server that
-//! crashes for another reason breaks every request that it has, a request counts only after it has
-//! crashed a server again that has restarted since an earlier crash by it.
+//! Such a fan-out crashes that shard again each time its caller repeats it. A server that crashes
+//! for another reason breaks every request that it has, so a request counts only once it has
+//! crashed the same server twice, with a restart of the server in between.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -63,7 +63,7 @@
             return;
         }
         let shards = self.requests.entry(request).or_default();
-        let found = shards.iter().position(|b| b.service == *service);
+        let found = shards.iter().position(|r| r.service == *service);
         let at = found.unwrap_or_else(|| {
             shards.push(CrashRecord {
                 service: service.clone(),
@@ -85,7 +85,7 @@
     /// Records that a server of a service executed the request without crashing.
     pub(crate) fn note_survived(&mut self, request: Fingerprint, service: &ServiceName) {
         if let Some(shards) = self.requests.get_mut(&request) {
-            shards.retain(|b| b.service != *service);
+            shards.retain(|r| r.service != *service);
             if shards.is_empty() {
                 self.requests.remove(&request);
             }
@@ -95,7 +95,7 @@
     /// Returns whether the request has crashed enough servers of one shard.
     pub(crate) fn is_proved(&self, now: Instant, request: Fingerprint) -> bool {
         let shards = self.requests.get(&request);
-        shards.is_some_and(|s| s.iter().any(|b| !is_old(now, b) && b.is_proved()))
+        shards.is_some_and(|s| s.iter().any(|r| !is_old(now, r) && r.is_proved()))
     }
 
     pub(crate) fn forget(&mut self, request: Fingerprint) {
@@ -104,7 +104,7 @@
 
     pub(crate) fn forget_old(&mut self, now: Instant) {
         self.requests.retain(|_, shards| {
-            shards.retain(|b| !is_old(now, b));
+            shards.retain(|r| !is_old(now, r));
             !shards.is_empty()
         });
     }
--- a/crates/relay/src/subset.rs
+++ b/crates/relay/src/subset.rs
@@ -23,7 +23,7 @@
 /// `None` for all.
 ///
 /// Every VM computes the same result from the same lists. VMs and servers are both sorted by data
-/// centre, so that most of a VM's servers are in its own.
+/// centre, so that most of a VM's servers are in its own data centre.
 pub(crate) fn server_subset(
     vm: &VmId,
     vms: &[PeerVm],
--- a/crates/relay/tests/relay/fan_out_vms.rs
+++ b/crates/relay/tests/relay/fan_out_vms.rs
@@ -18,7 +18,7 @@
 
 /// Returns equally strong VMs in two data centres, of which `there` are in the other one. `vm-1` is
 /// the VM under test; of the others in its data centre, the names of `before` sort before its own
-/// and those of `after` behind it.
+/// and those of `after` after it.
 fn fleet(before: usize, after: usize, there: usize) -> Vec<PeerVm> {
     let before = (0..before).map(|n| vm(&format!("a-{n:03}"), HERE, "hobart", 0.25));
     let after = (0..after).map(|n| vm(&format!("z-{n:03}"), HERE, "hobart", 0.25));
--- a/crates/relay/tests/relay/leases.rs
+++ b/crates/relay/tests/relay/leases.rs
@@ -68,7 +68,7 @@
 }
 
 /// A VM loses power. If it stayed listed, its share of the servers' connections would never be used
-/// again, and parts would be delegated to it.
+/// again, and parts would be delegated to it that it cannot return.
 #[test]
 fn a_vm_that_no_longer_renews_is_gone_after_three_and_a_half_renewals() {
     let results = checks("vm-1", 400, with_one_lost);
--- a/crates/relay/tests/relay/suspects.rs
+++ b/crates/relay/tests/relay/suspects.rs
@@ -164,8 +164,8 @@
     assert_eq!(w.quarantined, [w.fingerprint("/page/poison")]);
 }
 
-/// The servers of one shard crash by themselves. A search must not be quarantined for that, however
-/// often callers repeat it meanwhile.
+/// The servers of one shard crash for another reason. A search must not be quarantined for that,
+/// however often callers repeat it meanwhile.
 #[test]
 fn a_shard_that_crashes_by_itself_makes_no_suspect() {
     let mut w = world();
@@ -175,7 +175,7 @@
     assert_eq!(w.quarantined, []);
 }
 
-/// A shard crashes twice by itself and answers a search in between. The search must not be
+/// A shard crashes twice for another reason and answers a search in between. The search must not be
 /// quarantined.
 #[test]
 fn a_shard_that_answers_between_its_crashes_makes_no_suspect() {
