--- a/crates/conf/src/background.rs
+++ b/crates/conf/src/background.rs
@@ -29,7 +29,7 @@
 const IDLE_TICK_INTERVAL: Duration = Duration::from_secs(1);
 /// How long a starting VM waits for newer records from its peers while the platform is unreachable.
 const START_PEER_WAIT: Duration = Duration::from_secs(1);
-/// The additional delay per VM before it withdraws a patch that its proposer abandoned.
+/// The additional delay per rank of a VM before it withdraws a patch that its proposer abandoned.
 const WITHDRAW_STAGGER: Duration = Duration::from_millis(300);
 
 impl ConfigManager {
@@ -80,7 +80,7 @@
     }
 
     /// Marks the VM ready once the platform returned the newest record or, if the platform is
-    /// unreachable, once no reachable peer has a newer one.
+    /// unreachable, after [`START_PEER_WAIT`] once no peer that reports has a newer one.
     fn update_ready(&mut self, now: Instant) {
         let s = &self.start;
         if s.ready || self.latest.is_none() {
@@ -152,7 +152,7 @@
     /// Withdraws a prepared patch that its proposer did not finish, so that it does not block others.
     ///
     /// The proposer may have crashed, or be paused and about to commit. The conditional write ensures
-    /// that only one of the two takes effect. VMs try one after the other to save writes.
+    /// that only one of the two takes effect. VMs try one after the other, by rank, to save writes.
     fn withdraw_abandoned_patch(&mut self, cx: &mut Cx<'_>) {
         let Some(latest) = &self.latest else {
             return;
--- a/crates/conf/src/check.rs
+++ b/crates/conf/src/check.rs
@@ -12,17 +12,17 @@
 use crate::record::DECIDED_MAX;
 use crate::record::OBJECT_MAX_BYTES;
 
-/// The shortest deadline that a lookup may declare; a reply needs longer to cross a region.
+/// The shortest deadline that a lookup may declare; no reply can cross a region in less time.
 pub const DEADLINE_MIN: Duration = Duration::from_millis(5);
 /// The longest deadline that a lookup may declare.
 pub const DEADLINE_MAX: Duration = Duration::from_secs(60);
 /// The largest page that a lookup may declare, in hits.
 pub const PAGE_MAX_HITS: u32 = 1_000;
-/// The most fronts.
+/// The most fronts in a configuration.
 pub const FRONTS_MAX: usize = 500;
 /// The most lookups in a front.
 pub const LOOKUPS_MAX: usize = 100;
-/// The most teams.
+/// The most teams in a configuration.
 pub const TEAMS_MAX: usize = 200;
 /// The most changes in a patch.
 pub const CHANGES_MAX: usize = 100;
--- a/crates/conf/src/distribute.rs
+++ b/crates/conf/src/distribute.rs
@@ -43,9 +43,9 @@
 
     /// Returns how long a partitioned VM may continue to serve by the previous version.
     ///
-    /// Once a patch is committed, its proposer extends no VM's promise. A VM that received a resend
-    /// does not know when the proposer learned of the commit, only that the proposer had a recent
-    /// acknowledgement from this VM before that.
+    /// Once a patch is committed, its proposer extends no VM's promise. A VM that handles an operator's
+    /// resend does not know when the proposer learned of the commit, only that the proposer had a recent
+    /// acknowledgement from this VM before that; it waits longer by twice [`ACK_AGE_MAX`].
     fn promise_timeout(&self, p: &Proposal) -> Duration {
         let promise = self.options.in_doubt_after + CLOCK_DRIFT_MARGIN;
         match p.committed_here {
--- a/crates/conf/src/in_doubt.rs
+++ b/crates/conf/src/in_doubt.rs
@@ -28,6 +28,8 @@
     object: u64,
     proposer: VmId,
     affected: Vec<AffectedTarget>,
+    /// The safe time: until then the affected lookups may be served, because the proposer does not
+    /// report the patch as accepted before.
     safe_until: Instant,
     seq: u64,
     sent_acks: VecDeque<(u64, Instant)>,
--- a/crates/conf/src/proposal.rs
+++ b/crates/conf/src/proposal.rs
@@ -61,7 +61,7 @@
     pub(crate) against: Option<String>,
 }
 
-/// The write in flight, if any, and the backoff of retries; the backoff is used for reads too.
+/// The retry state of a write or of reads: the write in flight, if any, and the backoff.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RetryState {
     pub(crate) in_flight: Option<WriteId>,
@@ -149,7 +149,8 @@
         expired
     }
 
-    /// Whether each of these VMs acknowledged the patch since a time and none rejects it.
+    /// Whether each of these VMs but `me` acknowledged the patch, since this time if given, and none
+    /// rejects it.
     pub(crate) fn is_acked_by_all_since(
         &self,
         vms: &[VmId],
--- a/crates/conf/src/state.rs
+++ b/crates/conf/src/state.rs
@@ -32,7 +32,7 @@
 pub enum PatchEvent {
     /// The record allows it.
     Fits,
-    /// It is not eligible, or the patch with its id is decided.
+    /// The record or the rules exclude it, or a patch with its id is decided.
     Settled,
     /// The record contains it as pending.
     Prepared,
--- a/crates/conf/src/team.rs
+++ b/crates/conf/src/team.rs
@@ -8,7 +8,7 @@
 use crate::patch::Change;
 use crate::patch::Patch;
 
-/// The text shown in place of the hash of a key.
+/// The text shown in place of the hash of a team's key.
 const REDACTED_KEY_HASH: &str = "(not shown)";
 
 /// Returns the SHA-256 of a team's key in hexadecimal, as stored in the configuration.
--- a/crates/conf/src/writes.rs
+++ b/crates/conf/src/writes.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Deletes the version that exceeds the history.
+    /// Deletes the version that is too old to be kept in the history.
     fn prune(&mut self, cx: &mut Cx<'_>) {
         let Some(latest) = self.latest.as_ref().filter(|r| r.record.pending.is_none()) else {
             return;
--- a/crates/conf/tests/patches/first.rs
+++ b/crates/conf/tests/patches/first.rs
@@ -37,7 +37,7 @@
     assert!(
         w.vms
             .iter()
-            .all(|vm| vm.manager.as_ref().is_some_and(|b| b.is_ready()))
+            .all(|vm| vm.manager.as_ref().is_some_and(|m| m.is_ready()))
     );
     let cfg = w.platform.record().config();
     assert!(authenticate(&cfg, "root", "first-key").is_ok());
--- a/crates/conf/tests/patches/fuzz.rs
+++ b/crates/conf/tests/patches/fuzz.rs
@@ -32,11 +32,17 @@
         vm: usize,
         patch: usize,
     },
+    /// Advances the time by this many milliseconds.
     Run(u64),
+    /// Starts or stops the loss, duplication and delay of messages between VMs.
     Loss(bool),
+    /// Makes the platform unreachable or reachable.
     Down(bool),
+    /// Loses the replies to this many writes.
     Lose(u32),
+    /// Starts or ends a stall of writes.
     Stall(bool),
+    /// Delays the platform's replies, or stops delaying them.
     Slow(bool),
     CutFromPlatform(usize, bool),
     CutFromPeers(usize, bool),
@@ -45,6 +51,7 @@
     Kill(usize),
     Restart(usize),
     Pause(usize, bool),
+    /// Removes a VM from the platform's list.
     Delist(usize),
 }
 
@@ -100,7 +107,7 @@
 
 impl Sut {
     fn propose(&mut self, vm: usize, front: u8, stale: bool) {
-        let known = self.world.vms[vm].manager.as_ref().and_then(|b| b.config());
+        let known = self.world.vms[vm].manager.as_ref().and_then(|m| m.config());
         let known = known.map_or(1, |c| c.version.0);
         let against = ConfVersion(known.saturating_sub(u64::from(stale)));
         let front = Front {
--- a/crates/conf/tests/patches/races.rs
+++ b/crates/conf/tests/patches/races.rs
@@ -51,7 +51,8 @@
 }
 
 /// Two operators read version 1 and send different patches through different VMs at the same time. One
-/// must be accepted and the other refused with a conflict; neither may be lost.
+/// must be accepted and the other refused with a conflict that names the accepted one; neither may be
+/// lost.
 #[test]
 fn of_two_racing_patches_one_is_accepted() {
     let mut w = World::start(4, 2);
@@ -145,7 +146,7 @@
         w.vms[3]
             .manager
             .as_ref()
-            .is_some_and(|b| b.pending().is_some())
+            .is_some_and(|m| m.pending().is_some())
     };
     while !prepared(&w) {
         w.run(1);
@@ -180,7 +181,7 @@
     while w.vms[0]
         .manager
         .as_ref()
-        .is_some_and(|b| b.pending().is_none())
+        .is_some_and(|m| m.pending().is_none())
     {
         w.run(1);
     }
@@ -229,7 +230,7 @@
     while w.vms[0]
         .manager
         .as_ref()
-        .is_some_and(|b| b.pending().is_none())
+        .is_some_and(|m| m.pending().is_none())
     {
         w.run(1);
     }
@@ -239,7 +240,7 @@
     while w.vms[3]
         .manager
         .as_ref()
-        .is_some_and(|b| b.config().is_none())
+        .is_some_and(|m| m.config().is_none())
     {
         w.run(1);
     }
@@ -262,7 +263,7 @@
     while w.vms[0]
         .manager
         .as_ref()
-        .is_some_and(|b| b.pending().is_none())
+        .is_some_and(|m| m.pending().is_none())
     {
         w.run(1);
     }
@@ -282,7 +283,7 @@
     w.heal();
     w.run(5_000);
     for vm in &w.vms {
-        let known = vm.manager.as_ref().and_then(|b| b.config());
+        let known = vm.manager.as_ref().and_then(|m| m.config());
         assert_eq!(known.map(|c| c.version), Some(ConfVersion(2)));
     }
 }
@@ -318,10 +319,10 @@
         w.platform.down = true;
         w.vms[1].cut_from_peers = false;
         w.restart(3);
-        while !w.vms[3].manager.as_ref().is_some_and(|b| b.is_ready()) {
+        while !w.vms[3].manager.as_ref().is_some_and(|m| m.is_ready()) {
             w.run(1);
         }
-        let known = w.vms[3].manager.as_ref().and_then(|b| b.config());
+        let known = w.vms[3].manager.as_ref().and_then(|m| m.config());
         assert_eq!(
             known.map(|c| c.version),
             Some(ConfVersion(2)),
--- a/crates/conf/tests/patches/world/mod.rs
+++ b/crates/conf/tests/patches/world/mod.rs
@@ -59,6 +59,7 @@
     pub now: Instant,
     pub vms: Vec<Vm>,
     pub platform: Platform,
+    /// The probability that a message is lost; a fifth of it that it is duplicated.
     pub loss: f64,
     pub oracle: Oracle,
     /// The first configuration that the VMs create if there is none.
--- a/crates/conf/tests/patches/world/oracle.rs
+++ b/crates/conf/tests/patches/world/oracle.rs
@@ -128,7 +128,7 @@
     pub fn check(&self, now: Instant, vms: &[Vm]) {
         for (version, patch, names) in &self.covered {
             for (at, vm) in vms.iter().enumerate() {
-                let Some(manager) = vm.manager.as_ref().filter(|b| b.is_ready()) else {
+                let Some(manager) = vm.manager.as_ref().filter(|m| m.is_ready()) else {
                     continue;
                 };
                 if !names.contains(&name(at)) {
--- a/crates/limit/src/adaptive.rs
+++ b/crates/limit/src/adaptive.rs
@@ -26,8 +26,8 @@
 /// How much a lookup that ends late lowers the fill.
 const FILL_DECREASE: f64 = 0.03;
 
-/// How much a lookup that ends in time raises the fill; the fill converges to where one lookup in 25
-/// is late.
+/// How much a lookup that ends in time raises the fill; the fill converges to where about one lookup
+/// in 25 is late.
 const FILL_INCREASE: f64 = FILL_DECREASE / 25.0;
 
 /// The time without a rejection after which the fill starts to recover with time.
--- a/crates/limit/src/digest.rs
+++ b/crates/limit/src/digest.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-/// Buckets for each doubling of the latency; an estimated quantile is exact to about 9%.
+/// Buckets for each doubling of the latency; an estimate is accurate to about 9%.
 const BUCKETS_PER_DOUBLING: u32 = 8;
 
 /// Doublings covered, from 1 microsecond to about 4 seconds.
 const DOUBLINGS: u32 = 22;
 
-/// The number of buckets.
+/// The number of buckets; larger latencies are counted in the last one.
 const BUCKET_COUNT: usize = (BUCKETS_PER_DOUBLING * DOUBLINGS) as usize;
 
 /// The total weight of samples at which all counts are halved, so that old samples lose weight.
--- a/crates/query/examples/cost.rs
+++ b/crates/query/examples/cost.rs
@@ -16,7 +16,7 @@
 use gs_query::PartReply;
 use gs_types::prelude::*;
 
-/// The number of shards of the group, as in large groups.
+/// The number of shards of the group, which is that of a large group.
 const SHARDS: u32 = 50;
 
 /// The number of replicas of each shard.
--- a/crates/query/src/arrival.rs
+++ b/crates/query/src/arrival.rs
@@ -24,8 +24,9 @@
 /// The divisor of a lookup's time budget that gives the margin for merging and sending the answer.
 const ANSWER_MARGIN_DIVISOR: u32 = 20;
 
-/// The bounds of that margin.
+/// The shortest margin.
 const ANSWER_MARGIN_MIN: Duration = Duration::from_millis(1);
+/// The longest margin.
 const ANSWER_MARGIN_MAX: Duration = Duration::from_millis(5);
 
 /// When a caller may retry if this VM is leaving or not ready; another VM can accept it at once.
--- a/crates/query/src/attempt.rs
+++ b/crates/query/src/attempt.rs
@@ -99,7 +99,7 @@
     pub(crate) dispatched_at: Instant,
     /// When its first byte was sent; kept while the attempt is stopping.
     pub(crate) sent_at: Option<Instant>,
-    /// Whether its connection broke; the lookup does not query that server again.
+    /// Whether its connection broke; the server is not queried again for this shard of the lookup.
     pub(crate) broken: bool,
 }
 
--- a/crates/query/src/canary.rs
+++ b/crates/query/src/canary.rs
@@ -165,9 +165,9 @@
             .replicas(pos)
             .iter()
             .filter(|s| {
-                let standing = self.servers.dispatch_status(now, **s);
+                let status = self.servers.dispatch_status(now, **s);
                 self.servers.view(**s).is_eligible(lk.snapshot.id)
-                    && matches!(standing, DispatchStatus::Free | DispatchStatus::Busy)
+                    && matches!(status, DispatchStatus::Free | DispatchStatus::Busy)
             })
             .count();
         if usable > 1 {
--- a/crates/query/src/claim.rs
+++ b/crates/query/src/claim.rs
@@ -50,7 +50,7 @@
             }
             ClaimDecision::Taken => Outcome::Unknown(refusal(RefusalReason::AlreadyClaimed, None)),
             ClaimDecision::Expired => Outcome::Unknown(refusal(RefusalReason::KeyExpired, None)),
-            // An earlier submission may have made the claim, which cannot be read either.
+            // Even if this submission made no claim, an earlier one may have, which cannot be read.
             ClaimDecision::Refused | ClaimDecision::Unknown => {
                 Outcome::Unknown(refusal(RefusalReason::ClaimsAway, Some(RETRY_AFTER)))
             }
--- a/crates/query/src/counters.rs
+++ b/crates/query/src/counters.rs
@@ -37,7 +37,7 @@
     pub restarts: u64,
     /// Canaries sent.
     pub canaries: u64,
-    /// Quarantines decided on this VM.
+    /// Quarantines of fingerprints decided on this VM, because they crashed servers.
     pub quarantines: u64,
     /// Replies that matched no attempt in flight: late, duplicated or misdirected.
     pub stray_replies: u64,
--- a/crates/query/src/crash_suspects.rs
+++ b/crates/query/src/crash_suspects.rs
@@ -17,8 +17,8 @@
 /// The number of servers that a fingerprint crashes before it is refused.
 const CRASHES_MAX: u32 = 2;
 
-/// The number of servers in both this and other data centres that break under a proven lookup
-/// before it is quarantined in spite of its proof.
+/// The number of servers, some in this and some in another data centre, that break under a proven
+/// lookup before it is quarantined in spite of its proof.
 const PROVEN_CRASHES_MAX: u32 = 4;
 
 /// The quarantine of a lookup that broke servers in several data centres but had no canary. It
@@ -73,8 +73,9 @@
 #[derive(Debug)]
 struct Suspect {
     crashed: SmallVec<[ServerName; 2]>,
-    /// Whether a server crashed in this VM's data centre, and in another one.
+    /// Whether a server in this VM's data centre crashed.
     crashed_locally: bool,
+    /// Whether a server in another data centre crashed.
     crashed_remotely: bool,
     reported_crashes: u32,
     /// The time until which it is refused.
--- a/crates/query/src/event.rs
+++ b/crates/query/src/event.rs
@@ -18,7 +18,7 @@
     Config(Arc<Config>),
     /// The newest shard map of a group; an older revision is ignored.
     Group(Arc<GroupMap>),
-    /// A report from a server's health and load endpoint, which may be out of date.
+    /// A report from a server's health and load endpoint; only a hint, because it may be out of date.
     Report(ServerReport),
     /// A drain or quarantine notice, from a peer or from the platform's list.
     Sign(Notice, NoticeSource),
@@ -85,19 +85,19 @@
         /// Whether the server reports that it is draining.
         draining: bool,
     },
-    /// The server shed it and reports that it did not execute it.
+    /// The server refused the attempt because of its load and reports that it did not execute it.
     Shed {
         /// How long to wait before the next attempt at this server.
         retry_after: Duration,
     },
-    /// The server is draining and reports that it did not execute it.
+    /// The server is draining and reports that it did not execute the attempt.
     Draining,
-    /// The server does not hold the pinned snapshot and did not execute it.
+    /// The server does not hold the pinned snapshot and did not execute the attempt.
     NoSnapshot {
         /// The snapshots that it holds.
         holds: SmallVec<[SnapshotId; 4]>,
     },
-    /// No byte was sent: no connection in time, or cancelled before.
+    /// No byte was sent: no connection was available in time, or the attempt was cancelled first.
     NotSent,
     /// The connection broke after the first byte was sent; the server may have crashed on it.
     Broken,
--- a/crates/query/src/finish.rs
+++ b/crates/query/src/finish.rs
@@ -23,8 +23,8 @@
 const ORPHAN_GRACE: Duration = Duration::from_secs(2);
 
 impl Core {
-    /// Ends the lookup if no further part can arrive or it has enough hits; first restarts it if a
-    /// shard's snapshot was dropped.
+    /// Ends the lookup if no further part can arrive or it has enough hits; restarts it instead if a
+    /// shard's snapshot was dropped and a restart is possible.
     ///
     /// A restart replaces the shards, so no iteration over them may continue after this call.
     pub(crate) fn check_end(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
--- a/crates/query/src/lookup.rs
+++ b/crates/query/src/lookup.rs
@@ -183,7 +183,7 @@
     }
 
     fn new_shards(&self, snapshot: &Snapshot) -> Vec<LookupShard> {
-        // A group map is at most a megabyte, so the number of shards fits.
+        // A group map is at most a megabyte, so the number of shards fits in a `u32`.
         let count = snapshot.shards.len() as u32;
         match (self.decl.scope, &self.key) {
             (Scope::Scatter, _) => (0..count).map(|n| LookupShard::new(ShardId(n))).collect(),
--- a/crates/query/src/placement.rs
+++ b/crates/query/src/placement.rs
@@ -30,13 +30,13 @@
     Unavailable(MissReason),
 }
 
-/// The result of earlier attempts of the same lookup at a replica.
+/// The result of earlier attempts at the same shard of a lookup for a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PriorAttempt {
     Untried,
     /// Eligible only if no other replica is left.
     Failed,
-    /// Not eligible for this lookup.
+    /// Not eligible: an attempt at it has not ended, or broke its connection.
     Excluded,
 }
 
--- a/crates/query/src/server_reply.rs
+++ b/crates/query/src/server_reply.rs
@@ -13,10 +13,10 @@
 use crate::crash_suspects::CrashFinding;
 use crate::event::PartReply;
 
-/// The number of crashes of a suspect that are each announced to peers.
+/// The number of crashes of a suspect that are announced to peers, each by a notice of its own.
 const CRASHES_BROADCAST_MAX: u32 = 2;
 
-/// The server of a reply and how far the reply applies to its current state.
+/// The server of a reply, and whether the reply applies to its current incarnation.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReplyContext {
     pub(crate) server: ServerIdx,
@@ -27,7 +27,8 @@
 }
 
 impl Core {
-    /// Records contact with a server if it sent the reply itself.
+    /// Records contact with a server, unless the attempt ended on this VM alone: not sent, timed out or
+    /// cancelled.
     pub(crate) fn note_contact(&mut self, now: Instant, reply: &PartReply, server: ServerIdx) {
         if !matches!(
             reply,
--- a/crates/query/src/timers.rs
+++ b/crates/query/src/timers.rs
@@ -26,7 +26,7 @@
 const LOSS_TIMEOUT_DIVISOR: u32 = 4;
 
 impl Core {
-    /// Returns the time after an attempt's dispatch at which it is checked; `None` for never.
+    /// Returns the time after an attempt's dispatch at which it is hedged or timed out; `None` for never.
     pub(crate) fn check_delay(&self, lk: &ActiveLookup, server: ServerIdx) -> Option<Duration> {
         if lk.is_once() {
             return None;
@@ -95,7 +95,8 @@
         }
     }
 
-    /// Records that a server did not reply to an attempt, if it had enough of the lookup's time.
+    /// Records that a server did not reply to an attempt, if the attempt had at least the time after
+    /// which it counts as lost.
     pub(crate) fn note_unanswered(
         &mut self,
         now: Instant,
@@ -173,8 +174,8 @@
         true
     }
 
-    /// Releases orphans whose end was never reported, so that they do not occupy connections for
-    /// ever.
+    /// Releases orphans whose end was never reported, so that they do not occupy connections
+    /// forever.
     pub(crate) fn release_expired_orphans(&mut self, now: Instant) {
         let expired: Vec<_> = self
             .orphans
--- a/crates/query/tests/engine/connections.rs
+++ b/crates/query/tests/engine/connections.rs
@@ -42,7 +42,7 @@
 }
 
 /// An I/O driver (shell) that never reports an attempt's end must not occupy the server's
-/// connections for ever.
+/// connections forever.
 #[test]
 fn a_forgotten_attempt_gives_its_connection_back_in_time() {
     let mut w = World::new(1, 1);
--- a/crates/query/tests/engine/fuzz/driver.rs
+++ b/crates/query/tests/engine/fuzz/driver.rs
@@ -160,7 +160,7 @@
     }
 
     fn on_cancel(&mut self, id: &AttemptId) {
-        let attempt = self.open.iter_mut().find(|h| h.dispatch.attempt == *id);
+        let attempt = self.open.iter_mut().find(|a| a.dispatch.attempt == *id);
         attempt
             .expect("a cancel names an attempt in flight")
             .is_cancelled = true;
@@ -340,7 +340,7 @@
             StrayId::OtherLookup => id.lookup = LookupSeq(id.lookup.0.wrapping_add(1)),
         }
         // A reply to an attempt in flight would not be stray.
-        if self.open.iter().any(|h| h.dispatch.attempt == id) {
+        if self.open.iter().any(|a| a.dispatch.attempt == id) {
             return;
         }
         let reply = PartReply::Whole {
@@ -370,7 +370,7 @@
         while let Some(n) = self
             .open
             .iter()
-            .position(|h| h.is_cancelled || self.now - h.dispatched_at > limit)
+            .position(|a| a.is_cancelled || self.now - a.dispatched_at > limit)
         {
             let attempt = self.open.remove(n);
             let reply = match (attempt.is_sent, attempt.is_cancelled) {
--- a/crates/query/tests/engine/poison/canary.rs
+++ b/crates/query/tests/engine/poison/canary.rs
@@ -16,7 +16,7 @@
 
 /// A poisoned lookup is fanned out and crashes the first server. All other attempts are cancelled
 /// before they are executed, and a single server gets the lookup next. When that crashes too, the
-/// lookup is refused by this VM and every peer.
+/// lookup is refused by this VM and every peer, and no further server gets it.
 #[test]
 fn at_most_one_further_server_sees_a_suspect() {
     let mut w = World::new(6, 2);
--- a/crates/query/tests/engine/poison/together.rs
+++ b/crates/query/tests/engine/poison/together.rs
@@ -17,7 +17,8 @@
 
 /// A data centre fails, and with it two servers under a fan-out of a query not seen before. That is
 /// no proof against the query, since a partition looks the same. A server elsewhere executes it
-/// alone without crashing, and the page is complete.
+/// alone without crashing, so the page is complete and the query is not refused for the 30 s of a
+/// quarantine.
 #[test]
 fn servers_that_break_together_do_not_convict_a_lookup() {
     let mut w = World::new(4, 2);
--- a/crates/route/src/dump.rs
+++ b/crates/route/src/dump.rs
@@ -1,4 +1,4 @@
-//! The view of a backend server for operators.
+//! A dump of the state of a backend server for operators.
 
 use std::time::Duration;
 
@@ -16,11 +16,11 @@
     pub service: ServiceName,
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// Its state by the state machine definition `charts/server.toml`.
+    /// Its state, as defined by `charts/server.toml`.
     pub state: String,
     /// The newest known incarnation.
     pub incarnation: Option<Incarnation>,
-    /// The snapshots that it reported to hold; `None` if it never reported any.
+    /// The snapshots that it reported as held; `None` if it never reported what it holds.
     pub snapshots: Option<Vec<SnapshotId>>,
     /// Attempts of this VM in flight at it.
     pub in_flight: u32,
@@ -38,7 +38,7 @@
 }
 
 impl ServerView {
-    /// Returns the view for operators.
+    /// Returns the server's state for operators.
     #[must_use]
     pub fn dump(&self) -> ServerDump {
         ServerDump {
--- a/crates/route/src/group.rs
+++ b/crates/route/src/group.rs
@@ -19,14 +19,14 @@
     pub shards: Vec<SmallVec<[ServerIdx; 4]>>,
 }
 
-/// Whether the replicas of a snapshot hold it.
+/// Whether every shard of a snapshot has a replica that holds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Readiness {
     /// Some shards have no replica that may hold it.
     Incomplete,
     /// Every shard has a replica that may hold it, but some never reported what they hold.
     Assumed,
-    /// Every shard has a replica that reports to hold it.
+    /// Every shard has a replica that reports that it holds it.
     Confirmed,
 }
 
@@ -35,7 +35,7 @@
 pub struct Pin {
     /// The snapshot.
     pub snapshot: Arc<Snapshot>,
-    /// Whether its replicas hold it.
+    /// Whether every shard has a replica that holds it.
     pub readiness: Readiness,
     /// The number of shards with a replica that may hold it.
     pub ready: u32,
@@ -45,7 +45,7 @@
     /// Returns the number of shards without a replica that may hold it.
     #[must_use]
     pub fn missing(&self) -> u32 {
-        // A group map is at most a megabyte, so the count of shards fits.
+        // A group map is at most a megabyte, so the number of shards fits in a `u32`.
         (self.snapshot.shards.len() as u32).saturating_sub(self.ready)
     }
 
--- a/crates/route/src/incarnations.rs
+++ b/crates/route/src/incarnations.rs
@@ -34,7 +34,10 @@
 }
 
 impl Servers {
-    /// Applies a health report as a hint; a report of an earlier incarnation is ignored.
+    /// Applies a health report; a report of an earlier incarnation is ignored.
+    ///
+    /// A report is only a hint: the load and the snapshots that the server sent in its own replies take
+    /// precedence.
     pub fn report(
         &mut self,
         now: Instant,
--- a/crates/route/src/lost.rs
+++ b/crates/route/src/lost.rs
@@ -1,7 +1,7 @@
 //! Detection of lost servers: those that stopped replying at all.
 //!
-//! When a data centre is partitioned, each lookup that needs a shard on the other side would otherwise wait until its
-//! deadline for servers that cannot answer.
+//! When a data centre is partitioned, each lookup that needs a shard on the other side would otherwise
+//! wait until its deadline for servers that cannot answer.
 
 use std::time::Duration;
 use std::time::Instant;
--- a/crates/route/src/observed.rs
+++ b/crates/route/src/observed.rs
@@ -6,15 +6,15 @@
 use crate::policy::Candidate;
 use crate::policy::ReplicaPolicy;
 
-/// The cost of a local replica, as a multiple of a remote one, above which work goes to the remote
-/// one.
+/// The cost of a local replica, as a multiple of that of a remote one, above which work goes to the
+/// remote one.
 const SPILL_RATIO: f64 = 1.25;
 
 /// The assumed latency of a local replica without samples, in microseconds; low, so that it is
 /// sampled soon.
 const LOCAL_DEFAULT_US: f64 = 500.0;
 
-/// The same for a replica of another data centre, whose link takes milliseconds.
+/// The same for a replica of another data centre; the network latency to it is several milliseconds.
 const REMOTE_DEFAULT_US: f64 = 6_000.0;
 
 /// The weight of the load that a server reports, relative to attempts of this VM in flight.
--- a/crates/route/src/options.rs
+++ b/crates/route/src/options.rs
@@ -1,8 +1,8 @@
-//! Settings of the state of backend servers.
+//! Settings of slow start, ejection and snapshot reports of backend servers.
 
 use std::time::Duration;
 
-/// Settings of the state of backend servers.
+/// Settings of slow start, ejection and snapshot reports of backend servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteOptions {
     /// The duration of slow start, until a cold server gets its full share of attempts.
@@ -12,8 +12,8 @@
     /// The longest ejection time.
     pub ejection_max: Duration,
     /// The additional ejection time of a server whose health endpoint does not answer either, so that
-    /// dead servers are not probed with lookups all the time; bounded, because a health endpoint may
-    /// be wrong.
+    /// crashed servers are not probed with lookups all the time; bounded, because a health endpoint
+    /// may be wrong.
     pub ejection_silent: Duration,
     /// The weight of consecutive failures at which a server is ejected; see
     /// [`Failure::weight`](crate::Failure::weight).
--- a/crates/route/src/round_robin.rs
+++ b/crates/route/src/round_robin.rs
@@ -5,7 +5,7 @@
 use crate::policy::Candidate;
 use crate::policy::ReplicaPolicy;
 
-/// The most shard numbers with their own rotation.
+/// The most shard numbers with their own rotation; higher ones share it with a lower one.
 const ROTATIONS_MAX: usize = 4096;
 
 /// Round robin over the replicas of each shard number, regardless of latency, load and data centre.
--- a/crates/route/src/server.rs
+++ b/crates/route/src/server.rs
@@ -61,7 +61,8 @@
     Free,
     /// All connections of this VM's share are in use.
     Busy,
-    /// It shed load and requested a pause until then, or was unreachable a moment ago.
+    /// It shed load and requested a pause until then, or was recently unreachable or broke a
+    /// connection.
     Paused(Instant),
     /// It failed too often and is ejected until then.
     Ejected(Instant),
@@ -148,7 +149,7 @@
         self.local
     }
 
-    /// Returns its state by the state machine definition.
+    /// Returns its state, as defined by `charts/server.toml`.
     #[must_use]
     pub fn state(&self) -> ServerState {
         self.state
@@ -242,7 +243,8 @@
         }
     }
 
-    /// Whether a connection of this VM's share is free, regardless of ejection and backoff.
+    /// Whether it is not draining and a connection of this VM's share is free, regardless of ejection
+    /// and pauses.
     #[must_use]
     pub fn has_free_connection(&self) -> bool {
         !self.is_draining() && self.in_flight < self.share.0
--- a/crates/route/src/servers.rs
+++ b/crates/route/src/servers.rs
@@ -21,7 +21,7 @@
 /// The longest pause that a server may request when it sheds load.
 const SHED_PAUSE_MAX: Duration = Duration::from_secs(5);
 
-/// The pause after a server was unreachable; doubled with each consecutive time.
+/// The pause after a server was unreachable or broke a connection; doubled with each consecutive time.
 const CONNECTION_FAILURE_PAUSE: Duration = Duration::from_millis(20);
 
 /// The most doublings of that pause.
@@ -268,8 +268,8 @@
         view.paused_until = view.paused_until.max(Some(until));
     }
 
-    /// Sets the snapshots that a server reported to hold when it refused an attempt; returns `true` if
-    /// they changed.
+    /// Sets the snapshots that a server listed as held when it refused an attempt; returns `true` if they
+    /// changed.
     pub fn set_held_snapshots(
         &mut self,
         now: Instant,
