--- a/crates/query/src/placement.rs
+++ b/crates/query/src/placement.rs
@@ -30,7 +30,7 @@
     Unavailable(MissReason),
 }
 
-/// The result of earlier attempts at the same shard of a lookup for a replica.
+/// Whether earlier attempts at the same shard of a lookup rule out a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PriorAttempt {
     Untried,
