--- a/crates/edge/src/connection_pools.rs
+++ b/crates/edge/src/connection_pools.rs
@@ -173,13 +173,13 @@
     async fn run(&self, mut cancelled: oneshot::Receiver<()>) -> AttemptEnd {
         let start = Instant::now();
         let idle_max = self.d.once.then_some(ONCE_IDLE_MAX);
-        let lent = tokio::select! {
+        let conn = tokio::select! {
             biased;
             _ = &mut cancelled => return AttemptEnd::NotSent,
-            lent = self.pool.take_recently_used(self.d.attempt_timeout, idle_max) => lent,
+            conn = self.pool.take_recently_used(self.d.attempt_timeout, idle_max) => conn,
         };
-        let mut lent = match lent {
-            Ok(lent) => lent,
+        let mut conn = match conn {
+            Ok(conn) => conn,
             Err(e) => {
                 log::debug!(
                     "event=no-connection attempt={} error=\"{e}\"",
@@ -201,7 +201,7 @@
         };
         let result = tokio::select! {
             biased;
-            result = exchange(&mut lent, req, ANSWER_BYTES_MAX) => result,
+            result = exchange(&mut conn, req, ANSWER_BYTES_MAX) => result,
             () = sleep_past(start + self.d.attempt_timeout) => {
                 return AttemptEnd::Late(self.d.attempt_timeout);
             }
@@ -210,7 +210,7 @@
         match result {
             Ok(whole) => {
                 let reply = self.codec.reply(&self.d, whole);
-                self.return_connection(lent, &reply);
+                self.return_connection(conn, &reply);
                 reply.end
             }
             Err(ExchangeError::NotSent) => AttemptEnd::NotSent,
@@ -225,14 +225,14 @@
         }
     }
 
-    fn return_connection(&self, mut lent: PooledConnection, reply: &ParsedReply) {
+    fn return_connection(&self, mut conn: PooledConnection, reply: &ParsedReply) {
         if !reply.is_connection_reusable || !self.d.keep_connection {
             return;
         }
         if let Some(idle) = reply.idle_max {
-            lent.set_idle_max(idle.mul_f64(IDLE_FRACTION));
+            conn.set_idle_max(idle.mul_f64(IDLE_FRACTION));
         }
-        self.pool.put_back(lent);
+        self.pool.put_back(conn);
     }
 }
 
--- a/crates/edge/src/process.rs
+++ b/crates/edge/src/process.rs
@@ -164,15 +164,18 @@
         };
         tokio::spawn(peers.run(Arc::new(peer_handler), stopped.clone()));
         // The status server answers until the process exits, so that the balancer receives `not ready` to the end.
-        let (forever, never) = watch::channel(false);
+        let (keep_open, no_stop) = watch::channel(false);
         let status_handler = Arc::new(status_handler);
         if let Some(addr) = listen_on.metrics {
             let scrapes = Server::new(listen(addr, "metrics").await?, DEFAULT_LIMITS);
-            tokio::spawn(scrapes.run(Arc::<StatusHandler>::clone(&status_handler), never.clone()));
+            tokio::spawn(scrapes.run(
+                Arc::<StatusHandler>::clone(&status_handler),
+                no_stop.clone(),
+            ));
         }
         tokio::spawn(async move {
-            status.run(status_handler, never).await;
-            drop(forever);
+            status.run(status_handler, no_stop).await;
+            drop(keep_open);
         });
         let handler = CallerHandler {
             codec: Arc::clone(&self.protocols.callers),
--- a/crates/edge/src/register/client.rs
+++ b/crates/edge/src/register/client.rs
@@ -82,14 +82,14 @@
         timeout: Duration,
     ) -> std::result::Result<CompleteReply, String> {
         let pool = self.pool(addr).map_err(|e| e.to_string())?;
-        let mut lent = pool.take(timeout).await.map_err(|e| e.to_string())?;
+        let mut conn = pool.take(timeout).await.map_err(|e| e.to_string())?;
         let req = Request::get(path)
             .body(Full::new(Bytes::new()))
             .map_err(|e| e.to_string())?;
-        let whole = exchange(&mut lent, req, ANSWER_BYTES_MAX)
+        let whole = exchange(&mut conn, req, ANSWER_BYTES_MAX)
             .await
             .map_err(|e| format!("{e:?}"))?;
-        pool.put_back(lent);
+        pool.put_back(conn);
         Ok(whole)
     }
 
--- a/crates/http/tests/fuzz/backend.rs
+++ b/crates/http/tests/fuzz/backend.rs
@@ -224,8 +224,8 @@
         return true;
     };
     let text = String::from_utf8_lossy(sent);
-    let good: Part = serde_json::from_str(PART).expect("a part");
-    **part == good && text.contains(" 200") && text.contains(&id.to_string())
+    let valid: Part = serde_json::from_str(PART).expect("a part");
+    **part == valid && text.contains(" 200") && text.contains(&id.to_string())
 }
 
 #[test]
