--- a/crates/edge/src/announcer.rs
+++ b/crates/edge/src/announcer.rs
@@ -103,8 +103,9 @@
         }
     }
 
-    /// Polls the list of VMs, and announces this VM again or renews its announcement as needed; returns `false` if
-    /// the poll gave no list in which this VM should be.
+    /// Polls the list of VMs, and announces this VM again or renews its announcement as needed.
+    ///
+    /// Returns `false` if the poll gave no list, or one that may be older than this VM's announcement.
     ///
     /// An answer does not show that the directory is reachable, as it may come from a peer; the heartbeat after each
     /// poll shows that. A failed poll does show that the directory is unreachable, which the heartbeat may come too
--- a/crates/edge/src/register/mod.rs
+++ b/crates/edge/src/register/mod.rs
@@ -203,8 +203,10 @@
         }
     }
 
-    /// Returns whether this VM may use the platform's answer to its own call; not at first while the given peers still
-    /// have to reconnect to the platform.
+    /// Returns whether this VM may use the platform's answer to its own call.
+    ///
+    /// While the given peers cannot reach the platform, it may only after several answers in a row: the peers usually
+    /// reconnect a moment later.
     fn may_use_platform(&self, unreachable_peers: &[PeerVm]) -> bool {
         unreachable_peers.is_empty()
             || self.update_selector(|s| s.on_only_self_connected(now(), unreachable_peers))
--- a/crates/edge/src/register/peer_queries.rs
+++ b/crates/edge/src/register/peer_queries.rs
@@ -112,7 +112,7 @@
         may
     }
 
-    /// Queries peers one after the other whether they reach the platform, until one does.
+    /// Asks peers, one after the other, whether they reach the platform, until one does.
     pub(super) async fn query_platform_status(&self) -> PeersPlatformStatus {
         let peers = lock(&self.selector).peers_to_query(now());
         let mut unreachable = Vec::new();
@@ -146,7 +146,7 @@
 pub(super) enum PeersPlatformStatus {
     /// A peer that may be followed reaches it, and reports these requests that crash servers.
     Reachable(Vec<Fingerprint>),
-    /// Another peer reaches it, and the followed one is given until the next check to reconnect.
+    /// Another peer reaches it, but the followed one does not; it has until the next check to reconnect.
     FollowedUnreachable,
     /// No peer reaches it; these answered.
     Unreachable(Vec<PeerVm>),
--- a/crates/http/src/backend/connect.rs
+++ b/crates/http/src/backend/connect.rs
@@ -23,8 +23,8 @@
 
 /// How long a connection is silent before it is probed, and the time between two probes.
 ///
-/// A dead connection is detected after about three of these, well within the time that a VM
-/// has to recover.
+/// A dead connection is detected after about three of these, well within the time within which a VM must work normally
+/// again after a network failure.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The number of unanswered probes after which a connection is closed.
--- a/crates/member/src/peer_table.rs
+++ b/crates/member/src/peer_table.rs
@@ -118,8 +118,8 @@
         let Some(peer) = self.peers.get_mut(&entry.vm) else {
             return;
         };
-        // The list does not say which incarnation is leaving. A new incarnation announces itself in
-        // the list again, and a heartbeat of a newer incarnation overrides the list.
+        // The list says that a VM is leaving, but not which incarnation. A new incarnation would get
+        // a new entry in the list, and a heartbeat of a newer incarnation overrides the list.
         if entry.leaving && peer.apply(now, &self.chart, VmEvent::Leaving) {
             self.rumour_queue.add(&entry.vm);
             self.changed = true;
--- a/crates/member/src/seat_table.rs
+++ b/crates/member/src/seat_table.rs
@@ -18,7 +18,8 @@
 /// The most layouts that may be in use at the same time.
 pub(crate) const LAYOUTS_MAX: usize = 4;
 
-/// The number of seats for which one spare seat is kept, in addition to the first spare seat.
+/// The number of seats in a layout per vacant seat that is kept for new VMs, in addition to a first
+/// vacant seat that is always kept.
 const SEATS_PER_SPARE: usize = 16;
 
 /// The number of a version of the seat table; each write increases it by one.
@@ -43,6 +44,8 @@
 }
 
 /// The number of a seat; a new seat is numbered above all seats in the layouts of its table.
+///
+/// The number of a seat that was removed from all of them may therefore be used again.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -212,7 +215,7 @@
         });
     }
 
-    /// Whether some vacant seat is in all layouts, so that a new VM may use it at once.
+    /// Returns whether some vacant seat is in all layouts, so that a new VM may use it at once.
     pub(crate) fn has_usable_vacancy(&self) -> bool {
         self.vacant_seats().any(|s| self.is_in_all_layouts(s.id))
     }
--- a/crates/member/src/settings.rs
+++ b/crates/member/src/settings.rs
@@ -26,7 +26,8 @@
     /// How long a probe may stay unanswered before the VM is suspected.
     #[builder(default = Duration::from_millis(1500))]
     pub suspect_after: Duration,
-    /// How long a VM may be suspected, without any VM refuting it, before it counts as unreachable.
+    /// How long a VM may be suspected, without a heartbeat of it or a rumour that refutes the
+    /// suspicion, before it counts as unreachable.
     #[builder(default = Duration::from_secs(2))]
     pub lapse_after: Duration,
     /// How long a VM may be missing from the platform's list, without contact to this VM, before it
--- a/crates/member/src/table_keeper.rs
+++ b/crates/member/src/table_keeper.rs
@@ -87,7 +87,7 @@
         self.backoff_until = Some(now + time);
     }
 
-    /// Whether the table has to be read now.
+    /// Returns whether the table has to be read now.
     pub(crate) fn is_read_due(&self, now: Instant, leaving: bool, seat: &SeatState) -> bool {
         let idle = matches!(self.call, PlatformCall::None);
         let backing_off = self.backoff_until.is_some_and(|t| now < t);
@@ -143,7 +143,7 @@
         (table != before).then(|| table.with_next_epoch(&before))
     }
 
-    /// Assigns a seat to this VM, unless there is none and no layout may be added.
+    /// Assigns a seat to this VM, unless that takes a new seat and no layout may be added.
     fn take_seat(&self, table: &mut SeatTable) {
         let me = &self.cfg.me;
         let own = table.seat_of(&me.vm).is_some();
--- a/crates/member/src/vm_state.rs
+++ b/crates/member/src/vm_state.rs
@@ -25,7 +25,7 @@
 pub enum VmState {
     /// Listed by the platform, but no heartbeat received yet.
     Listed,
-    /// Answers heartbeats.
+    /// Heartbeats of it are received, by this VM or according to a newer rumour.
     Alive,
     /// Did not answer a probe in time. It counts as unreachable unless the suspicion is refuted in
     /// time.
--- a/crates/once/src/claim.rs
+++ b/crates/once/src/claim.rs
@@ -12,7 +12,7 @@
 
 /// The 128-bit hash of an idempotency key.
 ///
-/// If two keys have the same hash, the second one is `Taken`: it is rejected, and no key runs
+/// If two keys have the same hash, the second one is `Taken`: its lookup is refused, and no key runs
 /// twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
