--- a/crates/edge/src/directory.rs
+++ b/crates/edge/src/directory.rs
@@ -39,7 +39,7 @@
     Server(Arc<ServerEntry>),
     /// Content that cannot be read.
     Unreadable(Error),
-    /// None: the object is removed.
+    /// No content: the object was removed.
     Removed,
 }
 
--- a/crates/edge/src/register/answers.rs
+++ b/crates/edge/src/register/answers.rs
@@ -68,7 +68,7 @@
             log::warn!("event=register-question-unreadable uri=\"{uri:.80}\"");
             return empty_response(StatusCode::BAD_REQUEST);
         };
-        // A VM that itself follows a peer would pass contents on, later with each step.
+        // A VM that itself follows a peer does not answer: contents would arrive later with each VM that they pass.
         if *self.source.borrow() != RegisterSource::Register {
             return empty_response(StatusCode::SERVICE_UNAVAILABLE);
         }
--- a/crates/edge/src/register/wire.rs
+++ b/crates/edge/src/register/wire.rs
@@ -17,9 +17,9 @@
 
 /// The path prefix of queries to a peer for the register's contents, followed by the kind.
 pub(crate) const REGISTER_PATH: &str = "/register/";
-/// Stands in place of a kind for the announced VMs.
+/// Used in place of a kind in the path of a query for the announced VMs.
 pub(crate) const VMS: &str = "vms";
-/// Stands in place of a kind for whether the peer reaches the register.
+/// Used in place of a kind in the path of a query whether the peer reaches the register.
 pub(crate) const PLATFORM_STATUS: &str = "touch";
 
 /// An object of the register.
--- a/crates/edge/src/seed.rs
+++ b/crates/edge/src/seed.rs
@@ -1,8 +1,8 @@
 //! Seeds a starting process with the state of a peer while the directory is unreachable.
 //!
 //! A VM that restarts during an outage of the directory knows no routes, and without a seed would accept no callers
-//! until the outage is over; with enough such VMs, a data centre that could serve would be unresponsive. A peer's state
-//! is as old as the outage, which is what every VM serves from by then.
+//! until the outage is over; with enough such VMs, a data centre that could serve would serve no callers. A peer's
+//! state is as old as the outage, which is what every VM serves from by then.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/edge/src/settings.rs
+++ b/crates/edge/src/settings.rs
@@ -101,8 +101,8 @@
 pub struct Platform {
     /// The address of the platform's store.
     pub addr: SocketAddr,
-    /// The time between two renewals of this VM's announcement there; longer if there are many VMs. A VM
-    /// that has missed three and a half renewals has expired.
+    /// The time between two renewals of this VM's announcement there; longer if there are many VMs. An
+    /// announcement that was not renewed for three and a half such intervals has expired.
     #[serde(default = "renew_usual", with = "humantime_serde")]
     pub renew_every: Duration,
 }
@@ -324,8 +324,8 @@
         seeds.filter(|addr| *addr != self.listen.peers).collect()
     }
 
-    /// Returns how long before the end of its objective an answer is sent: the network latency, and the time of the work
-    /// on it here.
+    /// Returns how long before the end of its objective an answer is sent: the network latency, and the time of the
+    /// work on it here.
     fn answer_margin(&self) -> Duration {
         let cores = self.vm.capacity.cores.clamp(CORES_MIN, 1.0);
         self.answers.margin + ANSWER_WORK.div_f64(cores)
--- a/crates/http/src/backend/part_reply.rs
+++ b/crates/http/src/backend/part_reply.rs
@@ -1,7 +1,7 @@
 //! Validates and parses the reply to an attempt.
 //!
-//! A part is accepted only if the reply echoes the attempt's id, names a snapshot and has the right digest; hyper checks
-//! the length.
+//! A part is accepted only if the reply echoes the attempt's id, names a snapshot and has the right digest; hyper
+//! checks the length.
 
 use std::str::FromStr;
 use std::sync::Arc;
--- a/crates/member/src/dissemination.rs
+++ b/crates/member/src/dissemination.rs
@@ -13,7 +13,8 @@
 use crate::view::rank;
 use crate::vm_state::VmState;
 
-/// VMs that each heartbeat reports in turn, changed or not, so that lost rumours are made up for.
+/// How many VMs each heartbeat reports in turn, whether or not their state changed, so that the
+/// content of lost rumours arrives later.
 const DIGEST_VMS: usize = 4;
 
 impl PeerTable {
--- a/crates/member/src/peer.rs
+++ b/crates/member/src/peer.rs
@@ -55,13 +55,13 @@
         true
     }
 
-    /// Whether a heartbeat of it was received within this time.
+    /// Returns whether a heartbeat of it was received within this time.
     pub(crate) fn contacted_within(&self, now: Instant, time: Duration) -> bool {
         self.last_contact
             .is_some_and(|t| now.duration_since(t) < time)
     }
 
-    /// Whether a probe has been unanswered for this time.
+    /// Returns whether a probe has been unanswered for this time.
     pub(crate) fn unanswered_for(&self, now: Instant, time: Duration) -> bool {
         self.unanswered_since
             .is_some_and(|t| now.duration_since(t) >= time)
--- a/crates/member/src/seat_state.rs
+++ b/crates/member/src/seat_state.rs
@@ -66,7 +66,7 @@
         self.others_lowered.get(vm).copied().unwrap_or_default()
     }
 
-    /// Whether this incarnation of this VM holds a seat.
+    /// Returns whether this incarnation of this VM holds a seat.
     pub(crate) fn is_seated(&self) -> bool {
         self.held_seat().is_some()
     }
@@ -80,8 +80,8 @@
         self.released = true;
     }
 
-    /// Whether this VM's seat is missing from a layout that other VMs may still use, so that it may
-    /// hold no connections yet.
+    /// Returns whether this VM's seat is missing from a layout that other VMs may still use, so that
+    /// it may hold no connections yet.
     pub(crate) fn is_seat_pending(&self) -> bool {
         let (Some(table), Some(seat)) = (&self.table, self.held_seat()) else {
             return false;
--- a/crates/member/src/view.rs
+++ b/crates/member/src/view.rs
@@ -45,7 +45,7 @@
             .max_by_key(|vm| rank(duty, vm))
     }
 
-    /// Whether this VM has a duty according to its own view.
+    /// Returns whether this VM has a duty according to its own view.
     #[must_use]
     pub fn holds(&self, duty: &str) -> bool {
         self.holder(duty) == Some(&self.me)
--- a/crates/node/src/peer_sender.rs
+++ b/crates/node/src/peer_sender.rs
@@ -13,7 +13,7 @@
 ///
 /// A message may be lost. A peer that missed the notice of a drain would send new attempts to a
 /// draining server until its own poll detects the drain, which may be late. Three broadcasts within a
-/// second keep to the limit of two seconds until a drain is in force on all VMs.
+/// second keep a drain within the two seconds that it may take to be in force on all VMs.
 const NOTICE_REPEAT_DELAYS: [Duration; 2] =
     [Duration::from_millis(250), Duration::from_millis(600)];
 
--- a/crates/node/src/platform_watcher.rs
+++ b/crates/node/src/platform_watcher.rs
@@ -72,7 +72,8 @@
         tokio::spawn(group_loading::wait_for_groups(self));
     }
 
-    /// Watches a prefix; objects that are already known according to `is_held` are neither read nor passed to `on_update`.
+    /// Watches a prefix; objects that are already known according to `is_held` are neither read nor passed to
+    /// `on_update`.
     fn watch(
         &self,
         prefix: &'static str,
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -23,8 +23,8 @@
 /// The time between two checks whether lookups are in flight or connections are open.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The time for releasing the shares of connections, once no lookup is in flight. It is always used in full, so that the
-/// report of the release can be sent.
+/// The time for releasing the shares of connections, once no lookup is in flight. It is always used in full, so that
+/// the report of the release can be sent.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// The graceful shutdown of a process.
--- a/crates/once/src/claim_log.rs
+++ b/crates/once/src/claim_log.rs
@@ -80,7 +80,7 @@
             tail: 0,
             tail_claims: Vec::new(),
             version: 0,
-            // Assumed to be empty until a write conflicts, as most are.
+            // Assumed to be empty until a write conflicts: most logs are.
             loaded: true,
             verified: false,
             verification_round: None,
@@ -112,7 +112,7 @@
         self.known.len()
     }
 
-    /// Whether no call is in flight and no request waits for one.
+    /// Returns whether no call is in flight and no request waits for one.
     pub(crate) fn is_idle(&self) -> bool {
         self.call == Call::None && self.queue.is_empty() && self.unverified.is_empty()
     }
@@ -172,7 +172,7 @@
         resolved.flat_map(|w| w.batch).collect()
     }
 
-    /// Whether an unresolved write contains this request.
+    /// Returns whether an unresolved write contains this request.
     pub(crate) fn is_unresolved(&self, id: &ClaimRequestId) -> bool {
         self.unresolved_writes.iter().any(|w| w.batch.contains(id))
     }
--- a/crates/once/src/forwarding.rs
+++ b/crates/once/src/forwarding.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Whether a forwarded request is newer than all others from its sender.
+    /// Returns whether a forwarded request is newer than all others from its sender.
     ///
     /// A duplicated or delayed message could otherwise restore a request that was reported as
     /// `Dropped`, and whose caller was informed that nothing would be executed.
--- a/crates/once/src/retention.rs
+++ b/crates/once/src/retention.rs
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Whether the object at this path is being removed.
+    /// Returns whether the object at this path is being removed.
     pub(crate) fn is_being_removed(&self, path: &str) -> bool {
         self.watermark
             .removing
--- a/crates/store/src/budget.rs
+++ b/crates/store/src/budget.rs
@@ -1,4 +1,4 @@
-//! Counts calls in the way in which the platform counts them, and rejects those over a budget.
+//! Counts calls as the platform counts them, and rejects those over a budget.
 
 use std::sync::Mutex;
 use std::sync::PoisonError;
