--- a/crates/rig/src/experiment.rs
+++ b/crates/rig/src/policy_comparison.rs
@@ -1,4 +1,4 @@
-//! `gs-rig table`: policies compared under each scenario, same seed and same load.
+//! `gs-rig table`: compares policies under each scenario, with the same seed and load.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -18,17 +18,17 @@
 use gs_types::prelude::*;
 use strum::IntoEnumIterator;
 
-use crate::args::Table;
+use crate::args::TableArgs;
 use crate::scenario::Scenario;
 
-/// Load before a fault and before anything is counted.
-const WARM_UP: Duration = Duration::from_secs(2);
+/// The duration of the load before faults are injected and requests are counted.
+const WARM_UP_DURATION: Duration = Duration::from_secs(2);
 
-/// One lookup in so many is poisoned, where any is.
+/// In scenarios with poisoned lookups, one out of this many lookups is poisoned.
 const POISON_EVERY: u32 = 100;
 
-/// One line: a scenario under a policy.
-struct Line {
+/// The measurement of one scenario under one policy.
+struct Measurement {
     scenario: Scenario,
     policy: String,
     row: Row,
@@ -38,7 +38,7 @@
     engines: Engines,
 }
 
-/// Sums over the engines of every VM, for the whole run with its warm-up.
+/// The counters of the engines summed over all VMs, including the warm-up.
 #[derive(Clone, Copy, Debug, Default)]
 struct Engines {
     attempts: u64,
@@ -50,7 +50,7 @@
 }
 
 /// Runs the comparison and prints it as Markdown.
-pub async fn run(args: &Table) -> Result<ExitCode> {
+pub async fn run(args: &TableArgs) -> Result<ExitCode> {
     let corpus = Arc::new(Corpus::read(&args.common.text)?);
     let mut lines = Vec::new();
     for scenario in Scenario::iter() {
@@ -80,11 +80,11 @@
 }
 
 async fn measure(
-    args: &Table,
+    args: &TableArgs,
     corpus: &Arc<Corpus>,
     scenario: Scenario,
     policy: &str,
-) -> Result<Line> {
+) -> Result<Measurement> {
     let c = &args.common;
     let settings = format!("[tuning]\npolicy = \"{policy}\"\n\n[log]\nlevel = \"warn\"\n");
     let options = DeploymentOptions::builder()
@@ -96,15 +96,15 @@
         .settings(settings)
         .build();
     let d = Deployment::start(options).await?;
-    load_for(&d, args, scenario, WARM_UP, c.seed).await;
+    run_load(&d, args, scenario, WARM_UP_DURATION, c.seed).await;
     let before = d.servers.counts().summary().total;
-    let (driven, tally) = tokio::join!(
-        scenario.drive(&d, c.length),
-        load_for(&d, args, scenario, c.length, c.seed + 1),
+    let (injected, tally) = tokio::join!(
+        scenario.inject(&d, c.length),
+        run_load(&d, args, scenario, c.length, c.seed + 1),
     );
-    driven?;
+    injected?;
     let after = d.servers.counts().summary().total;
-    Ok(Line {
+    Ok(Measurement {
         scenario,
         policy: policy.to_owned(),
         row: tally.row(&format!("{}, {policy}", scenario.name())),
@@ -115,31 +115,31 @@
     })
 }
 
-async fn load_for(
+async fn run_load(
     d: &Deployment,
-    args: &Table,
+    args: &TableArgs,
     scenario: Scenario,
     length: Duration,
     seed: u64,
 ) -> Tally {
     let resends = Resends {
-        most: 5,
-        wait: Duration::from_millis(200),
+        resends_max: 5,
+        resend_delay: Duration::from_millis(200),
     };
     let spec = LoadSpec::builder()
         .rate(scenario.rate())
         .length(length)
         .seed(seed)
         .to_callers(args.common.shape.to_callers)
-        .maybe_resends(scenario.resends().then_some(resends))
+        .maybe_resends(scenario.has_resends().then_some(resends))
         .build();
     let mut mix = d.mix(args.common.seed);
-    if scenario.one_lookup() {
-        // An early end spares most of the work, so it says nothing about capacity.
-        let whole = d.shape.lookups.iter().find(|l| l.enough_at.is_none());
-        mix = mix.only(&[whole.map_or("", |l| l.name)]);
+    if scenario.is_one_lookup() {
+        // An early end avoids most of the work, so such a lookup does not measure capacity.
+        let lookup = d.shape.lookups.iter().find(|l| l.enough_at.is_none());
+        mix = mix.only(&[lookup.map_or("", |l| l.name)]);
     }
-    if let Some(word) = scenario.poison() {
+    if let Some(word) = scenario.poison_word() {
         mix = mix.poisoned(word, POISON_EVERY);
     }
     let tallies = load::run(spec, mix, d.targets(false), Some(d.checker())).await;
@@ -148,7 +148,7 @@
     all
 }
 
-/// Asks every VM for its counters; one that does not answer is left out.
+/// Sums the counters of all VMs that answer.
 async fn engines(d: &Deployment) -> Engines {
     let operator = Operator::new();
     let mut sum = Engines::default();
@@ -171,7 +171,7 @@
     sum
 }
 
-fn print_line(line: &Line) {
+fn print_line(line: &Measurement) {
     eprintln!(
         "table: {} asked={} whole={} p50={:.1} p99={:.1} p99.9={:.1} coverage={:.4} extra={:.2}% opened={} crashes={} wrong={} not-run={:?} unknown={:?} missing={:?} faults={:?} {:?}",
         line.row.name,
@@ -193,7 +193,7 @@
     );
 }
 
-fn print_table(args: &Table, lines: &[Line]) {
+fn print_table(args: &TableArgs, lines: &[Measurement]) {
     let rows: Vec<Row> = lines.iter().map(|l| l.row.clone()).collect();
     println!(
         "{}, {:?} a run, seed {}\n",
@@ -211,7 +211,7 @@
     }
 }
 
-fn plot(args: &Table, lines: &[Line]) -> Plot {
+fn plot(args: &TableArgs, lines: &[Measurement]) -> Plot {
     let mut scenarios: Vec<String> = Vec::new();
     for l in lines {
         let name = l.scenario.name().to_owned();
