--- a/tests/process/main.rs
+++ b/tests/process/main.rs
@@ -1,11 +1,11 @@
-//! Process tests: the real binary in a small deployment, with faults from outside.
+//! Tests that run the real binary in a small deployment and inject faults from outside.
 
-mod floors;
+mod combined_faults;
 mod operators;
-mod pairs;
 mod patches;
 mod platform_faults;
 mod recording;
 mod server_faults;
+mod snapshot_min;
 mod support;
 mod vm_faults;
--- a/tests/process/operators.rs
+++ b/tests/process/operators.rs
@@ -1,4 +1,4 @@
-//! The commands of an operator against real processes.
+//! The operators' commands against real processes.
 
 use std::process::Command;
 use std::process::Output;
@@ -16,38 +16,38 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-use crate::support::Running;
-use crate::support::ask;
-use crate::support::ask_vm;
-use crate::support::reason;
-use crate::support::tiny;
-use crate::support::until;
+use crate::support::TestDeployment;
+use crate::support::draw_lookup;
+use crate::support::refusal_reason;
+use crate::support::send_lookup;
+use crate::support::start_tiny;
+use crate::support::wait_until;
 
-/// The rig's team of operators.
+/// Name of the operators' team in the test deployment.
 const TEAM: &str = "operators";
 
-/// Runs a command against a VM by its number, with the team's key.
-async fn run(d: &Running, dir: &TempDir, vm: usize, args: &[&str]) -> Output {
+/// Runs a command against the VM with this index, with the team's key.
+async fn run(d: &TestDeployment, dir: &TempDir, vm: usize, args: &[&str]) -> Output {
     let admin = d.vms[vm].plan().admin.to_string();
     let mut command = Command::new(env!("CARGO_BIN_EXE_gentiansill"));
     command
         .current_dir(dir.path())
         .args([args, &["--admin", &admin, "--key-file", "team.key"]].concat());
-    let done = tokio::task::spawn_blocking(move || command.output()).await;
-    done.expect("joined").expect("the program runs")
+    let output = tokio::task::spawn_blocking(move || command.output()).await;
+    output.expect("joined").expect("the program runs")
 }
 
-fn code(o: &Output) -> i32 {
-    o.status.code().expect("an exit code")
+fn exit_code(output: &Output) -> i32 {
+    output.status.code().expect("an exit code")
 }
 
 fn text(buf: &[u8]) -> String {
     String::from_utf8_lossy(buf).trim().to_owned()
 }
 
-/// A deployment, and a directory with the team's key and a patch against version 1.
-async fn prepared() -> (Running, TempDir) {
-    let d = tiny().await;
+/// Starts a deployment and writes a directory with the team's key, a wrong key and a patch against version 1.
+async fn start_with_files() -> (TestDeployment, TempDir) {
+    let d = start_tiny().await;
     let dir = tempfile::tempdir().expect("a directory");
     let patch = page_patch(&d.shape, "page-of-four", 1, "quote", 4).expect("a declared lookup");
     let files = [
@@ -61,17 +61,17 @@
     (d, dir)
 }
 
-/// An operator tries a patch, sends it, and sends it again through another VM as the answer could
-/// have been lost; then a colleague sends one against the version that he saw before.
+/// Checks a patch from its dry run to its resend through another VM, which must not make a second version, and that a
+/// later patch against the old version is refused.
 #[rstest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_patch_from_dry_run_to_resend_and_a_late_one() {
-    let (d, dir) = prepared().await;
+    let (d, dir) = start_with_files().await;
     let dry = run(&d, &dir, 0, &["patch", "p.json", "--dry-run"]).await;
     assert_eq!(text(&dry.stdout), "would be accepted: version 2", "{dry:?}");
 
     let first = run(&d, &dir, 0, &["patch", "p.json", "--wait"]).await;
-    assert_eq!(code(&first), 0, "{first:?}");
+    assert_eq!(exit_code(&first), 0, "{first:?}");
     assert!(
         text(&first.stdout).starts_with("accepted: version 2\nin force on: "),
         "{first:?}"
@@ -80,7 +80,7 @@
     let again = run(&d, &dir, 1, &["patch", "p.json", "--json"]).await;
     let verdict: Value = serde_json::from_slice(&again.stdout).expect("JSON");
     assert_eq!(
-        (code(&again), &verdict["version"]),
+        (exit_code(&again), &verdict["version"]),
         (0, &Value::from(2)),
         "{again:?}"
     );
@@ -88,7 +88,7 @@
     let late = page_patch(&d.shape, "page-of-five", 1, "quote", 5).expect("a declared lookup");
     std::fs::write(dir.path().join("p.json"), late.to_string()).expect("a file");
     let refused = run(&d, &dir, 2, &["patch", "p.json"]).await;
-    assert_eq!(code(&refused), 1, "{refused:?}");
+    assert_eq!(exit_code(&refused), 1, "{refused:?}");
     assert!(
         text(&refused.stdout).starts_with("refused: "),
         "{refused:?}"
@@ -98,19 +98,19 @@
 #[rstest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_state_of_one_process_and_of_the_fleet() {
-    let (d, dir) = prepared().await;
+    let (d, dir) = start_with_files().await;
     let status = run(&d, &dir, 0, &["status"]).await;
     let own = format!("vm = {}", d.vms[0].plan().name);
-    assert_eq!(code(&status), 0, "{status:?}");
+    assert_eq!(exit_code(&status), 0, "{status:?}");
     assert!(text(&status.stdout).lines().any(|l| l == own), "{status:?}");
 
     let dump = run(&d, &dir, 0, &["dump", "--json"]).await;
     let state: Value = serde_json::from_slice(&dump.stdout).expect("JSON");
-    assert_eq!(code(&dump), 0, "{dump:?}");
+    assert_eq!(exit_code(&dump), 0, "{dump:?}");
     assert_eq!(state["settings"]["mesh"]["secret"], "(hidden)", "{state:#}");
 
     let fleet = run(&d, &dir, 1, &["dump", "--fleet", "--json"]).await;
-    assert_eq!(code(&fleet), 0, "{fleet:?}");
+    assert_eq!(exit_code(&fleet), 0, "{fleet:?}");
     for vm in &d.vms {
         let name = vm.plan().name.as_str();
         assert!(text(&fleet.stdout).contains(name), "no {name} in {fleet:?}");
@@ -120,10 +120,10 @@
 #[rstest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_wrong_key_is_refused() {
-    let (d, dir) = prepared().await;
+    let (d, dir) = start_with_files().await;
     std::fs::rename(dir.path().join("wrong.key"), dir.path().join("team.key")).expect("renamed");
     let dump = run(&d, &dir, 0, &["dump"]).await;
-    assert_eq!(code(&dump), 1, "{dump:?}");
+    assert_eq!(exit_code(&dump), 1, "{dump:?}");
     assert!(
         text(&dump.stderr).contains("(step: authenticate"),
         "{dump:?}"
@@ -131,8 +131,8 @@
     assert!(!text(&dump.stderr).contains(TEAM_KEY), "{dump:?}");
 }
 
-/// What a scraper reads from a VM.
-async fn scrape(d: &Running, vm: usize) -> String {
+/// Returns the response of a VM to a metrics scrape.
+async fn scrape(d: &TestDeployment, vm: usize) -> String {
     let mut tcp = TcpStream::connect(d.vms[vm].plan().admin)
         .await
         .expect("listening");
@@ -145,18 +145,18 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_scrape_tells_what_a_vm_did() {
-    let d = tiny().await;
+    let d = start_tiny().await;
     for seed in 0..3 {
-        let reply = ask_vm(&d, 0, &ask(&d, "placement", seed)).await;
+        let reply = send_lookup(&d, 0, &draw_lookup(&d, "placement", seed)).await;
         assert!(reply.page().is_some(), "{reply:?}");
     }
-    // A caller that makes names up, with a key so that the refusal is `unknown`, adds no series.
+    // An undeclared front must not add a time series, also with a key, which makes the outcome `unknown`.
     let made_up = LookupRequest {
         front: "made-up",
-        ..ask(&d, "renewal", 9)
+        ..draw_lookup(&d, "renewal", 9)
     };
     assert_eq!(
-        reason(&ask_vm(&d, 0, &made_up).await).as_deref(),
+        refusal_reason(&send_lookup(&d, 0, &made_up).await).as_deref(),
         Some("no-such-lookup")
     );
     let out = scrape(&d, 0).await;
@@ -179,25 +179,23 @@
     }
 }
 
-/// The metrics of a VM that waits for its configuration grow by a series for each name asked.
-/// All VMs are gone and the platform is away; one starts, and a caller asks lookups that nobody
-/// declared. The cause was that only a refused name was taken for undeclared, while a VM that is
-/// not ready refuses before it looks the name up.
+/// Prevents a time series for each undeclared name that callers send to a VM without a configuration: such a VM refuses
+/// a lookup as not ready before it checks the name, so that the name was not treated as undeclared.
 #[rstest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_name_that_nobody_declared_is_no_label_of_a_metric() {
-    let mut d = tiny().await;
+    let mut d = start_tiny().await;
     d.vms.iter_mut().for_each(VmProcess::kill);
     d.platform.control(Control {
         down: Some(true),
         ..Control::default()
     });
     let (caller, plan) = (Caller::new(), d.vms[0].plan().clone());
-    let mut asked = ask(&d, "quote", 13);
-    asked.front = "no-such-front";
-    let refused = until("the lookup is refused", async || {
-        let reply = caller.request(plan.callers, &asked).await;
-        reason(&reply).as_deref() == Some("not-ready")
+    let mut lookup = draw_lookup(&d, "quote", 13);
+    lookup.front = "no-such-front";
+    let refused = wait_until("the refusal of the lookup", async || {
+        let reply = caller.request(plan.callers, &lookup).await;
+        refusal_reason(&reply).as_deref() == Some("not-ready")
     });
     tokio::select! {
         ready = d.restart(0) => panic!("ready without a configuration: {ready:?}"),
--- a/tests/process/recording.rs
+++ b/tests/process/recording.rs
@@ -1,4 +1,4 @@
-//! What processes recorded under faults, replayed.
+//! Replays of traces that processes recorded under faults.
 
 use std::fs::File;
 use std::io::BufReader;
@@ -19,19 +19,21 @@
 use rstest::rstest;
 use rustix::process::Signal;
 
-use crate::support::load;
+use crate::support::run_load;
 use crate::support::start;
-use crate::support::until;
+use crate::support::wait_until;
 
-/// Replays a trace, judged by the promises alone, and gives how many lookups it answered.
-fn replayed(trace: &Path) -> usize {
+/// Replays a trace, checks it against the promises and the recorded actions, and returns the number of answered lookups.
+fn replay(trace: &Path) -> usize {
     let file = File::open(trace).expect("a trace");
     let reader = Reader::new(BufReader::new(file)).expect("a header");
     let engine = gs_trace::build_engine(reader.header()).expect("an engine");
     let mut checker = Checker::new(Expectations::default()).exact();
     for step in Replay::new(reader, engine, Instant::now()) {
         let step = step.expect("a step");
-        checker.on(&step).expect("the same, and the promises hold");
+        checker
+            .on(&step)
+            .expect("the same actions, and the promises hold");
     }
     checker.end().expect("the promises hold");
     assert!(
@@ -42,12 +44,12 @@
     checker.count(OutcomeKind::Answered)
 }
 
-/// A server drains, one dies and comes back, others garble replies or answer with another's id.
-async fn break_things(d: &Deployment) {
+/// Drains one server, kills and restarts another, and makes servers send malformed replies or replies of other attempts.
+async fn inject_faults(d: &Deployment) {
     let server = |name: &str| name.parse::<ServerName>().expect("a name");
-    let (leaving, dying) = (server("bulletin-desk-0-0"), server("bulletin-desk-1-1"));
-    until("work on the server", async || {
-        d.servers.counts().of(&leaving).runs > 3
+    let (draining, crashing) = (server("bulletin-desk-0-0"), server("bulletin-desk-1-1"));
+    wait_until("work on the server", async || {
+        d.servers.counts().of(&draining).runs > 3
     })
     .await;
     let spoil = |how| Command::Spoil {
@@ -56,34 +58,32 @@
         share: 0.05,
     };
     let faults = [
-        Command::Drain { server: leaving },
+        Command::Drain { server: draining },
         Command::Kill {
-            server: dying.clone(),
+            server: crashing.clone(),
         },
         spoil(ReplyFault::Garbled),
-        Command::Restart { server: dying },
+        Command::Restart { server: crashing },
         spoil(ReplyFault::Crossed),
     ];
     for fault in faults {
         let runs = || d.servers.counts().summary().total.runs;
         let before = runs();
         d.servers.apply(fault).await.expect("applied");
-        until("work under the fault", async || runs() > before + 60).await;
+        wait_until("work under the fault", async || runs() > before + 60).await;
     }
 }
 
-/// Operators ask what a VM did and why, after a bad quarter of an hour.
-/// Three VMs record while servers drain, die and garble or cross their replies; then they leave. Each
-/// trace must take the same decisions again and keep every promise. The cause of a difference would
-/// be a decision that hangs on something which is not recorded, or recorded in another order.
+/// Prevents traces, recorded while servers drain, crash and send bad replies, that replay differently: a decision might
+/// depend on input that is not recorded, or that is recorded in another order.
 #[rstest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn what_processes_recorded_under_faults_replays_the_same() {
     let settings = "[record]\nfile = \"{vm}.trace\"\n[shutdown]\nlag = \"100ms\"\n";
     let mut d = start(Shape::tiny(), settings).await;
     let (tally, ()) = tokio::join!(
-        load(&d, d.targets(false), 40.0, Duration::from_secs(4)),
-        break_things(&d)
+        run_load(&d, d.targets(false), 40.0, Duration::from_secs(4)),
+        inject_faults(&d)
     );
     assert!(tally.answered > 100, "{tally:?}");
     for vm in &mut d.vms {
@@ -96,7 +96,7 @@
         .iter()
         .map(|vm| {
             let name = &vm.plan().name;
-            replayed(&d.log_of(name).with_file_name(format!("{name}.trace")))
+            replay(&d.log_of(name).with_file_name(format!("{name}.trace")))
         })
         .sum();
     assert_eq!(answered as u64, tally.answered);
--- a/tests/process/support.rs
+++ b/tests/process/support.rs
@@ -1,4 +1,4 @@
-//! What the process tests share: a small deployment with the real binary.
+//! Helpers for the process tests: a small deployment that runs the real binary.
 
 use std::collections::BTreeMap;
 use std::ops::Deref;
@@ -22,22 +22,22 @@
 use tokio::sync::Semaphore;
 use tokio::sync::SemaphorePermit;
 
-/// The seed of every process test.
+/// Seed of the deployment, lookups and load in every process test.
 pub const SEED: u64 = 20_261_203;
 
-/// Deployments that run at the same time; more would only wait for the machine.
-const AT_ONCE: usize = 3;
+/// Maximum number of deployments that run at the same time; more would only compete for CPU time.
+const DEPLOYMENTS_MAX: usize = 3;
 
-/// Room for deployments in this test process.
-static ROOM: Semaphore = Semaphore::const_new(AT_ONCE);
+/// Limits how many deployments run at the same time in this test process.
+static DEPLOYMENT_PERMITS: Semaphore = Semaphore::const_new(DEPLOYMENTS_MAX);
 
-/// A deployment and its room.
-pub struct Running {
+/// A running deployment and its permit from [`DEPLOYMENT_PERMITS`].
+pub struct TestDeployment {
     deployment: Deployment,
-    _room: SemaphorePermit<'static>,
+    _permit: SemaphorePermit<'static>,
 }
 
-impl Deref for Running {
+impl Deref for TestDeployment {
     type Target = Deployment;
 
     fn deref(&self) -> &Deployment {
@@ -45,20 +45,23 @@
     }
 }
 
-impl DerefMut for Running {
+impl DerefMut for TestDeployment {
     fn deref_mut(&mut self) -> &mut Deployment {
         &mut self.deployment
     }
 }
 
-/// Starts three VMs, one in each data centre, over four shards of two replicas.
-pub async fn tiny() -> Running {
+/// Starts three VMs, one in each data centre, over four shards with two replicas each.
+pub async fn start_tiny() -> TestDeployment {
     start(Shape::tiny(), "").await
 }
 
-/// Starts a deployment of this shape, with these settings added.
-pub async fn start(shape: Shape, settings: &str) -> Running {
-    let room = ROOM.acquire().await.expect("the semaphore stays open");
+/// Starts a deployment of this shape with these additional settings.
+pub async fn start(shape: Shape, settings: &str) -> TestDeployment {
+    let permit = DEPLOYMENT_PERMITS
+        .acquire()
+        .await
+        .expect("the semaphore stays open");
     let options = DeploymentOptions::builder()
         .shape(shape)
         .corpus(Arc::new(Corpus::sample(400)))
@@ -69,19 +72,19 @@
     let deployment = Deployment::start(options)
         .await
         .expect("the deployment starts");
-    Running {
+    TestDeployment {
         deployment,
-        _room: room,
+        _permit: permit,
     }
 }
 
-/// Runs checked load over every lookup and gives the tallies' sum.
-pub async fn load(d: &Deployment, targets: Arc<Targets>, rate: f64, length: Duration) -> Tally {
-    load_mix(d, d.mix(SEED), targets, rate, length).await
+/// Runs load over all lookups, checks every answer and returns the sum of the tallies.
+pub async fn run_load(d: &Deployment, targets: Arc<Targets>, rate: f64, length: Duration) -> Tally {
+    run_load_mix(d, d.mix(SEED), targets, rate, length).await
 }
 
-/// Runs checked load over this mix and gives the tallies' sum.
-pub async fn load_mix(
+/// Runs load over this mix, checks every answer and returns the sum of the tallies.
+pub async fn run_load_mix(
     d: &Deployment,
     mix: LookupMix,
     targets: Arc<Targets>,
@@ -94,11 +97,12 @@
         .seed(SEED)
         .build();
     let tallies = load::run(spec, mix, targets, Some(d.checker())).await;
-    sum(&tallies)
+    sum_tallies(&tallies)
 }
 
-/// The same over every lookup, not bound to the deployment, so that its VMs can be restarted.
-pub fn load_apart(
+/// Like [`run_load`], but the returned future does not borrow the deployment, so that its VMs can be
+/// restarted while the load runs.
+pub fn run_load_detached(
     d: &Deployment,
     targets: Arc<Targets>,
     rate: f64,
@@ -110,39 +114,43 @@
         .length(length)
         .seed(SEED)
         .build();
-    async move { sum(&load::run(spec, mix, targets, Some(checker)).await) }
+    async move { sum_tallies(&load::run(spec, mix, targets, Some(checker)).await) }
 }
 
-/// The sum over all lookups.
-fn sum(tallies: &BTreeMap<&'static str, Tally>) -> Tally {
+/// Returns the sum of the tallies of all lookups.
+fn sum_tallies(tallies: &BTreeMap<&'static str, Tally>) -> Tally {
     let mut all = Tally::default();
     tallies.values().for_each(|t| all.add(t));
     all
 }
 
-/// Draws one lookup of this name.
-pub fn ask(d: &Deployment, lookup: &str, seed: u64) -> LookupRequest {
+/// Draws one request for the lookup of this name.
+pub fn draw_lookup(d: &Deployment, lookup: &str, seed: u64) -> LookupRequest {
     d.mix(seed).only(&[lookup]).draw()
 }
 
-/// Asks a VM by its number, and checks the answer.
-pub async fn ask_vm(d: &Deployment, vm: usize, ask: &LookupRequest) -> Reply {
-    let reply = Caller::new().request(d.vms[vm].plan().callers, ask).await;
-    assert_eq!(d.checker().check(ask, &reply), None, "{reply:?}");
+/// Sends a lookup to the VM with this index and checks the answer.
+pub async fn send_lookup(d: &Deployment, vm: usize, lookup: &LookupRequest) -> Reply {
+    let reply = Caller::new()
+        .request(d.vms[vm].plan().callers, lookup)
+        .await;
+    assert_eq!(d.checker().check(lookup, &reply), None, "{reply:?}");
     reply
 }
 
-/// The reason of a refusal.
-pub fn reason(reply: &Reply) -> Option<String> {
+/// Returns the reason if the reply is a refusal.
+pub fn refusal_reason(reply: &Reply) -> Option<String> {
     reply.refusal().map(|r| r.reason.to_string())
 }
 
-/// Waits until something holds; gives up, and fails the test, only after a time that no healthy
-/// run comes near.
-pub async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
+/// Waits until a condition holds; fails the test after 30 s, far longer than any healthy run takes.
+pub async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let end = tokio::time::Instant::now() + Duration::from_secs(30);
     while !holds().await {
-        assert!(tokio::time::Instant::now() < end, "never happened: {what}");
+        assert!(
+            tokio::time::Instant::now() < end,
+            "timed out waiting for: {what}"
+        );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
--- a/tests/process/vm_faults.rs
+++ b/tests/process/vm_faults.rs
@@ -1,4 +1,4 @@
-//! Entry VMs that are killed, paused and restarted while callers ask.
+//! VMs that are killed, paused and restarted under load.
 
 use std::time::Duration;
 
@@ -13,31 +13,29 @@
 use serde_json::Value;
 use serde_json::json;
 
-use crate::support::ask;
-use crate::support::ask_vm;
-use crate::support::load;
-use crate::support::tiny;
-use crate::support::until;
+use crate::support::draw_lookup;
+use crate::support::run_load;
+use crate::support::send_lookup;
+use crate::support::start_tiny;
+use crate::support::wait_until;
 
-/// Readers see some requests break off when a VM's process is killed, and nothing else.
-/// Load runs through three VMs; one is killed by SIGKILL in the middle of it; the balancer then
-/// leaves it out. The cause is the loss of the VM's memory: whatever it knew must not be needed
-/// for the others' answers to be right, and no renewal may run twice.
+/// Prevents wrong answers, and renewals that run twice, after one of three VMs is killed under load: the other VMs
+/// might need state that was only in the killed VM's memory. Only its own requests may be cut off.
 #[rstest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_killed_vm_costs_only_its_own_requests() {
-    let mut d = tiny().await;
+    let mut d = start_tiny().await;
     let targets = d.targets(false);
     let rest: Vec<_> = d.vms[1..].iter().map(|v| v.plan().callers).collect();
     let mut killed = d.vms.remove(0);
     let kill = async {
         let seen = async || d.servers.counts().summary().total.runs > 50;
-        until("load on the servers", seen).await;
+        wait_until("load on the servers", seen).await;
         killed.kill();
         targets.set(rest);
     };
     let (tally, ()) = tokio::join!(
-        load(&d, targets.clone(), 40.0, Duration::from_secs(3)),
+        run_load(&d, targets.clone(), 40.0, Duration::from_secs(3)),
         kill
     );
     let others = tally.faults.keys().filter(|f| **f != Fault::Cut).count();
@@ -45,23 +43,21 @@
     let seen = d.servers.counts().summary();
     assert_eq!((seen.keys_doubled, seen.total.over_limit), (0, 0));
     for vm in 0..d.vms.len() {
-        let reply = ask_vm(&d, vm, &ask(&d, "placement", 7)).await;
+        let reply = send_lookup(&d, vm, &draw_lookup(&d, "placement", 7)).await;
         assert!(reply.page().is_some(), "{reply:?}");
     }
 }
 
-/// A clerk's renewal seems to hang, so the clerk sends it again through another VM.
-/// The first VM is stopped before it reads the request; the second runs it; then the first goes
-/// on. The cause is a pause: the first VM cannot know that its time has passed, and only the claim
-/// on the platform can tell it that the key is used.
+/// Prevents a second run of a renewal whose VM is paused before it reads the request, while the renewal is resent
+/// through another VM: only the claim on the platform shows the resumed VM that the key is used.
 #[rstest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_vm_paused_before_its_claim_does_not_run_a_renewal_again() {
-    let d = tiny().await;
-    let renewal = ask(&d, "renewal", 1);
+    let d = start_tiny().await;
+    let renewal = draw_lookup(&d, "renewal", 1);
     d.vms[0].signal(Signal::STOP).expect("a running process");
-    let (first, second) = tokio::join!(ask_vm(&d, 0, &renewal), async {
-        let second = ask_vm(&d, 1, &renewal).await;
+    let (first, second) = tokio::join!(send_lookup(&d, 0, &renewal), async {
+        let second = send_lookup(&d, 1, &renewal).await;
         d.vms[0].signal(Signal::CONT).expect("a stopped process");
         second
     });
@@ -71,24 +67,22 @@
     assert_eq!(d.servers.counts().runs_of_key(&key), 1);
 }
 
-/// The same, but the pause comes while the first VM's claim is under way.
-/// The platform is slow; the first VM is stopped once its write has reached the platform; the
-/// resend goes through another VM; then the first goes on. The cause is a lease or a deadline that
-/// lapses in the pause: at most one of the two may run it.
+/// Prevents a second run of a renewal whose VM is paused with its claim in flight at a slow platform, while the renewal
+/// is resent through another VM: a lease or a deadline may expire during the pause. At most one VM may run it.
 #[rstest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_vm_paused_during_its_claim_does_not_double_a_renewal() {
-    let d = tiny().await;
-    let renewal = ask(&d, "renewal", 2);
+    let d = start_tiny().await;
+    let renewal = draw_lookup(&d, "renewal", 2);
     d.platform.control(Control {
         delay_ms: Some(150),
         ..Control::default()
     });
-    let (first, second) = tokio::join!(ask_vm(&d, 0, &renewal), async {
+    let (first, second) = tokio::join!(send_lookup(&d, 0, &renewal), async {
         let claimed = async || !d.platform.paths("claims/").is_empty();
-        until("the claim on the platform", claimed).await;
+        wait_until("the claim on the platform", claimed).await;
         d.vms[0].signal(Signal::STOP).expect("a running process");
-        let second = ask_vm(&d, 1, &renewal).await;
+        let second = send_lookup(&d, 1, &renewal).await;
         d.vms[0].signal(Signal::CONT).expect("a stopped process");
         second
     });
@@ -102,10 +96,8 @@
     assert!(pages <= 1, "{first:?} {second:?}");
 }
 
-/// Operators replace every VM, one after another, and no caller notices.
-/// Nine VMs serve; each gets SIGTERM (the first one twice), leaves and comes back, under load, with a
-/// balancer that follows readiness late. The cause of a cut or a refusal would be a process that
-/// stops accepting before the balancer has left it, or exits before its last answer.
+/// Prevents cut or refused requests in a rolling restart of nine VMs under load: a process might stop accepting before
+/// the balancer, which notices readiness late, stops using it, or might exit before its last answer is sent.
 #[rstest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_rolling_restart_cuts_and_refuses_nothing() {
@@ -120,14 +112,14 @@
     let mut mix = d.mix(crate::support::SEED);
     let load = async {
         let caller = Caller::new();
-        let mut asked = tokio::task::JoinSet::new();
+        let mut requests = tokio::task::JoinSet::new();
         while !*stopped.borrow_and_update() {
-            let (ask, vm) = (mix.draw(), targets.next().expect("a ready VM"));
+            let (lookup, vm) = (mix.draw(), targets.next().expect("a ready VM"));
             let caller = caller.clone();
-            asked.spawn(async move { (caller.request(vm, &ask).await, ask) });
+            requests.spawn(async move { (caller.request(vm, &lookup).await, lookup) });
             tokio::time::sleep(Duration::from_millis(25)).await;
         }
-        asked.join_all().await
+        requests.join_all().await
     };
     let restarts = async {
         for vm in 0..d.vms.len() {
@@ -139,73 +131,69 @@
             assert!(status.expect("it exits").success());
             d.restart(vm).await.expect("it starts again");
         }
-        stop.send(true).expect("the load listens");
+        stop.send(true).expect("the load is running");
     };
     let (replies, ()) = tokio::join!(load, restarts);
-    for (reply, ask) in &replies {
-        assert_eq!(checker.check(ask, reply), None, "{reply:?}");
+    for (reply, lookup) in &replies {
+        assert_eq!(checker.check(lookup, reply), None, "{reply:?}");
         assert!(reply.page().is_some(), "{reply:?}");
     }
     let coverage = |r: &gs_rig::load::Reply| r.page().map(|p| p.coverage.clone());
-    let thin = replies
+    let incomplete = replies
         .iter()
         .filter_map(|(r, _)| coverage(r))
         .filter(|c: &Coverage| !c.is_full());
-    assert_eq!(thin.count(), 0);
+    assert_eq!(incomplete.count(), 0);
     assert_eq!(d.servers.counts().summary().total.over_limit, 0);
 }
 
-/// Backend servers close connections on VMs that did nothing wrong.
-/// One VM is stopped with its connections open; the others take it for lost and share out its
-/// connections; then it goes on. The cause would be a share that is given away while its holder,
-/// paused, still has the connections.
+/// Prevents connections above a server's limit after a VM is paused with open connections: the other VMs see it as
+/// failed and might be granted its connection share while it still holds the connections.
 #[rstest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_paused_vm_leaves_no_server_above_its_connection_limit() {
-    let d = tiny().await;
+    let d = start_tiny().await;
     let targets = d.targets(false);
     let rest: Vec<_> = d.vms[1..].iter().map(|v| v.plan().callers).collect();
     targets.set(rest.clone());
     d.vms[0].signal(Signal::STOP).expect("a running process");
     let operator = Operator::new();
-    until("the others miss it", async || {
+    wait_until("the others see the VM as failed", async || {
         let status = operator.status(d.vms[1].plan().admin).await;
         let status = status.expect("a status");
-        let missed = |v: &Value| v["vm"] == json!(d.vms[0].plan().name) && v["state"] != "alive";
+        let is_failed = |v: &Value| v["vm"] == json!(d.vms[0].plan().name) && v["state"] != "alive";
         let vms = status["vms"].as_array();
-        vms.is_some_and(|vms| vms.iter().any(missed))
+        vms.is_some_and(|vms| vms.iter().any(is_failed))
     })
     .await;
-    let tally = load(&d, targets, 60.0, Duration::from_secs(4)).await;
+    let tally = run_load(&d, targets, 60.0, Duration::from_secs(4)).await;
     d.vms[0].signal(Signal::CONT).expect("a stopped process");
     assert_eq!(tally.wrong(), 0, "{:?}", tally.faults);
     assert!(tally.answered > 0);
-    until("the paused VM answers again", async || {
-        let reply = ask_vm(&d, 0, &ask(&d, "placement", 9)).await;
+    wait_until("the paused VM answers again", async || {
+        let reply = send_lookup(&d, 0, &draw_lookup(&d, "placement", 9)).await;
         reply.page().is_some()
     })
     .await;
     assert_eq!(d.servers.counts().summary().total.over_limit, 0);
 }
 
-/// A VM that is replaced never takes lookups, and all others wait for the same fate.
-/// A publisher writes something that is no shard map, over a map in use or beside them; the running
-/// VMs go on by what they hold; then one is replaced. The cause was a start that waited for every
-/// listed map to be held, which one that cannot be read never is, though the peers hold its last.
+/// Prevents a restarted VM that never becomes ready because one stored shard map is malformed: startup waited until
+/// every listed map was held, although the peers still have the last valid version of a malformed one.
 #[rstest]
 #[case::over_a_map_in_use(None)]
 #[case::beside_the_others(Some("groups/unreadable"))]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_shard_map_that_cannot_be_read_keeps_no_new_vm_from_serving(#[case] path: Option<&str>) {
-    let mut d = tiny().await;
+    let mut d = start_tiny().await;
     let in_use = d.platform.paths("groups/");
     let path = path.unwrap_or(in_use.first().expect("a shard map"));
     d.platform.put(path, "no shard map");
     d.restart(0).await.expect("it becomes ready");
     for lookup in ["quote", "placement"] {
-        let lookup = ask(&d, lookup, 12);
-        until("a full page", async || {
-            let reply = ask_vm(&d, 0, &lookup).await;
+        let lookup = draw_lookup(&d, lookup, 12);
+        wait_until("a complete page", async || {
+            let reply = send_lookup(&d, 0, &lookup).await;
             reply.page().is_some_and(|p| p.coverage.is_full())
         })
         .await;
