--- a/tests/process/combined_faults.rs
+++ b/tests/process/combined_faults.rs
@@ -76,7 +76,7 @@
 /// Resends a renewal until the platform has decided its claim.
 async fn wait_until_decided(d: &TestDeployment, vm: usize, renewal: &LookupRequest) -> Reply {
     let mut last = Reply::Unreachable;
-    wait_until("the claim is decided", async || {
+    wait_until("the decision on the claim", async || {
         last = send_lookup(d, vm, renewal).await;
         refusal_reason(&last).as_deref() != Some("claims-away")
     })
--- a/tests/process/patches.rs
+++ b/tests/process/patches.rs
@@ -116,8 +116,8 @@
     assert_eq!(d.platform.counts().lost, 1);
 }
 
-/// Prevents a patch that is in force only in part while a data centre is partitioned, and a VM that returns to the old
-/// version after the partition heals. A refusal must name the VM that did not answer.
+/// Prevents a partitioned VM from serving by the old version after a patch is accepted, and VMs from returning to the old
+/// version after the partition heals. A refused patch must name the VM that did not answer.
 #[rstest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_patch_during_a_cut_is_whole_or_refused() {
@@ -199,19 +199,22 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_vm_that_left_and_is_still_listed_stops_no_patch() {
     let mut d = start_tiny().await;
-    let left = d.vms[2].plan().name.clone();
+    let leaving_vm = d.vms[2].plan().name.clone();
     d.platform.control(Control {
-        vm_leaving: Some(left.clone()),
+        vm_leaving: Some(leaving_vm.clone()),
         ..Control::default()
     });
-    let leaving = async |d: &TestDeployment| {
+    let is_listed_as_leaving = async |d: &TestDeployment| {
         let status = Operator::new().status(d.vms[0].plan().admin).await;
         let vms = status.map_or(Value::Null, |s| s["vms"].clone());
         let vms = vms.as_array().cloned().unwrap_or_default();
         vms.iter()
-            .any(|v| v["vm"] == left.as_str() && v["state"] == "leaving")
+            .any(|v| v["vm"] == leaving_vm.as_str() && v["state"] == "leaving")
     };
-    wait_until("the VM to be listed as leaving", async || leaving(&d).await).await;
+    wait_until("the VM to be listed as leaving", async || {
+        is_listed_as_leaving(&d).await
+    })
+    .await;
     d.vms[2].kill();
     let verdict = propose_until_final(&d, 0, &page_size_patch(&d, "while-one-leaves", 1, 4)).await;
     assert_eq!(verdict["verdict"], "accepted", "{verdict}");
--- a/tests/relay/pages.rs
+++ b/tests/relay/pages.rs
@@ -2,7 +2,6 @@
 
 use std::time::Duration;
 
-use crate::support::TestSite;
 use crate::support::assert_all;
 use crate::support::is_complete;
 use crate::support::start_site;
@@ -77,14 +76,14 @@
     }
 }
 
-async fn scrape(r: &TestSite) -> String {
+async fn scrape(r: &crate::support::TestSite) -> String {
     let addr = r.site.vms[0].plan().status;
     let response = gs_rig::load::Caller::new().get(addr, "/metrics").await;
     response.expect("metrics").1
 }
 
 /// Returns a counter of the first VM; 0 if it has not been incremented yet.
-async fn read_counter(r: &TestSite, name: &str) -> u64 {
+async fn read_counter(r: &crate::support::TestSite, name: &str) -> u64 {
     let text = scrape(r).await;
     assert!(text.contains("gentiansill_relay_events"), "{text}");
     let kind = format!("kind=\"{name}\"");
