--- a/tests/relay/store.rs
+++ b/tests/relay/store.rs
@@ -73,7 +73,7 @@
         r.logs().contains("event=directory-regained")
     })
     .await;
-    // A VM waits 2 s after an outage for entries that are missing before it removes them.
+    // After an outage a server whose entry is missing is kept for 2.2 s before it is removed.
     tokio::time::sleep(Duration::from_secs(4)).await;
     r.clear_runs();
     for _ in 0..20 {
