--- a/crates/edge/tests/settings.rs
+++ b/crates/edge/tests/settings.rs
@@ -30,7 +30,7 @@
 "#;
 
 #[test]
-fn the_documented_defaults_are_those_in_force() {
+fn documented_settings_equal_the_defaults() {
     let documented = EdgeSettings::parse(&example()).expect("it parses");
     let minimal = EdgeSettings::parse(MINIMAL).expect("it parses");
     assert_eq!(documented, minimal);
@@ -39,8 +39,8 @@
 #[rstest]
 #[case::not_toml("[vm", "unclosed table")]
 #[case::unknown_key("[vm]\nnam = 1", "unknown field `nam`")]
-#[case::nothing("", "missing field `vm`")]
-fn what_cannot_be_read(#[case] text: &str, #[case] expected: &str) {
+#[case::empty_file("", "missing field `vm`")]
+fn invalid_settings_files_are_rejected(#[case] text: &str, #[case] expected: &str) {
     let e = EdgeSettings::parse(text).expect_err("it is rejected");
     assert_eq!(e.kind(), ErrorKind::BadInput);
     assert!(e.to_string().contains(expected), "{e}");
@@ -58,14 +58,14 @@
 #[case("renew-every = \"10ms\"", "platform.renew-every")]
 #[case("[answers]\nmargin = \"11s\"", "answers.margin")]
 #[case("[shutdown]\nlag = \"9s\"", "shutdown.lag")]
-fn what_is_out_of_range(#[case] more: &str, #[case] key: &str) {
+fn out_of_range_settings_are_rejected(#[case] more: &str, #[case] key: &str) {
     let e = EdgeSettings::parse(&format!("{MINIMAL}{more}\n")).expect_err("it is rejected");
     assert!(e.to_string().contains(key), "{e}");
     assert!(e.hint().is_some_and(|h| h.contains(key)), "{e:?}");
 }
 
 #[test]
-fn a_file_that_is_not_there() {
+fn a_missing_settings_file_is_an_io_error() {
     let e = EdgeSettings::load("no/such.toml".as_ref()).expect_err("it is rejected");
     assert_eq!((e.kind(), e.peer()), (ErrorKind::Io, Some("no/such.toml")));
 }
@@ -77,7 +77,7 @@
 #[case(0.5, 12_400)]
 #[case(0.12, 20_000)]
 #[case(0.0, 34_000)]
-fn a_weak_vm_answers_sooner(#[case] cores: f64, #[case] margin_us: u128) {
+fn a_weak_vm_has_a_longer_answer_margin(#[case] cores: f64, #[case] margin_us: u128) {
     let mut cfg = EdgeSettings::parse(MINIMAL).expect("it parses");
     cfg.vm.capacity.cores = cores;
     assert_eq!(cfg.relay().answer_margin.as_micros(), margin_us);
--- a/crates/follow/tests/follow/candidates.rs
+++ b/crates/follow/tests/follow/candidates.rs
@@ -9,7 +9,7 @@
 use crate::fixtures::vm;
 
 #[test]
-fn the_strongest_of_the_data_centre_come_first() {
+fn candidates_are_the_strongest_vms_of_the_data_centre() {
     let mut vms = equal_vms(6);
     vms.push(vm("strong", HERE, 0.5));
     vms.push(vm("elsewhere", "burnie-a", 1.0));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn the_order_of_the_list_does_not_count() {
+fn candidates_do_not_depend_on_the_list_order() {
     let mut vms = equal_vms(9);
     let found = candidates(&vms, &data_centre(HERE));
     vms.reverse();
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn all_ask_where_they_are_few() {
+fn no_candidates_are_chosen_among_few_vms() {
     assert!(candidates(&equal_vms(4), &data_centre(HERE)).is_empty());
     assert!(!candidates(&equal_vms(5), &data_centre(HERE)).is_empty());
 }
--- a/crates/follow/tests/follow/mirror.rs
+++ b/crates/follow/tests/follow/mirror.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_list_removes_what_it_does_not_name() {
+fn a_list_removes_objects_that_it_does_not_contain() {
     let mut m = Mirror::default();
     m.apply_list(5, vec![named("a", 1), named("b", 1)]);
     m.apply_list(9, vec![named("b", 1), named("c", 1)]);
@@ -20,7 +20,7 @@
 
 /// A follower must not apply older contents than it knows, as a peer that lags behind may send.
 #[test]
-fn a_list_or_change_of_before_changes_nothing() {
+fn an_out_of_date_list_or_change_is_ignored() {
     let mut m = Mirror::default();
     m.apply_list(9, vec![named("a", 2)]);
     m.apply_list(5, vec![named("a", 1)]);
@@ -32,7 +32,7 @@
 
 /// A follower must not miss what changed before the first list of the peer that it follows.
 #[test]
-fn what_lies_before_the_first_list_is_forgotten() {
+fn changes_before_the_first_list_are_unknown() {
     let mut m = Mirror::default();
     assert_eq!(m.changes_since(0), None);
     m.apply_list(5, vec![named("a", 1)]);
@@ -42,7 +42,7 @@
 
 /// Memory must not grow with every server that was ever registered.
 #[test]
-fn removed_objects_are_forgotten_once_they_are_many() {
+fn removed_objects_are_compacted_once_they_are_many() {
     let mut m = Mirror::default();
     m.apply_list(1, Vec::new());
     for n in 0..20_000_u64 {
@@ -64,7 +64,7 @@
     /// A follower must end with the same objects as the register, from whichever revision it starts and however
     /// the changes are split into batches.
     #[test]
-    fn a_follower_ends_with_what_the_register_holds(
+    fn a_follower_ends_with_the_objects_of_the_register(
         history in history(),
         cuts in proptest::collection::vec(any::<bool>(), 60),
         listed in 0_usize..60,
--- a/crates/follow/tests/follow/poll_schedule.rs
+++ b/crates/follow/tests/follow/poll_schedule.rs
@@ -36,28 +36,28 @@
 /// An outage of the register must not fall between two rounds, though the first polls are further apart than a
 /// heartbeat interval.
 #[rstest]
-fn no_two_rounds_are_further_apart_than_heartbeats(#[values(true, false)] first_start: bool) {
+fn rounds_are_at_most_a_heartbeat_interval_apart(#[values(true, false)] first_start: bool) {
     let times = rounds(first_start);
     let apart = times.windows(2).map(|w| w[1].0 - w[0].0);
     assert_eq!(apart.max(), Some(Duration::from_millis(1500)));
 }
 
 #[test]
-fn the_first_looks_follow_soon_and_later_ones_now_and_then() {
+fn the_first_polls_are_more_frequent_than_later_ones() {
     let expected = [10, 1010, 2510, 5510, 15_510, 25_510];
     assert_eq!(poll_times_ms(false), expected);
 }
 
 /// When a whole fleet starts, a VM that polled at once would learn of few others.
 #[test]
-fn at_the_first_start_of_all_nobody_looks_at_once() {
+fn no_vm_polls_immediately_at_the_first_start_of_the_fleet() {
     let expected = [1000, 2500, 5500, 15_500, 25_500];
     assert_eq!(poll_times_ms(true), expected);
 }
 
 /// A VM must not stay unlisted until the next regular poll after a failed one.
 #[test]
-fn a_look_that_shows_nothing_is_repeated_in_the_next_round() {
+fn a_failed_poll_is_repeated_in_the_next_round() {
     let mut now = Instant::now();
     let mut schedule = PollSchedule::new(now, false, POLL_INTERVAL);
     now += schedule.time_to_next(now);
@@ -69,7 +69,7 @@
 
 /// A VM must not notice the end of an outage late because it waits after a call that got no answer.
 #[test]
-fn a_round_that_takes_long_is_followed_at_once() {
+fn a_long_round_is_followed_immediately_by_the_next() {
     let mut now = Instant::now();
     let mut schedule = PollSchedule::new(now, true, POLL_INTERVAL);
     now += schedule.time_to_next(now);
--- a/crates/follow/tests/follow/source_selector.rs
+++ b/crates/follow/tests/follow/source_selector.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn two_ask_and_share_the_others() {
+fn two_vms_query_the_register_and_share_the_followers() {
     let now = Instant::now();
     let all = equal_vms(40);
     let mut followers = [0; DIRECT_VMS];
@@ -60,7 +60,7 @@
 
 /// A VM must not wait for a list of VMs without end.
 #[test]
-fn a_vm_that_knows_nobody_asks_by_itself() {
+fn a_vm_that_knows_no_others_queries_the_register() {
     let mut s = selector("vm-09");
     assert_eq!(followed(&s), "undecided");
     s.default_to_register();
@@ -69,7 +69,7 @@
 
 /// Followers must not stay without a source after both direct VMs are killed: the next two take over.
 #[test]
-fn the_next_ask_where_both_askers_fail() {
+fn the_next_candidates_take_over_from_failed_direct_vms() {
     let now = Instant::now();
     let failed = [id("vm-00"), id("vm-01")];
     let with_failures = |me: &str| {
@@ -84,7 +84,7 @@
 
 /// A VM that is partitioned from all others but not from the register must query it, rather than receive nothing.
 #[test]
-fn a_vm_that_no_candidate_answers_asks_by_itself() {
+fn a_vm_that_no_candidate_answers_queries_the_register() {
     let now = Instant::now();
     let mut s = selector_among("vm-08", 9, now);
     for _ in 0..4 {
@@ -97,7 +97,7 @@
 
 /// A fleet must not query the register directly for ever after a failure of the direct VMs.
 #[test]
-fn a_peer_that_failed_is_asked_again_later_each_time() {
+fn the_backoff_of_a_failed_peer_doubles_up_to_a_limit() {
     let mut now = Instant::now();
     let mut s = selector_among("vm-02", 9, now);
     let mut backoffs_s = Vec::new();
@@ -117,7 +117,7 @@
 /// Prevents a thundering herd at the end of an outage: all VMs would query the register a moment before their
 /// direct VMs reconnect to it.
 #[test]
-fn one_answer_of_the_register_is_not_yet_a_reason_to_ask_it() {
+fn a_vm_that_alone_is_connected_keeps_its_source_at_first() {
     let now = Instant::now();
     let mut s = selector_among("vm-08", 9, now);
     let direct_vms: Vec<PeerVm> = s.peers_to_query(now).into_iter().take(DIRECT_VMS).collect();
@@ -127,7 +127,7 @@
 
 /// A VM must not keep following direct VMs that the register rejects while it answers this VM.
 #[test]
-fn a_vm_that_alone_is_in_touch_asks_by_itself() {
+fn a_vm_that_alone_stays_connected_queries_the_register() {
     let now = Instant::now();
     let mut s = selector_among("vm-08", 9, now);
     let all = s.peers_to_query(now);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_peer_in_touch_is_followed_and_forgiven() {
+fn a_failed_peer_that_reconnects_is_followed_again() {
     let now = Instant::now();
     let mut s = selector_among("vm-08", 9, now);
     let first = peer(&s);
@@ -176,7 +176,7 @@
 
 /// Followers must not all move to the direct VM that reconnects to the register first after an outage.
 #[test]
-fn an_asker_has_until_the_next_look_to_regain_the_register() {
+fn a_direct_vm_has_until_the_next_check_to_reconnect_to_the_register() {
     let mut s = selector_among("vm-08", 9, Instant::now());
     let [followed, other] = direct_vms_of(&s);
     s.on_no_peer_connected();
@@ -188,7 +188,7 @@
 
 /// A direct VM that stays partitioned from the register after an outage must lose its followers.
 #[test]
-fn an_asker_that_stays_out_of_touch_after_an_outage_is_left() {
+fn a_direct_vm_that_stays_disconnected_after_an_outage_loses_its_followers() {
     let mut s = selector_among("vm-08", 9, Instant::now());
     let [followed, other] = direct_vms_of(&s);
     s.on_no_peer_connected();
@@ -199,7 +199,7 @@
 
 /// Changes must not reach followers late when their direct VM alone is partitioned from the register.
 #[test]
-fn an_asker_that_alone_is_out_of_touch_is_left_at_once() {
+fn a_direct_vm_that_alone_is_disconnected_loses_its_followers_immediately() {
     let mut s = selector_among("vm-08", 9, Instant::now());
     let [followed, other] = direct_vms_of(&s);
     assert!(s.on_peer_connected(&other, &[followed]));
@@ -209,7 +209,7 @@
 /// A VM that follows nobody must follow the first peer that reconnects, not wait for another one that is still
 /// disconnected.
 #[test]
-fn a_vm_that_asks_by_itself_follows_the_first_peer_in_touch() {
+fn a_vm_that_follows_nobody_follows_the_first_peer_that_reconnects() {
     let now = Instant::now();
     let mut s = selector_among("vm-08", 9, now);
     let [first, second] = direct_vms_of(&s);
--- a/crates/relay/tests/relay/coalesce_delay.rs
+++ b/crates/relay/tests/relay/coalesce_delay.rs
@@ -31,14 +31,14 @@
 /// Servers are replaced in turn for ten seconds. With short delays, each of 80 VMs would make three
 /// calls in the first second and one every two seconds after it, and each call costs money.
 #[test]
-fn a_series_of_changes_takes_a_look_a_second_and_less() {
+fn a_series_of_changes_takes_less_than_one_poll_a_second() {
     assert!(polls_in(ms(10_000)) <= 6, "{}", polls_in(ms(10_000)));
 }
 
 /// A delay longer than a leaving server continues to serve would let a VM send requests to a server
 /// that has left.
 #[test]
-fn a_pause_leaves_a_leaving_server_most_of_its_time() {
+fn the_delay_is_at_most_half_of_the_drain_duration() {
     let mut coalesce_delay = CoalesceDelay::new(DRAIN_DURATION, false);
     for _ in 0..10 {
         coalesce_delay.on_changes(Duration::ZERO, AFTER_FLEET_START);
@@ -53,7 +53,7 @@
 /// A fleet starts. With long delays, all VMs would learn of all servers at the same moment and
 /// connect to them at once.
 #[test]
-fn a_fleet_that_starts_begins_with_short_pauses() {
+fn delays_are_short_while_the_fleet_starts() {
     let mut coalesce_delay = CoalesceDelay::new(DRAIN_DURATION, true);
     coalesce_delay.on_changes(Duration::from_secs(3), ms(500));
     assert!(
@@ -66,7 +66,7 @@
 /// The register is unreachable while the fleet starts. A delay kept from the start would postpone
 /// the first poll after the outage, and requests would be sent to a server that left meanwhile.
 #[test]
-fn a_list_after_an_outage_is_followed_by_a_look_at_once() {
+fn the_first_poll_after_an_outage_is_not_delayed() {
     let mut coalesce_delay = CoalesceDelay::new(DRAIN_DURATION, true);
     for at in [500, 1000, 2000, 4000] {
         coalesce_delay.on_changes(Duration::ZERO, ms(at));
--- a/crates/relay/tests/relay/delegation.rs
+++ b/crates/relay/tests/relay/delegation.rs
@@ -124,7 +124,7 @@
 /// peer got its time as if every round trip took as long as the longest possible one, the page
 /// would miss every delegated shard.
 #[test]
-fn a_peer_has_the_time_that_the_way_does_not_take() {
+fn a_peer_gets_the_objective_less_margin_and_round_trip() {
     // 150 ms, less the margin of 14 ms and the round trip of 16 ms.
     let spare = ms(120) - on_time_after(ms(0));
     assert!(spare <= ms(1), "{spare:?}");
@@ -133,7 +133,7 @@
 /// The round trip to a peer has become longer. If the least one ever seen were assumed, the peer's
 /// pages would arrive after the objective.
 #[test]
-fn a_peer_behind_a_link_that_became_longer_is_given_less_time() {
+fn a_peer_gets_less_time_after_its_round_trip_grows() {
     // Half of the pages take 10 ms more.
     let spare = ms(120) - on_time_after(ms(10));
     assert!(spare >= ms(3) && spare <= ms(10), "{spare:?}");
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn shards_without_a_replica_here_are_left_to_one_peer_beside_them() {
+fn shards_without_a_local_replica_are_delegated_to_one_peer_near_them() {
     let mut w = world();
     w.on(opened("vm-2", 16));
     let seq = w.arrive("/page/x", ms(2500));
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_page_tells_truly_what_the_peer_has_left_out() {
+fn a_page_reports_the_shards_missing_from_a_peers_page() {
     let mut w = world();
     w.on(opened("vm-2", 16));
     let seq = w.arrive("/page/x", ms(2500));
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn what_a_peer_has_left_out_is_asked_for_here_if_the_page_would_be_too_thin() {
+fn shards_missing_from_a_peers_page_are_queried_here_if_too_few_parts_are_in() {
     let mut w = world();
     w.on(opened("vm-2", 16));
     w.arrive("/page/x", ms(2500));
@@ -198,7 +198,7 @@
 #[case::another_shard(peer_page(&["x"], &[0]))]
 #[case::broken(AttemptEnd::Broken)]
 #[case::late(AttemptEnd::Late(ms(100)))]
-fn a_bundle_that_came_to_nothing_is_asked_for_here(#[case] end: AttemptEnd) {
+fn the_shards_of_a_failed_bundle_are_queried_here(#[case] end: AttemptEnd) {
     let mut w = world();
     w.on(opened("vm-2", 16));
     w.arrive("/page/x", ms(2500));
@@ -208,8 +208,8 @@
 
 #[rstest]
 #[case::not_sent(AttemptEnd::NotSent)]
-#[case::refused(shed())]
-fn a_bundle_that_was_not_run_is_asked_for_here(#[case] end: AttemptEnd) {
+#[case::shed(shed())]
+fn the_shards_of_a_bundle_that_was_not_executed_are_queried_here(#[case] end: AttemptEnd) {
     let mut w = world();
     w.on(opened("vm-2", 16));
     w.arrive("/page/x", ms(2500));
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn everything_is_asked_for_here_while_no_peer_is_connected() {
+fn all_shards_are_queried_here_while_no_peer_is_connected() {
     let mut w = world();
     w.arrive("/page/x", ms(2500));
     assert_eq!(w.busy_servers(), ["s0-near", "s1-far", "s2-far"]);
@@ -228,7 +228,7 @@
 /// A peer restarts. A VM that did not reconnect to it after the connection closed would query all
 /// shards itself for ten seconds.
 #[test]
-fn a_peer_whose_connection_closed_is_connected_to_again() {
+fn a_closed_connection_to_a_peer_is_reopened() {
     let mut w = world();
     w.on(opened("vm-2", 16));
     w.on(opened("vm-3", 16));
@@ -244,7 +244,7 @@
 /// A VM loses power while bundles are delegated to it, which shows only in that nothing more is
 /// received from it.
 #[test]
-fn a_page_does_not_wait_for_a_silent_peer_and_the_next_one_passes_it_by() {
+fn a_page_does_not_wait_for_a_silent_peer_and_the_next_page_avoids_it() {
     let mut w = World::new(table(1, vec![page_route(&SHARDS, 0.3)]));
     w.on(Event::Server(Arc::new(entry("s0-near", "s0", HERE))));
     for s in SHARDS {
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn a_weak_vm_leaves_everything_to_a_strong_one_of_its_region() {
+fn a_weak_vm_delegates_all_shards_to_a_strong_vm_of_its_region() {
     let mut w = World::new(table(1, vec![route()])).with_server_pairs(&SHARDS);
     w.on(Event::Vms(vec![
         vm("vm-1", HERE, "hobart", 0.12),
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn a_strong_vm_beside_replicas_asks_for_everything_itself() {
+fn a_strong_vm_queries_all_shards_with_local_replicas_itself() {
     let mut w = World::new(table(1, vec![route()])).with_server_pairs(&SHARDS);
     w.on(Event::Vms(vec![
         vm("vm-1", HERE, "hobart", 0.5),
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn a_caller_that_hangs_up_stops_the_peers_work() {
+fn a_caller_disconnect_cancels_the_peers_work() {
     let mut w = world();
     w.on(opened("vm-2", 16));
     let seq = w.arrive("/page/x", ms(2500));
@@ -341,7 +341,7 @@
 }
 
 #[test]
-fn a_bundle_brings_its_own_shards_only_and_leaves_in_time_with_what_is_there() {
+fn a_bundle_queries_only_its_own_shards_and_returns_on_time_with_the_parts_received() {
     let mut w = World::new(table(1, vec![route()])).with_server_pairs(&SHARDS);
     let seq = arrive_delegated(&mut w, delegated_parts(&route(), &[0, 2], 1));
     assert_eq!(w.busy_servers(), ["s0-near", "s2-near"]);
@@ -356,7 +356,7 @@
 }
 
 #[test]
-fn a_bundle_is_passed_on_once_and_not_twice() {
+fn a_bundle_is_delegated_further_at_most_once() {
     for (hops, expected) in [
         (1, vec!["vm-2", "s0-near"]),
         (2, vec!["s0-near", "s1-far", "s2-far"]),
--- a/crates/relay/tests/relay/fan_out_vms.rs
+++ b/crates/relay/tests/relay/fan_out_vms.rs
@@ -69,7 +69,7 @@
 /// If each VM that runs no fan-outs kept an idle connection to a shard, these would be more than
 /// its servers accept, and new connections would be reset together with the requests on them.
 #[test]
-fn a_vm_without_fan_outs_keeps_no_connection_for_a_shard_alone() {
+fn a_vm_without_fan_outs_keeps_no_connection_after_a_single_shard_request() {
     assert!(!keeps_connection(fleet(50, 50, 100)));
 }
 
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_vm_among_the_first_runs_its_own() {
+fn one_of_the_first_vms_runs_its_own_fan_outs() {
     let targets = fan_out_targets(fleet(0, 100, 100));
     assert!(
         targets.iter().all(|name| name.starts_with('s')),
@@ -105,7 +105,7 @@
 
 /// Prevents VMs from delegating their pages although each has enough connections.
 #[test]
-fn all_run_fan_outs_where_the_connections_allow() {
+fn all_vms_run_fan_outs_where_the_connections_allow() {
     let targets = fan_out_targets(fleet(11, 0, 12));
     assert!(
         targets.iter().all(|name| name.starts_with('s')),
@@ -115,7 +115,7 @@
 
 /// Prevents the loss of one VM from leaving a data centre without a VM that runs fan-outs.
 #[test]
-fn each_data_centre_keeps_two() {
+fn each_data_centre_keeps_two_fan_out_vms() {
     let targets = fan_out_targets(fleet(1, 2, 400));
     assert!(
         targets.iter().all(|name| name.starts_with('s')),
--- a/crates/relay/tests/relay/hedges.rs
+++ b/crates/relay/tests/relay/hedges.rs
@@ -11,7 +11,7 @@
 /// A server stalls for 200 ms as a request arrives. Without a hedge, the page would miss its
 /// objective.
 #[test]
-fn a_slow_attempt_is_made_again_elsewhere_well_before_the_objective() {
+fn a_slow_attempt_is_hedged_well_before_the_objective() {
     let mut w = World::with_learned_latency();
     let seq = w.arrive("/page/x", ms(2500));
     w.advance(ms(44));
@@ -27,7 +27,7 @@
 /// A server has stalled. Requests that are still sent to it during the next 150 ms would each wait
 /// for their own hedge delay.
 #[test]
-fn once_a_server_is_found_to_pause_the_next_requests_go_elsewhere() {
+fn new_requests_avoid_a_stalled_server() {
     let mut w = World::with_learned_latency();
     w.arrive("/page/x", ms(2500));
     w.advance(ms(46));
@@ -39,7 +39,7 @@
 /// Attempts were sent to a server just before its stall was detected. They are hedged immediately
 /// instead of after their own hedge delays.
 #[test]
-fn what_waits_at_a_server_found_to_pause_is_made_again_at_once() {
+fn attempts_at_a_stalled_server_are_hedged_immediately() {
     let mut w = World::with_learned_latency();
     w.arrive("/page/x", ms(2500));
     w.advance(ms(20));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_window_forgets_what_has_left_it() {
+fn extra_attempts_before_the_window_do_not_count() {
     let mut budget = ExtraAttemptBudget::new(ms(10_000), 0.2, 1.0);
     let start = Instant::now();
     assert!(budget.take(start, false));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_window_allows_its_share_of_the_requests_and_keeps_some_for_retries() {
+fn the_budget_is_a_share_of_the_requests_with_a_reserve_for_retries() {
     let mut budget = ExtraAttemptBudget::new(ms(10_000), 0.2, 0.0);
     let now = Instant::now();
     for _ in 0..100 {
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn what_was_given_back_can_be_taken_again() {
+fn an_extra_attempt_given_back_can_be_taken_again() {
     let mut budget = ExtraAttemptBudget::new(ms(10_000), 0.0, 1.0);
     let now = Instant::now();
     assert!(budget.take(now, false));
--- a/crates/relay/tests/relay/in_flight_limit.rs
+++ b/crates/relay/tests/relay/in_flight_limit.rs
@@ -28,7 +28,7 @@
 /// objective; the servers would execute all of it, also for pages already returned, and every page
 /// would be late.
 #[test]
-fn what_all_vms_send_a_server_is_done_within_the_objective() {
+fn attempts_of_all_vms_at_a_server_end_within_the_objective() {
     let mut w = one_of_seven_vms();
     for _ in 0..12 {
         w.arrive("/page/x", ms(2500));
@@ -46,7 +46,7 @@
 /// A server becomes slow. With as many attempts at a time as before, it would occupy all
 /// connections to it.
 #[test]
-fn a_slow_server_is_sent_less_at_a_time() {
+fn a_slow_server_gets_fewer_attempts_at_a_time() {
     let mut w = one_of_seven_vms();
     for _ in 0..6 {
         w.arrive("/page/x", ms(2500));
@@ -66,7 +66,7 @@
 
 /// A waiting part is dispatched as soon as an answer arrives.
 #[test]
-fn what_waits_is_sent_when_an_answer_comes() {
+fn a_waiting_part_is_dispatched_when_an_answer_arrives() {
     let mut w = one_of_seven_vms();
     for _ in 0..12 {
         w.arrive("/page/x", ms(2500));
--- a/crates/relay/tests/relay/leases.rs
+++ b/crates/relay/tests/relay/leases.rs
@@ -70,7 +70,7 @@
 /// A VM loses power. If it stayed listed, its share of the servers' connections would never be used
 /// again, and parts would be delegated to it that it cannot return.
 #[test]
-fn a_vm_that_no_longer_renews_is_gone_after_three_and_a_half_renewals() {
+fn a_vm_that_no_longer_renews_expires_after_three_and_a_half_intervals() {
     let results = checks("vm-1", 400, with_one_lost);
     assert_eq!(first_expiry(&results), Some(270));
     let (_, last) = results.last().expect("checks");
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn one_vm_after_the_other_removes_it_so_that_one_call_is_enough() {
+fn vms_remove_an_expired_vm_one_after_another_so_that_one_call_is_enough() {
     assert_eq!(
         first_removal(&checks("vm-1", 400, with_one_lost)),
         Some(270)
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_vm_never_takes_itself_for_gone() {
+fn a_vm_never_considers_itself_expired() {
     let results = checks("vm-3", 400, with_one_lost);
     assert_eq!(first_expiry(&results), None);
 }
@@ -102,7 +102,7 @@
 /// considered all others expired, each would open as many connections as if it were alone, and
 /// servers would reset them by the thousand.
 #[test]
-fn an_outage_makes_no_vm_gone() {
+fn an_outage_expires_no_vm() {
     let renewed = |t: u64| match t {
         0..790 => t.min(90) / 30,
         _ => t / 30,
@@ -117,7 +117,7 @@
 
 /// A VM was partitioned for minutes and renews again.
 #[test]
-fn a_vm_that_renews_again_is_back() {
+fn a_vm_that_renews_again_is_no_longer_expired() {
     let listed = |t: u64| {
         let renewed = if t < 300 { 0 } else { t / 60 };
         Some(list(&[("vm-1", t / 60), ("vm-2", renewed)]))
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_large_fleet_renews_more_seldom() {
+fn a_large_fleet_renews_less_often() {
     assert_eq!(
         renewal_interval(RENEWAL_INTERVAL, 9),
         Duration::from_secs(60)
--- a/crates/relay/tests/relay/missing_parts.rs
+++ b/crates/relay/tests/relay/missing_parts.rs
@@ -60,8 +60,8 @@
 /// without the part. If the delegating VM then assumed that the peer's own replica was among them
 /// and queried it, the part would be executed on three servers, although its route allows two.
 #[rstest]
-#[case::both(possible_servers(&["s1-far", "s1-third"]), &["s1-far", "s1-third"])]
-#[case::one_of_them(possible_servers(&["s1-far"]), &["s1-far", "s1-other"])]
+#[case::two_servers(possible_servers(&["s1-far", "s1-third"]), &["s1-far", "s1-third"])]
+#[case::one_server(possible_servers(&["s1-far"]), &["s1-far", "s1-other"])]
 #[case::not_reported(PossibleServers::Unknown, &[])]
 fn a_part_runs_on_no_more_servers_than_its_route_allows_peers_included(
     #[case] reported: PossibleServers,
@@ -86,7 +86,7 @@
 #[case::broken(AttemptEnd::Broken)]
 #[case::late(AttemptEnd::Late(ms(100)))]
 #[case::garbled(AttemptEnd::Garbled)]
-fn a_part_that_a_lost_peer_may_have_asked_for_anywhere_goes_nowhere(#[case] end: AttemptEnd) {
+fn a_part_delegated_to_a_lost_peer_is_not_retried_at_any_replica(#[case] end: AttemptEnd) {
     let mut w = with_three_replicas();
     w.arrive("/page/x", ms(2500));
     w.end_attempt("s0-near", success(b'a'));
@@ -97,7 +97,7 @@
 /// A VM delegates parts that were delegated to it, and its peer is lost. It must not report the
 /// servers that it knows of as the only ones that may have executed these parts.
 #[test]
-fn a_page_says_that_any_server_may_have_run_what_a_lost_peer_was_asked_for() {
+fn a_page_reports_unknown_possible_servers_for_parts_of_a_lost_peer() {
     let mut w = with_three_replicas();
     w.on(opened("vm-2", 16));
     let seq = arrive_delegated(&mut w, delegated_parts(&route(), &[0, 1, 2], 1));
@@ -122,7 +122,7 @@
 /// returned its page at the objective with one part too few, the whole page would fail, and its
 /// other 90 parts would be discarded.
 #[test]
-fn a_bundle_with_too_few_parts_waits_beyond_the_objective_and_leaves_with_the_first_enough() {
+fn a_bundle_with_too_few_parts_waits_beyond_the_objective_until_it_has_enough() {
     let mut w = World::new(table(1, vec![route()])).with_server_pairs(&SHARDS);
     let all = delegated_parts(&route(), &[0, 1, 2], 1);
     let seq = arrive_delegated(
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_bundle_with_too_few_parts_leaves_with_what_there_is_while_it_is_of_use() {
+fn a_bundle_with_too_few_parts_returns_what_it_has_at_the_latest_time() {
     let mut w = World::new(table(1, vec![route()])).with_server_pairs(&SHARDS);
     let all = delegated_parts(&route(), &[0, 1, 2], 1);
     let seq = arrive_delegated(
@@ -160,7 +160,7 @@
 
 /// A page of three shards needs two, so that one of the two delegated parts is needed.
 #[test]
-fn a_peer_is_told_how_many_of_its_parts_are_needed_and_how_long_they_are_waited_for() {
+fn a_delegation_states_how_many_parts_are_needed_and_the_latest_time() {
     let mut w = world();
     w.on(opened("vm-2", 16));
     w.arrive("/page/x", ms(2500));
--- a/crates/relay/tests/relay/once.rs
+++ b/crates/relay/tests/relay/once.rs
@@ -32,7 +32,7 @@
 #[case::broken(AttemptEnd::Broken)]
 #[case::garbled(AttemptEnd::Garbled)]
 #[case::late(AttemptEnd::Late(ms(8000)))]
-fn what_may_have_run_is_not_sent_again(#[case] end: AttemptEnd) {
+fn a_request_that_may_have_been_executed_is_not_retried(#[case] end: AttemptEnd) {
     let mut w = world();
     let seq = w.arrive("/one/x", ms(8000));
     w.end_attempt("desk-near", end);
@@ -47,7 +47,7 @@
 #[case::shed(shed())]
 #[case::wrong_server(AttemptEnd::WrongServer)]
 #[case::not_sent(AttemptEnd::NotSent)]
-fn what_did_not_run_is_sent_to_another_server(#[case] end: AttemptEnd) {
+fn a_request_that_was_not_executed_is_sent_to_another_server(#[case] end: AttemptEnd) {
     let mut w = world();
     let seq = w.arrive("/one/x", ms(8000));
     w.end_attempt("desk-near", end);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn what_no_server_took_is_refused_with_a_time_to_come_back() {
+fn a_request_that_reached_no_server_is_refused_with_a_time_to_retry() {
     let mut w = world();
     let seq = w.arrive("/one/x", ms(8000));
     w.end_attempt("desk-near", AttemptEnd::NotSent);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn it_is_never_hedged() {
+fn a_request_executed_at_most_once_is_never_hedged() {
     let mut w = world();
     w.arrive("/one/x", ms(8000));
     w.advance(ms(7000));
@@ -82,7 +82,7 @@
 #[case(StatusCode::SERVICE_UNAVAILABLE)]
 #[case(StatusCode::TOO_MANY_REQUESTS)]
 #[case(StatusCode::REQUEST_TIMEOUT)]
-fn a_servers_promise_that_it_did_not_make_is_not_handed_on(#[case] status: StatusCode) {
+fn a_status_that_implies_no_execution_is_not_forwarded(#[case] status: StatusCode) {
     let mut w = world();
     let seq = w.arrive("/one/x", ms(8000));
     w.end_attempt("desk-near", answered(status, b'a'));
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_servers_own_failure_is_handed_on_unchanged() {
+fn a_server_error_is_forwarded_unchanged() {
     let mut w = world();
     let seq = w.arrive("/one/x", ms(8000));
     w.end_attempt(
@@ -109,7 +109,7 @@
 
 /// Prevents a server from continuing work for a caller that has disconnected.
 #[test]
-fn a_caller_that_hangs_up_stops_its_work() {
+fn a_caller_disconnect_cancels_the_attempt() {
     let mut w = world();
     let seq = w.arrive("/one/x", ms(8000));
     w.on(Event::CallerDisconnected(seq));
--- a/crates/relay/tests/relay/overload.rs
+++ b/crates/relay/tests/relay/overload.rs
@@ -128,7 +128,7 @@
 /// Execution times are unknown just after the start. The initial estimate must not cause the first
 /// callers to be refused.
 #[test]
-fn the_first_callers_of_a_route_are_taken_on() {
+fn the_first_requests_of_a_route_are_admitted() {
     let mut w = World::new(table(1, vec![page_route(&SHARDS, 0.75)])).with_server_pairs(&SHARDS);
     for _ in 0..20 {
         w.arrive("/page/x", ms(2500));
@@ -167,7 +167,7 @@
 
 /// A request is refused immediately with a time after which to retry, and nothing is sent for it.
 #[test]
-fn what_is_turned_away_is_turned_away_at_once() {
+fn requests_beyond_the_capacity_are_refused_immediately() {
     let mut w = World::new(table(1, vec![page_route(&SHARDS, 0.75)])).with_server_pairs(&SHARDS);
     let mut servers = Servers::default();
     // The round trip is learned when connections are opened; the rest is execution time.
--- a/crates/relay/tests/relay/pages.rs
+++ b/crates/relay/tests/relay/pages.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_whole_page_goes_out_with_its_last_part() {
+fn a_complete_page_is_returned_with_its_last_part() {
     let mut w = world(0.6);
     let seq = w.arrive("/page/x", ms(2500));
     assert_eq!(w.busy_servers(), ["s0-near", "s1-near", "s2-near"]);
@@ -45,7 +45,7 @@
 /// The replicas of one shard stall together. A page that waited for them would be returned long
 /// after the objective, although all its other parts are complete.
 #[test]
-fn a_page_with_parts_enough_goes_out_at_the_objective() {
+fn a_page_with_enough_parts_is_returned_at_the_objective() {
     let mut w = world(0.6);
     let seq = w.arrive("/page/x", ms(2500));
     w.end_attempt("s0-near", success(b'a'));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_page_with_too_few_parts_waits_beyond_the_objective_and_goes_out_with_the_first_enough() {
+fn a_page_with_too_few_parts_waits_beyond_the_objective_until_it_has_enough() {
     let mut w = world(0.6);
     let seq = w.arrive("/page/x", ms(2500));
     w.end_attempt("s0-near", success(b'a'));
@@ -71,7 +71,7 @@
 /// Both replicas of two of three shards fail, so that too few parts are left for a page. The
 /// request must fail immediately and not only at its deadline.
 #[test]
-fn a_page_that_cannot_come_fails_at_once() {
+fn a_page_that_cannot_get_enough_parts_fails_immediately() {
     let mut w = world(0.6);
     let seq = w.arrive("/page/x", ms(2500));
     for s in ["s0", "s1"] {
@@ -97,7 +97,7 @@
 /// A server answers with an error page of its own. Counted as a part, it would make the page report
 /// the shard as covered.
 #[test]
-fn a_servers_failure_is_no_part() {
+fn a_server_error_is_not_counted_as_a_part() {
     let mut w = world(0.6);
     let seq = w.arrive("/page/x", ms(2500));
     w.end_attempt("s0-near", answered(StatusCode::INTERNAL_SERVER_ERROR, b'z'));
@@ -112,7 +112,7 @@
 /// The process is paused beyond the objective, and answers arrive meanwhile. When it continues, the
 /// page must not be returned with only the first answers that are read.
 #[test]
-fn a_page_after_a_stand_still_holds_every_answer_that_had_come() {
+fn a_page_after_a_process_pause_contains_all_answers_received_meanwhile() {
     let mut w = world(0.6);
     let seq = w.arrive("/page/x", ms(2500));
     let attempts = std::mem::take(&mut w.open);
--- a/crates/relay/tests/relay/register.rs
+++ b/crates/relay/tests/relay/register.rs
@@ -29,7 +29,7 @@
 /// all servers for that version took the entry for one that had returned, requests would be sent to
 /// the server three seconds after it left the register.
 #[test]
-fn a_new_version_of_the_routes_does_not_bring_a_vanished_server_back() {
+fn a_new_version_of_the_routes_does_not_restore_a_missing_server() {
     let mut w = world();
     w.on(entry_missing("a"));
     w.advance(ms(1000));
@@ -43,7 +43,7 @@
 /// within two seconds. If the servers were removed immediately, callers would be refused until
 /// then.
 #[test]
-fn a_vanished_server_is_used_for_a_while_and_then_no_more() {
+fn a_missing_server_is_used_for_a_limited_time() {
     let mut w = world();
     w.on(entry_missing("a"));
     w.advance(ms(1100));
@@ -58,7 +58,7 @@
 /// two seconds after it returns. If they were kept for less, every shard would be without a server
 /// for a second.
 #[test]
-fn a_server_that_vanished_in_an_outage_is_kept_until_it_can_be_back() {
+fn a_server_missing_after_an_outage_is_kept_until_its_entry_can_return() {
     let mut w = world();
     w.on(Event::RegisterReachable(false));
     w.advance(ms(4000));
@@ -76,7 +76,7 @@
 /// A server leaves some seconds after an outage of the platform. If its entry were taken for one
 /// that lapsed, requests would be sent to it three seconds after it left.
 #[test]
-fn a_server_that_leaves_well_after_an_outage_is_not_waited_for() {
+fn a_server_that_leaves_well_after_an_outage_is_not_kept_longer() {
     let mut w = world();
     w.on(Event::RegisterReachable(false));
     w.advance(ms(4000));
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_server_that_is_back_in_time_stays() {
+fn a_server_whose_entry_returns_in_time_stays() {
     let mut w = world();
     w.on(entry_missing("a"));
     w.advance(ms(1000));
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_server_that_drains_gets_nothing_more_and_is_dropped_at_once() {
+fn a_draining_server_gets_no_requests_and_is_removed_with_its_entry() {
     let mut w = world();
     let mut leaving = entry("a", "desk", HERE);
     leaving.availability = Availability::Draining;
@@ -115,7 +115,7 @@
 /// Prevents a server whose slow start has ended from being treated as starting again at each change
 /// of the routes.
 #[test]
-fn a_new_version_of_the_routes_does_not_make_a_server_cold_again() {
+fn a_new_version_of_the_routes_does_not_restart_slow_start() {
     let mut w = World::new(table(1, vec![one_route(Repeat::Safe)]));
     let mut starting = entry("a", "desk", HERE);
     starting.warming = ms(3000);
--- a/crates/relay/tests/relay/stalls.rs
+++ b/crates/relay/tests/relay/stalls.rs
@@ -31,7 +31,7 @@
 /// execution, the server would be avoided for four more seconds, while its replica in another data
 /// centre does the work of both.
 #[test]
-fn a_server_that_paused_is_asked_again_at_once() {
+fn a_server_that_stalled_is_used_again_immediately() {
     let mut w = World::with_learned_latency();
     stall_near(&mut w);
     w.advance(ms(10));
@@ -40,7 +40,7 @@
 
 /// Prevents a server that has become slow from being taken for one that stalls repeatedly.
 #[test]
-fn a_server_that_holds_up_what_came_after_is_slow() {
+fn a_server_that_also_delays_later_attempts_is_slow() {
     let mut w = World::with_learned_latency();
     stall_near(&mut w);
     w.advance(ms(10));
@@ -52,7 +52,7 @@
 /// Prevents a server that stalls twice, with answers in normal time in between, from being taken
 /// for a slow one.
 #[test]
-fn a_second_pause_after_answers_on_time_is_a_pause_again() {
+fn a_second_stall_after_an_answer_on_time_counts_as_a_stall() {
     let mut w = World::with_learned_latency();
     stall_near(&mut w);
     w.advance(ms(10));
--- a/crates/relay/tests/relay/subset.rs
+++ b/crates/relay/tests/relay/subset.rs
@@ -93,7 +93,7 @@
 /// A VM opens connections while it knows only a few other VMs. Once it knows all of them, it must
 /// close those to servers outside its subset.
 #[test]
-fn connections_to_servers_left_to_others_are_closed() {
+fn connections_to_servers_outside_the_subset_are_closed() {
     let vms = fleet(200);
     let mut w = world(&vms[..20], 7);
     assert_eq!(connected_servers(&w).len(), SERVERS.len());
@@ -113,7 +113,7 @@
 /// Prevents lookups from waiting or failing at a VM whose subset is unreachable while other servers
 /// of the service are idle.
 #[test]
-fn other_servers_are_asked_while_its_own_are_away() {
+fn other_servers_are_used_while_the_subset_is_unreachable() {
     let vms = fleet(200);
     let mut w = world(&vms, 7);
     let own = connected_servers(&w)[0].as_str().to_owned();
--- a/crates/relay/tests/relay/suspects.rs
+++ b/crates/relay/tests/relay/suspects.rs
@@ -48,7 +48,7 @@
 /// Prevents a reader who repeats a search that crashes servers from taking down every shard each
 /// time.
 #[test]
-fn a_fan_out_that_broke_its_servers_is_refused_when_it_comes_again() {
+fn a_fan_out_that_crashed_its_servers_is_refused_when_repeated() {
     let mut w = world();
     break_all_attempts(&mut w, "/page/poison");
     assert_eq!(w.quarantined.len(), 1);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn what_another_vm_found_is_refused_here() {
+fn a_request_quarantined_by_another_vm_is_refused_here() {
     let mut w = world();
     let found = w.fingerprint("/page/poison");
     w.on(Event::Quarantined(vec![found]));
@@ -106,7 +106,7 @@
 /// The caller of a search that crashes servers disconnects each time before it ends. The search
 /// must be quarantined nevertheless.
 #[test]
-fn a_caller_that_hangs_up_does_not_hide_what_its_request_broke() {
+fn a_request_that_crashes_servers_is_quarantined_although_its_caller_disconnects() {
     let mut w = world();
     let seq = w.arrive("/page/poison", ms(2500));
     for server in ["s0-near", "s1-near", "s2-near"] {
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn it_is_let_go_after_a_while() {
+fn a_quarantine_expires() {
     let mut w = world();
     break_all_attempts(&mut w, "/page/poison");
     w.advance(ms(31_000));
@@ -155,7 +155,7 @@
 /// A search crashes the servers of one shard each time its caller repeats it. The answers of the
 /// other shards must not keep it from being quarantined.
 #[test]
-fn a_fan_out_that_breaks_one_shard_again_is_refused() {
+fn a_fan_out_that_crashes_one_shard_twice_is_quarantined() {
     let mut w = world();
     break_one_shard(&mut w, "/page/poison");
     assert_eq!(w.quarantined, []);
--- a/tests/relay/bad_input.rs
+++ b/tests/relay/bad_input.rs
@@ -15,13 +15,13 @@
 
 /// One entry that another writer left keeps every VM from knowing any server.
 #[rstest]
-#[case::nothing(Value::Null)]
+#[case::null(Value::Null)]
 #[case::text(json!("not an entry"))]
 #[case::no_address(json!({"backend": "shard0", "zone": "east", "state": "ready"}))]
-#[case::another_type(json!({"backend": "shard0", "address": 7, "zone": "east", "max_concurrent": 2, "state": "ready"}))]
+#[case::address_of_another_type(json!({"backend": "shard0", "address": 7, "zone": "east", "max_concurrent": 2, "state": "ready"}))]
 #[case::unknown_state(json!({"backend": "shard0", "address": "127.0.0.1:1", "zone": "east", "max_concurrent": 2, "state": "asleep"}))]
 #[tokio::test]
-async fn an_entry_that_cannot_be_read_names_no_server_and_the_others_hold(#[case] entry: Value) {
+async fn a_server_entry_that_cannot_be_read_leaves_the_others_in_use(#[case] entry: Value) {
     let mut r = site().await;
     r.site.store.put("servers", "i-forged", entry);
     let end = tokio::time::Instant::now() + Duration::from_secs(5);
@@ -35,7 +35,7 @@
 
 /// A configuration that cannot be read takes the one in force away.
 #[tokio::test]
-async fn routes_that_cannot_be_read_leave_those_in_force() {
+async fn routes_that_cannot_be_read_leave_the_current_ones_in_force() {
     let mut r = site().await;
     r.site
         .store
@@ -56,11 +56,11 @@
 #[case::no_shards(
     "GET /page/x HTTP/1.1\r\nhost: x\r\ngs-id: a\r\ngs-host: x\r\ngs-hops: 1\r\n\r\n"
 )]
-#[case::numbers_that_are_none(
+#[case::malformed_number(
     "GET /page/x HTTP/1.1\r\nhost: x\r\ngs-id: a\r\ngs-host: x\r\ngs-patience-ms: y\r\n\r\n"
 )]
 #[tokio::test]
-async fn a_hand_over_that_cannot_be_read_runs_nothing(#[case] text: &str) {
+async fn a_delegation_that_cannot_be_read_is_not_executed(#[case] text: &str) {
     let r = site().await;
     r.clear_runs();
     let mut tcp = TcpStream::connect(r.site.vms[0].plan().peers)
--- a/tests/relay/once.rs
+++ b/tests/relay/once.rs
@@ -31,7 +31,7 @@
 
 /// A clerk books a levy again that was booked: the first answer said that nothing had run.
 #[tokio::test]
-async fn a_refusal_that_says_not_run_is_true_and_says_when_to_come_back() {
+async fn a_not_run_refusal_is_true_and_states_when_to_retry() {
     let mut r = site().await;
     for n in 0..3 {
         let sheds = BackendFaults {
--- a/tests/relay/pages.rs
+++ b/tests/relay/pages.rs
@@ -16,7 +16,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_of_one_server_comes_back_unchanged() {
+async fn an_answer_of_one_server_is_forwarded_unchanged() {
     let mut r = site().await;
     for prefix in ["/one/", "/once/"] {
         let route = r.route(prefix);
@@ -57,7 +57,7 @@
 /// Bytes between data centres are paid for: a VM asks one peer for the shards that have no replica
 /// beside it, and not each of their servers.
 #[tokio::test]
-async fn shards_elsewhere_are_asked_for_through_peers() {
+async fn shards_in_another_data_centre_are_queried_through_peers() {
     let mut r = site().await;
     let route = r.route("/page/");
     let end = tokio::time::Instant::now() + Duration::from_secs(10);
--- a/tests/relay/register.rs
+++ b/tests/relay/register.rs
@@ -80,7 +80,7 @@
 
 /// Guards against calls to the store that grow with the number of VMs.
 #[tokio::test]
-async fn a_change_costs_calls_by_data_centre_and_not_by_vm() {
+async fn calls_for_a_change_grow_with_data_centres_and_not_with_vms() {
     let mut r = settled().await;
     let before = r.calls("GET /api/objects/config");
     let route = add_route(&mut r, "/new/");
@@ -92,7 +92,7 @@
 
 /// Guards against followers that hear of nothing more once those that they followed are killed.
 #[tokio::test]
-async fn a_change_comes_to_the_followers_of_killed_askers() {
+async fn a_change_reaches_the_followers_of_killed_direct_vms() {
     let mut r = settled().await;
     for vm in ASKERS {
         r.kill(vm).await;
@@ -103,7 +103,7 @@
 
 /// Guards against followers that wait for an asker which stands still: nothing tells of it but silence.
 #[tokio::test]
-async fn a_change_comes_to_the_followers_of_a_frozen_asker() {
+async fn a_change_reaches_the_followers_of_paused_direct_vms() {
     let mut r = settled().await;
     for vm in ASKERS {
         r.site.vms[vm].signal(Signal::STOP);
@@ -118,7 +118,7 @@
 
 /// Guards against followers of an asker that the store no longer answers, while it answers others.
 #[tokio::test]
-async fn a_change_comes_to_the_followers_of_askers_that_are_cut_from_the_store() {
+async fn a_change_reaches_the_followers_of_direct_vms_disconnected_from_the_store() {
     let mut r = settled().await;
     for vm in ASKERS {
         r.site.store_links[vm].set_fault(LinkFault::Reset);
@@ -137,7 +137,7 @@
 /// its heartbeat and theirs have to show it one after the other.
 #[rstest]
 #[tokio::test]
-async fn a_change_comes_in_time_to_the_followers_of_a_silenced_asker(
+async fn a_change_reaches_the_followers_of_a_direct_vm_partitioned_from_the_store_in_time(
     #[values(ASKERS[0], ASKERS[1])] asker: usize,
 ) {
     let mut r = settled().await;
@@ -148,7 +148,7 @@
 
 /// Guards against a VM that falls behind because it is cut from the store, though its peers know better.
 #[tokio::test]
-async fn a_follower_that_is_cut_from_the_store_stays_in_step() {
+async fn a_follower_partitioned_from_the_store_stays_up_to_date() {
     let mut r = settled().await;
     r.site.store_links[FOLLOWER].set_fault(LinkFault::Silent);
     let route = add_route(&mut r, "/new/");
@@ -158,7 +158,7 @@
 /// Guards against a fleet whose VMs all turn to the store at the end of an outage, and against VMs that
 /// never do again.
 #[tokio::test]
-async fn the_end_of_an_outage_costs_calls_by_data_centre_and_not_by_vm() {
+async fn calls_after_an_outage_grow_with_data_centres_and_not_with_vms() {
     let mut r = settled().await;
     begin_outage(&r).await;
     let sources: Vec<_> = (0..VMS).map(|vm| r.source(vm)).collect();
@@ -185,7 +185,7 @@
 /// Guards against followers that take a peer's list of VMs for the end of an outage, and against VMs that count
 /// as gone since nobody can renew an announcement.
 #[tokio::test]
-async fn a_list_of_vms_of_before_an_outage_is_not_news() {
+async fn a_list_of_vms_from_before_an_outage_does_not_end_it() {
     let r = settled().await;
     begin_outage(&r).await;
     tokio::time::sleep(LEASE).await;
@@ -246,7 +246,7 @@
 
 /// Guards against followers that stay behind when the store forgets its history.
 #[tokio::test]
-async fn a_change_comes_to_all_after_history_is_lost() {
+async fn a_change_reaches_all_vms_after_the_store_loses_its_history() {
     let mut r = settled().await;
     r.site.store.drop_history();
     let route = add_route(&mut r, "/new/");
--- a/tests/relay/servers.rs
+++ b/tests/relay/servers.rs
@@ -13,7 +13,7 @@
 
 /// A page misses its objective, as one server pauses for longer than that.
 #[tokio::test]
-async fn a_page_does_not_wait_for_a_server_that_pauses() {
+async fn a_page_does_not_wait_for_a_stalled_server() {
     let mut r = site().await;
     let route = r.route("/page/");
     all(&r.ask_all(5, &route).await, is_whole);
@@ -37,13 +37,13 @@
 
 /// A page holds lines that no server of ours has sent for it, or counts a shard that sent nothing.
 #[rstest]
-#[case::lost(BackendFaults { loses: true, ..BackendFaults::default() })]
-#[case::cut_short(BackendFaults { truncates: true, ..BackendFaults::default() })]
-#[case::of_another_request(BackendFaults { crosses: true, ..BackendFaults::default() })]
-#[case::a_failure(BackendFaults { fails: true, ..BackendFaults::default() })]
-#[case::refused(BackendFaults { sheds: true, ..BackendFaults::default() })]
+#[case::answer_lost(BackendFaults { loses: true, ..BackendFaults::default() })]
+#[case::truncated(BackendFaults { truncates: true, ..BackendFaults::default() })]
+#[case::answer_to_another_request(BackendFaults { crosses: true, ..BackendFaults::default() })]
+#[case::error_response(BackendFaults { fails: true, ..BackendFaults::default() })]
+#[case::shed(BackendFaults { sheds: true, ..BackendFaults::default() })]
 #[tokio::test]
-async fn a_server_that_spoils_its_answers_spoils_no_page(#[case] faults: BackendFaults) {
+async fn pages_are_complete_while_servers_return_bad_answers(#[case] faults: BackendFaults) {
     let mut r = site().await;
     let route = r.route("/page/");
     for shard in [0, 3] {
@@ -55,7 +55,7 @@
 
 /// A shard stays lost after its servers are back.
 #[tokio::test]
-async fn a_crashed_shard_is_left_out_truly_and_is_back_with_its_servers() {
+async fn a_crashed_shard_is_reported_missing_and_returns_with_its_servers() {
     let mut r = site().await;
     let route = r.route("/page/");
     for copy in 0..2 {
@@ -101,7 +101,7 @@
 
 /// One search takes every shard down again each time its reader repeats it, at whatever VM.
 #[tokio::test]
-async fn a_request_that_breaks_servers_is_refused_at_every_vm() {
+async fn a_request_that_crashes_servers_is_refused_at_every_vm() {
     let r = site().await;
     let route = r.route("/page/");
     let loses = BackendFaults {
--- a/tests/relay/soak.rs
+++ b/tests/relay/soak.rs
@@ -9,9 +9,9 @@
 
 /// Runs one seed for some seconds.
 #[rstest]
-#[case::first(1)]
+#[case::seed_1(1)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn no_promise_is_broken(#[case] seed: u64) {
+async fn a_soak_run_finds_no_violations(#[case] seed: u64) {
     let dir = tempfile::tempdir().expect("a folder");
     let options = SoakOptions::builder()
         .bin(PathBuf::from(env!("CARGO_BIN_EXE_gentiansill")))
--- a/tests/relay/store.rs
+++ b/tests/relay/store.rs
@@ -33,7 +33,9 @@
 #[case::answers_lost(StoreFault::Lost)]
 #[case::slow(StoreFault::Slow(Duration::from_millis(900)))]
 #[tokio::test]
-async fn pages_go_on_while_the_store_is_away_and_changes_come_after_it(#[case] fault: StoreFault) {
+async fn pages_continue_while_the_store_is_unreachable_and_changes_apply_afterwards(
+    #[case] fault: StoreFault,
+) {
     let mut r = site().await;
     let route = r.route("/page/");
     r.site.store.set_fault(fault);
@@ -55,7 +57,7 @@
 #[case::busy(StoreFault::Busy)]
 #[case::silent(StoreFault::Silent)]
 #[tokio::test]
-async fn a_vm_that_starts_while_the_store_is_away_serves_what_its_peers_know(
+async fn a_vm_that_starts_while_the_store_is_unreachable_uses_the_state_of_its_peers(
     #[case] fault: StoreFault,
 ) {
     let mut r = site().await;
@@ -95,7 +97,7 @@
 /// Guards against a VM that hears of no change for the rest of a watch: the store swallowed the watch and a look at
 /// the list of VMs, and has answered everything since.
 #[tokio::test]
-async fn a_look_that_the_store_does_not_answer_shows_an_outage() {
+async fn an_unanswered_poll_shows_an_outage() {
     let mut r = site_of(1).await;
     let looks = r.calls(LOOK);
     let fault = StoreFault::SilentTo(&["config", "gentiansill-vms"]);
@@ -110,7 +112,7 @@
 /// Guards against a VM that hears of no change for the rest of a watch, as the store went silent and came back between
 /// two of its first looks.
 #[tokio::test]
-async fn an_outage_between_two_of_the_first_looks_is_noticed() {
+async fn an_outage_between_two_of_the_first_polls_is_detected() {
     let mut r = site_of(1).await;
     r.until("the third look and its heartbeat", |r| {
         r.calls(LOOK) == 3 && r.calls(BEAT) == 3
@@ -129,7 +131,7 @@
 
 /// A change is never seen: it was made in the moment whose history the store has dropped.
 #[tokio::test]
-async fn a_change_in_forgotten_history_is_seen() {
+async fn a_change_in_dropped_history_is_applied() {
     let mut r = site().await;
     r.site
         .configure(|c| c.routes[0].prefix = "/other/".to_owned());
--- a/tests/relay/vms.rs
+++ b/tests/relay/vms.rs
@@ -14,7 +14,7 @@
 
 /// A reader's request is cut by a planned restart.
 #[tokio::test]
-async fn a_vm_told_to_leave_answers_everything_first() {
+async fn a_terminated_vm_answers_all_requests_before_it_exits() {
     let mut r = site().await;
     let route = r.route("/page/");
     let addr = r.site.vms[0].plan().callers;
@@ -36,7 +36,7 @@
 /// Readers of every data centre lose shards for as long as one VM is away: what peers asked it for is
 /// waited for in vain.
 #[tokio::test]
-async fn pages_go_on_when_a_vm_is_killed_and_after_it_is_back() {
+async fn pages_continue_while_a_vm_is_killed_and_after_it_restarts() {
     let mut r = site().await;
     let route = r.route("/page/");
     all(&r.ask_all(5, &route).await, is_whole);
@@ -54,7 +54,7 @@
 /// A VM loses power and stays in the list of VMs for good: pages are left to it, and its part of what
 /// servers accept is never used again. The others see that it no longer renews, and take it out.
 #[tokio::test]
-async fn a_vm_that_is_lost_without_a_word_is_taken_out_of_the_list_and_a_paused_one_comes_back() {
+async fn a_vm_lost_without_notice_is_removed_from_the_list_and_a_paused_one_returns() {
     let mut r = site().await;
     let listed = |r: &Running| r.site.store.names("gentiansill-vms").len();
     r.until("all are listed", |r| listed(r) == 3).await;
@@ -69,7 +69,7 @@
 
 /// A VM stands still with bundles of others: nothing tells of it but silence.
 #[tokio::test]
-async fn pages_go_on_beside_a_vm_that_stands_still() {
+async fn pages_continue_while_a_vm_is_paused() {
     let mut r = site().await;
     let route = r.route("/page/");
     all(&r.ask_all(5, &route).await, is_whole);
@@ -107,7 +107,7 @@
 
 /// A page lacks shards whose answers had come to its VM while that stood still.
 #[tokio::test]
-async fn a_page_after_a_stand_still_of_its_vm_is_whole() {
+async fn a_page_after_a_pause_of_its_vm_is_complete() {
     let mut r = site().await;
     let route = r.route("/page/");
     all(&r.ask_all(5, &route).await, is_whole);
