--- a/tests/relay/at_most_once.rs
+++ b/tests/relay/at_most_once.rs
@@ -33,7 +33,7 @@
 
 /// Prevents callers from repeating a request that has run, because its refusal says that nothing ran.
 #[tokio::test]
-async fn a_refusal_that_says_not_run_is_true_and_says_when_to_come_back() {
+async fn a_not_run_refusal_is_true_and_states_when_to_retry() {
     let mut r = start_site().await;
     for n in 0..3 {
         let sheds = BackendFaults {
--- a/tests/relay/pages.rs
+++ b/tests/relay/pages.rs
@@ -16,7 +16,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_of_one_server_comes_back_unchanged() {
+async fn an_answer_of_one_server_is_forwarded_unchanged() {
     let mut r = start_site().await;
     for prefix in ["/one/", "/once/"] {
         let route = r.route(prefix);
@@ -58,7 +58,7 @@
 /// Prevents a VM from querying servers in other data centres directly, as traffic between data centres is paid for: it
 /// delegates the shards without a replica in its own data centre to one peer in a bundle.
 #[tokio::test]
-async fn shards_elsewhere_are_asked_for_through_peers() {
+async fn shards_in_another_data_centre_are_queried_through_peers() {
     let mut r = start_site().await;
     let route = r.route("/page/");
     let end = tokio::time::Instant::now() + Duration::from_secs(10);
--- a/tests/relay/register.rs
+++ b/tests/relay/register.rs
@@ -84,7 +84,7 @@
 
 /// Prevents a number of calls to the store that grows with the number of VMs.
 #[tokio::test]
-async fn a_change_costs_calls_by_data_centre_and_not_by_vm() {
+async fn calls_for_a_change_grow_with_data_centres_and_not_with_vms() {
     let mut r = start_followed_site().await;
     let before = r.count_calls("GET /api/objects/config");
     let route = add_route(&mut r, "/new/");
@@ -96,7 +96,7 @@
 
 /// Prevents followers from receiving no more changes after the direct VMs that they follow are killed.
 #[tokio::test]
-async fn a_change_comes_to_the_followers_of_killed_askers() {
+async fn a_change_reaches_the_followers_of_killed_direct_vms() {
     let mut r = start_followed_site().await;
     for vm in DIRECT_VMS {
         r.kill(vm).await;
@@ -107,7 +107,7 @@
 
 /// Prevents followers from waiting for a paused direct VM: only its silence shows that it is paused.
 #[tokio::test]
-async fn a_change_comes_to_the_followers_of_a_frozen_asker() {
+async fn a_change_reaches_the_followers_of_paused_direct_vms() {
     let mut r = start_followed_site().await;
     for vm in DIRECT_VMS {
         r.site.vms[vm].signal(Signal::STOP);
@@ -122,7 +122,7 @@
 
 /// Prevents followers from staying with a direct VM that can't reach the store while other VMs can.
 #[tokio::test]
-async fn a_change_comes_to_the_followers_of_askers_that_are_cut_from_the_store() {
+async fn a_change_reaches_the_followers_of_direct_vms_disconnected_from_the_store() {
     let mut r = start_followed_site().await;
     for vm in DIRECT_VMS {
         r.site.store_links[vm].set_fault(LinkFault::Reset);
@@ -141,7 +141,7 @@
 /// own heartbeat must time out first, and the followers' after it.
 #[rstest]
 #[tokio::test]
-async fn a_change_comes_in_time_to_the_followers_of_a_silenced_asker(
+async fn a_change_reaches_the_followers_of_a_direct_vm_partitioned_from_the_store_in_time(
     #[values(DIRECT_VMS[0], DIRECT_VMS[1])] direct_vm: usize,
 ) {
     let mut r = start_followed_site().await;
@@ -152,7 +152,7 @@
 
 /// Prevents a follower that is partitioned from the store from missing changes that its peers have.
 #[tokio::test]
-async fn a_follower_that_is_cut_from_the_store_stays_in_step() {
+async fn a_follower_partitioned_from_the_store_stays_up_to_date() {
     let mut r = start_followed_site().await;
     r.site.store_links[FOLLOWER].set_fault(LinkFault::Silent);
     let route = add_route(&mut r, "/new/");
@@ -161,7 +161,7 @@
 
 /// Prevents all VMs from querying the store at the end of an outage, and direct VMs from never querying it again.
 #[tokio::test]
-async fn the_end_of_an_outage_costs_calls_by_data_centre_and_not_by_vm() {
+async fn calls_after_an_outage_grow_with_data_centres_and_not_with_vms() {
     let mut r = start_followed_site().await;
     start_outage(&r).await;
     let sources: Vec<_> = (0..VMS).map(|vm| r.register_source(vm)).collect();
@@ -188,7 +188,7 @@
 /// Prevents followers from reading a peer's old list of VMs as the end of an outage, and VMs from counting as expired
 /// while no VM can renew its announcement.
 #[tokio::test]
-async fn a_list_of_vms_of_before_an_outage_is_not_news() {
+async fn a_list_of_vms_from_before_an_outage_does_not_end_it() {
     let r = start_followed_site().await;
     start_outage(&r).await;
     tokio::time::sleep(LEASE_EXPIRY).await;
@@ -249,7 +249,7 @@
 
 /// Prevents followers from missing a change when the store drops its change history.
 #[tokio::test]
-async fn a_change_comes_to_all_after_history_is_lost() {
+async fn a_change_reaches_all_vms_after_the_store_loses_its_history() {
     let mut r = start_followed_site().await;
     r.site.store.drop_history();
     let route = add_route(&mut r, "/new/");
--- a/tests/relay/store.rs
+++ b/tests/relay/store.rs
@@ -34,7 +34,9 @@
 #[case::answers_lost(StoreFault::Lost)]
 #[case::slow(StoreFault::Slow(Duration::from_millis(900)))]
 #[tokio::test]
-async fn pages_go_on_while_the_store_is_away_and_changes_come_after_it(#[case] fault: StoreFault) {
+async fn pages_continue_while_the_store_is_unreachable_and_changes_apply_afterwards(
+    #[case] fault: StoreFault,
+) {
     let mut r = start_site().await;
     let route = r.route("/page/");
     r.site.store.set_fault(fault);
@@ -57,7 +59,7 @@
 #[case::busy(StoreFault::Busy)]
 #[case::silent(StoreFault::Silent)]
 #[tokio::test]
-async fn a_vm_that_starts_while_the_store_is_away_serves_what_its_peers_know(
+async fn a_vm_that_starts_while_the_store_is_unreachable_uses_the_state_of_its_peers(
     #[case] fault: StoreFault,
 ) {
     let mut r = start_site().await;
@@ -104,7 +106,7 @@
 /// Prevents a VM from missing changes until its watch times out when the store left the watch and one poll of the list
 /// of VMs unanswered, but has answered everything since.
 #[tokio::test]
-async fn a_look_that_the_store_does_not_answer_shows_an_outage() {
+async fn an_unanswered_poll_shows_an_outage() {
     let mut r = start_site_with(1).await;
     let polls_before = r.count_calls(VM_LIST_CALL);
     let fault = StoreFault::SilentTo(&["config", "gentiansill-vms"]);
@@ -121,7 +123,7 @@
 /// Prevents a VM from missing changes until its watch times out when the store stopped answering and recovered between
 /// two of the VM's first polls of the list of VMs.
 #[tokio::test]
-async fn an_outage_between_two_of_the_first_looks_is_noticed() {
+async fn an_outage_between_two_of_the_first_polls_is_detected() {
     let mut r = start_site_with(1).await;
     r.wait_until("the third poll and its heartbeat", |r| {
         r.count_calls(VM_LIST_CALL) == 3 && r.count_calls(HEARTBEAT_CALL) == 3
@@ -140,7 +142,7 @@
 
 /// Prevents VMs from missing a change that was made in the part of the history that the store has dropped.
 #[tokio::test]
-async fn a_change_in_forgotten_history_is_seen() {
+async fn a_change_in_dropped_history_is_applied() {
     let mut r = start_site().await;
     r.site
         .configure(|c| c.routes[0].prefix = "/other/".to_owned());
--- a/tests/relay/vms.rs
+++ b/tests/relay/vms.rs
@@ -14,7 +14,7 @@
 
 /// Prevents requests cut off by a graceful shutdown.
 #[tokio::test]
-async fn a_vm_told_to_leave_answers_everything_first() {
+async fn a_terminated_vm_answers_all_requests_before_it_exits() {
     let mut r = start_site().await;
     let route = r.route("/page/");
     let addr = r.site.vms[0].plan().callers;
@@ -36,7 +36,7 @@
 /// Prevents pages with missing shards in every data centre for as long as one VM is down: peers might keep waiting for
 /// the parts delegated to it.
 #[tokio::test]
-async fn pages_go_on_when_a_vm_is_killed_and_after_it_is_back() {
+async fn pages_continue_while_a_vm_is_killed_and_after_it_restarts() {
     let mut r = start_site().await;
     let route = r.route("/page/");
     assert_all(&r.request_all(5, &route).await, is_complete);
@@ -55,7 +55,7 @@
 /// Prevents a VM that crashed without notice from staying listed: parts would still be delegated to it and its share of
 /// the servers' connections would stay unused. The other VMs remove it once it no longer renews its announcement.
 #[tokio::test]
-async fn a_vm_that_is_lost_without_a_word_is_taken_out_of_the_list_and_a_paused_one_comes_back() {
+async fn a_vm_lost_without_notice_is_removed_from_the_list_and_a_paused_one_returns() {
     let mut r = start_site().await;
     let listed = |r: &TestSite| r.site.store.names("gentiansill-vms").len();
     r.wait_until("all VMs to be listed", |r| listed(r) == 3)
@@ -74,7 +74,7 @@
 
 /// Prevents incomplete pages while a paused VM holds bundles of its peers: only its silence shows that it is paused.
 #[tokio::test]
-async fn pages_go_on_beside_a_vm_that_stands_still() {
+async fn pages_continue_while_a_vm_is_paused() {
     let mut r = start_site().await;
     let route = r.route("/page/");
     assert_all(&r.request_all(5, &route).await, is_complete);
@@ -116,7 +116,7 @@
 
 /// Prevents a page that misses shards whose answers arrived while its VM was paused.
 #[tokio::test]
-async fn a_page_after_a_stand_still_of_its_vm_is_whole() {
+async fn a_page_after_a_pause_of_its_vm_is_complete() {
     let mut r = start_site().await;
     let route = r.route("/page/");
     assert_all(&r.request_all(5, &route).await, is_complete);
