--- a/crates/admin/tests/admin/hostile.rs
+++ b/crates/admin/tests/admin/hostile.rs
@@ -15,14 +15,14 @@
 
 #[rstest]
 #[case::empty("")]
-#[case::no_json("not json")]
-#[case::cut_short(r#"{"id": "p", "against": 7"#)]
+#[case::not_json("not json")]
+#[case::truncated(r#"{"id": "p", "against": 7"#)]
 #[case::unknown_key(r#"{"id": "p", "against": 7, "changes": [], "x": 1}"#)]
 #[case::unknown_change(r#"{"id": "p", "against": 7, "changes": [{"drop-all": 1}]}"#)]
 #[case::bad_id(r#"{"id": "NO NAME", "against": 7, "changes": []}"#)]
 #[case::negative(r#"{"id": "p", "against": -7, "changes": []}"#)]
 #[tokio::test]
-async fn a_body_that_is_no_patch_is_refused(#[case] body: &'static str) {
+async fn an_invalid_patch_is_refused(#[case] body: &'static str) {
     let process = Process::new();
     let admin = serve(process.clone()).await;
     let (status, json) = post(admin.addr(), "/admin/v1/patches", OPS, body).await;
@@ -32,7 +32,7 @@
 }
 
 #[tokio::test]
-async fn a_deep_body_is_refused() {
+async fn a_deeply_nested_body_is_refused() {
     let admin = serve(Process::new()).await;
     let body = "[".repeat(4_000);
     let (status, _) = post(admin.addr(), "/admin/v1/patches", OPS, body).await;
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test]
-async fn a_large_head_is_refused() {
+async fn large_headers_are_refused() {
     let admin = serve(Process::new()).await;
     let head = format!(
         "GET /ready HTTP/1.1\r\nhost: x\r\nx-a: {}",
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test]
-async fn a_body_of_another_type_is_refused() {
+async fn a_body_of_another_content_type_is_refused() {
     let admin = serve(Process::new()).await;
     let head = format!(
         "POST /admin/v1/patches HTTP/1.1\r\nhost: x\r\nauthorization: {OPS}\r\n\
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test]
-async fn another_method_is_refused() {
+async fn an_unsupported_method_is_refused() {
     let admin = serve(Process::new()).await;
     let head = "DELETE /ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n";
     let answer = raw(admin.addr(), head.as_bytes()).await;
@@ -87,7 +87,7 @@
 
 /// A caller declares a body and never sends it: the server must end the request at its timeout.
 #[tokio::test]
-async fn half_a_request_is_ended() {
+async fn an_incomplete_request_times_out() {
     let admin = serve(Process::new()).await;
     let head = format!(
         "POST /admin/v1/patches HTTP/1.1\r\nhost: x\r\nauthorization: {OPS}\r\n\
@@ -100,7 +100,7 @@
 /// More callers than there are connections allowed open one each and send half a request head. The server must close
 /// these connections at its timeout, or operators could not connect.
 #[tokio::test]
-async fn slow_callers_lock_nobody_out() {
+async fn slow_callers_do_not_block_others() {
     let admin = serve(Process::new()).await;
     let mut slow = Vec::new();
     for _ in 0..6 {
--- a/crates/admin/tests/admin/interface.rs
+++ b/crates/admin/tests/admin/interface.rs
@@ -49,7 +49,7 @@
 #[case("/admin/v1/dump/fleet", 403)]
 #[case("/admin/v1/fleet", 200)]
 #[tokio::test]
-async fn the_rest_needs_a_key_and_a_dump_an_admins(#[case] path: &str, #[case] team: u16) {
+async fn all_other_paths_need_a_key_and_dumps_an_admin_key(#[case] path: &str, #[case] team: u16) {
     let admin = serve(Process::new()).await;
     let (without, body) = get(admin.addr(), path, None).await;
     let (wrong, _) = get(admin.addr(), path, Some("Bearer ops:wrong")).await;
@@ -102,7 +102,7 @@
 #[case("/admin/v1/patches/p-ledger", 404)]
 #[case("/admin/v1/nothing", 404)]
 #[tokio::test]
-async fn every_path_has_its_status(#[case] path: &str, #[case] status: u16) {
+async fn every_path_returns_its_status(#[case] path: &str, #[case] status: u16) {
     let admin = serve(Process::new()).await;
     let (got, body) = get(admin.addr(), path, Some(QUILL)).await;
     assert_eq!(got, status, "{body}");
@@ -135,7 +135,7 @@
 #[case(ErrorKind::Forbidden, 403)]
 #[case(ErrorKind::Unavailable, 409)]
 #[tokio::test]
-async fn a_refusal_is_final_and_names_who_stood_against_it(
+async fn a_refusal_is_final_and_names_the_rejecting_vms(
     #[case] kind: ErrorKind,
     #[case] status: u16,
 ) {
@@ -157,7 +157,7 @@
 }
 
 #[tokio::test]
-async fn an_undecided_patch_says_when_to_send_it_again() {
+async fn an_undecided_patch_says_when_to_retry() {
     let process = Process::new();
     *process.outcome.lock().expect("not poisoned") = PatchOutcome::Undecided {
         error: Error::new(ErrorKind::Unavailable, "the platform is unreachable"),
@@ -177,7 +177,7 @@
 /// Shutdown while an operator waits for the outcome of a patch: the request must still be answered, and no new
 /// connection be accepted.
 #[tokio::test]
-async fn a_shutdown_finishes_the_request_that_runs() {
+async fn a_shutdown_finishes_the_request_in_progress() {
     let process = Process::new();
     let held = process.hold();
     let admin = serve(process.clone()).await;
--- a/crates/chart/tests/page.rs
+++ b/crates/chart/tests/page.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_page_is_drawn_from_the_charts() {
+fn the_page_matches_the_charts() {
     let path = root().join("docs/CHARTS.md");
     if std::env::var_os(WRITE_VAR).is_some() {
         std::fs::write(&path, render_page()).expect("the page written");
--- a/crates/chart/tests/parse.rs
+++ b/crates/chart/tests/parse.rs
@@ -25,8 +25,8 @@
 const SHUT: &str = "[[state]]\nname = \"shut\"\non = { push = \"open\" }\nignore = [\"pull\"]\n";
 
 #[rstest]
-#[case::state_left_out(SHUT, "door: state `open` is defined 0 times, not once")]
-#[case::event_unanswered(
+#[case::missing_state(SHUT, "door: state `open` is defined 0 times, not once")]
+#[case::unhandled_event(
     "[[state]]\nname = \"shut\"\non = { push = \"open\" }\n",
     "door: state `shut` lists event `pull` 0 times, not 1"
 )]
@@ -38,14 +38,14 @@
     "[[state]]\nname = \"shut\"\nignore = [\"push\", \"pull\"]\n[[state]]\nname = \"open\"\nlast = true\n",
     "door: state `open` is unreachable"
 )]
-fn refused(#[case] states: &str, #[case] why: &str) {
+fn an_invalid_chart_is_refused(#[case] states: &str, #[case] why: &str) {
     let text = format!("name = \"door\"\ninitial = \"shut\"\n{states}");
     let e = Chart::<Door, Hand>::parse(&text).expect_err("chart must be rejected");
     assert_eq!(e.to_string(), format!("{why} (step: read chart)"));
 }
 
 #[test]
-fn drawn_from_the_same_file() {
+fn a_diagram_is_rendered_from_the_definition() {
     let text = format!("name = \"door\"\ninitial = \"shut\"\n{OPEN}{SHUT}");
     Chart::<Door, Hand>::parse(&text).expect("chart is complete");
     assert_eq!(
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_name_with_a_hyphen_is_drawn_under_another_id() {
+fn a_name_with_a_hyphen_is_rendered_under_another_id() {
     let text = "name = \"x\"\ninitial = \"not-run\"\n[[state]]\nname = \"not-run\"\nlast = true\n";
     assert_eq!(
         gs_chart::to_mermaid(text).expect("rendered"),
--- a/crates/conf/tests/patches/cost.rs
+++ b/crates/conf/tests/patches/cost.rs
@@ -22,7 +22,7 @@
 /// Without patches a VM sends two short messages per second regardless of the number of VMs, and makes
 /// no platform calls besides its watch.
 #[rstest]
-fn holding_still_costs_the_same_at_every_size(#[values(3, 9, 30, 100)] vms: usize) {
+fn idle_vms_cost_the_same_at_every_fleet_size(#[values(3, 9, 30, 100)] vms: usize) {
     let mut w = World::start(vms, 1);
     w.run(5_000);
     w.cost = Cost::default();
@@ -37,7 +37,7 @@
 /// A patch needs three writes regardless of the number of VMs. Its messages grow linearly with the
 /// number of VMs, not quadratically.
 #[rstest]
-fn a_patch_costs_three_writes_and_a_few_messages_a_vm(#[values(3, 9, 30, 100)] vms: usize) {
+fn a_patch_costs_three_writes_and_a_few_messages_per_vm(#[values(3, 9, 30, 100)] vms: usize) {
     let mut w = World::start(vms, 1);
     w.run(5_000);
     w.cost = Cost::default();
--- a/crates/conf/tests/patches/first.rs
+++ b/crates/conf/tests/patches/first.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn without_the_setting_nothing_is_created() {
+fn without_bootstrap_settings_nothing_is_created() {
     let mut w = World::new(2, 2, Platform::empty(2));
     w.start_all();
     w.run(5_000);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_configuration_that_is_there_is_left_as_it_is() {
+fn an_existing_configuration_is_not_replaced() {
     let mut w = World::new(2, 3, Platform::new(2));
     w.bootstrap = bootstrap();
     w.start_all();
@@ -66,7 +66,7 @@
 /// The platform is unreachable when the first VM starts. A missing reply must not be treated as a missing
 /// configuration.
 #[test]
-fn an_outage_is_not_an_empty_platform() {
+fn an_outage_is_not_treated_as_a_missing_configuration() {
     let mut w = World::new(1, 4, Platform::new(1));
     w.bootstrap = bootstrap();
     w.platform.down = true;
@@ -82,7 +82,7 @@
 /// The object is removed manually while VMs run. A starting VM creates a first configuration, and the
 /// others must not return to that older version.
 #[test]
-fn a_removed_object_leads_nobody_back() {
+fn a_removed_configuration_does_not_revert_running_vms() {
     let mut w = World::new(2, 5, Platform::new(2));
     w.bootstrap = bootstrap();
     w.start_all();
--- a/crates/conf/tests/patches/fuzz.rs
+++ b/crates/conf/tests/patches/fuzz.rs
@@ -216,5 +216,5 @@
     #![proptest_config(config())]
 
     #[test]
-    fn patches_keep_their_promises(sequential 1..60 => Patches);
+    fn patches_keep_their_guarantees(sequential 1..60 => Patches);
 }
--- a/crates/conf/tests/patches/races.rs
+++ b/crates/conf/tests/patches/races.rs
@@ -74,7 +74,7 @@
 /// The platform commits a patch and the reply is lost. The operator must still receive that it is
 /// accepted, and no second version may be created.
 #[test]
-fn a_lost_answer_to_the_commit_is_decided_by_reading_back() {
+fn a_commit_whose_reply_is_lost_is_resolved_by_reading_back() {
     let mut w = World::start(4, 3);
     w.platform.lost_replies = 3;
     assert_eq!(accepted(&propose(&mut w, 0, patch("a", 1))), Some(2));
@@ -83,7 +83,7 @@
 /// The operator's client loses the reply and sends the patch again through another VM, while the first
 /// proposal is in progress and after it. Each call gets the same outcome.
 #[test]
-fn a_resend_through_another_vm_gets_the_same_verdict() {
+fn a_resend_through_another_vm_gets_the_same_outcome() {
     let mut w = World::start(4, 4);
     let first = w.propose(0, patch("a", 1)).expect("runs");
     let crossing = w.propose(1, patch("a", 1)).expect("runs");
@@ -100,7 +100,7 @@
 /// A VM is unresponsive, so a patch cannot be in force there. It is refused naming that VM, and the
 /// refusal stays when the VM is back and the operator's client sends the patch again.
 #[test]
-fn a_silent_vm_refuses_a_patch_by_name_and_for_good() {
+fn a_patch_refused_for_an_unresponsive_vm_names_it_and_stays_refused() {
     let mut w = World::start(4, 5);
     w.pause(3, true);
     let PatchOutcome::Refused { against, .. } = propose(&mut w, 0, patch("a", 1)) else {
@@ -139,7 +139,7 @@
 /// A VM acknowledges and is then partitioned before it learns of the commit. The patch is accepted, and
 /// that VM must stop serving the old declaration of the changed lookups.
 #[test]
-fn a_vm_cut_off_after_its_acknowledgement_stops_serving_what_the_patch_changes() {
+fn a_vm_partitioned_after_its_acknowledgement_stops_serving_the_changed_lookups() {
     let mut w = World::start(4, 7);
     let a = w.propose(0, patch("a", 1)).expect("runs");
     let prepared = |w: &World| {
@@ -175,7 +175,7 @@
 /// decided, and all lookups are served meanwhile, because every VM knows that the patch is in force
 /// nowhere. Once the platform is back, the same id gets a final outcome.
 #[test]
-fn an_outage_in_the_middle_leaves_lookups_served() {
+fn lookups_are_served_in_an_outage_after_a_patch_was_prepared() {
     let mut w = World::start(4, 8);
     let a = w.propose(0, patch("a", 1)).expect("runs");
     while w.vms[0]
@@ -205,7 +205,7 @@
 /// The platform is unreachable when a VM starts. It must serve by the newest configuration of its peers,
 /// and not before it has it.
 #[test]
-fn a_vm_started_in_an_outage_waits_for_what_its_peers_hold() {
+fn a_vm_started_in_an_outage_waits_for_the_configuration_of_its_peers() {
     let mut w = World::start(4, 9);
     assert_eq!(accepted(&propose(&mut w, 0, patch("a", 1))), Some(2));
     w.platform.down = true;
@@ -221,7 +221,7 @@
 /// record from the platform. It never acknowledged, so it must serve none of the changed lookups until
 /// it knows the outcome.
 #[test]
-fn a_vm_started_in_between_is_in_doubt_until_told() {
+fn a_vm_started_while_a_patch_is_pending_is_in_doubt_until_its_outcome() {
     let mut w = World::start(4, 10);
     w.delist(3);
     w.kill(3);
@@ -257,7 +257,7 @@
 /// operator sends the patch again elsewhere and receives that it is accepted. In the partitioned data
 /// centre the proposer must not let its neighbour serve by the previous version, nor do so itself.
 #[test]
-fn a_cut_off_proposer_that_waits_for_its_answer_keeps_nobody_serving() {
+fn a_partitioned_proposer_does_not_keep_the_previous_version_served() {
     let mut w = World::start(4, 11);
     let _ = w.propose(0, patch("a", 1)).expect("runs");
     while w.vms[0]
@@ -290,7 +290,7 @@
 
 /// A patch waits for an acknowledgement, and an operator reads the dump of the VM that received it.
 #[test]
-fn the_dump_shows_where_a_patch_stands_and_no_hash_of_a_key() {
+fn the_dump_shows_the_state_of_a_patch_and_no_key_hash() {
     let mut w = World::start(4, 12);
     w.pause(3, true);
     w.propose(0, patch("a", 1)).expect("runs");
@@ -308,7 +308,7 @@
 /// when the platform becomes unreachable, and another VM starts at that time. The VM that missed the
 /// patch may reply first, and the starting VM must not serve lookups by that older record.
 #[test]
-fn a_vm_started_in_an_outage_is_not_ready_by_the_first_peers_word() {
+fn a_vm_started_in_an_outage_is_not_ready_after_the_first_peers_reply() {
     for seed in 0..20 {
         let mut w = World::start(4, seed);
         w.vms[1].cut_from_peers = true;
--- a/crates/conf/tests/rules/bytes.rs
+++ b/crates/conf/tests/rules/bytes.rs
@@ -72,7 +72,7 @@
 
     /// A malformed record with a higher object version, from a peer or the platform, is ignored.
     #[test]
-    fn a_garbled_record_replaces_nothing(bytes in malformed(), from_peer in any::<bool>()) {
+    fn a_garbled_record_does_not_replace_the_latest_record(bytes in malformed(), from_peer in any::<bool>()) {
         let now = Instant::now();
         let options = ConfigManagerOptions::builder()
             .vm("vm-1".parse().expect("a name"))
--- a/crates/conf/tests/rules/changes.rs
+++ b/crates/conf/tests/rules/changes.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_patch_makes_the_next_version_under_its_name() {
+fn a_patch_creates_the_next_version_under_its_id() {
     let changes = vec![Change::PutFront(front("new", &["quote"]))];
     let next = apply(&config(), &patch(changes)).expect("applies");
     assert_eq!(next.version, ConfVersion(8));
@@ -45,12 +45,12 @@
     front: archive(),
     lookup: "none".parse().expect("a name"),
 })]
-#[case::lookup_of_no_front(Change::PutLookup {
+#[case::lookup_of_an_undeclared_front(Change::PutLookup {
     front: "none".parse().expect("a name"),
     lookup: lookup("quote"),
 })]
 #[case::team(Change::RemoveTeam("none".parse().expect("a name")))]
-fn changing_what_is_not_declared_names_the_change(#[case] change: Change) {
+fn a_change_to_an_undeclared_target_is_named(#[case] change: Change) {
     let changes = vec![Change::RemoveFront(archive()), change];
     let e = apply(&config(), &patch(changes)).expect_err("not declared");
     assert_eq!(
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn applying_the_difference_leads_to_the_other_version() {
+fn applying_the_difference_yields_the_other_version() {
     let from = config();
     let mut to = config();
     to.version = ConfVersion(8);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_plain_configuration_is_a_record() {
+fn a_plain_configuration_parses_as_a_record() {
     let json = serde_json::to_string(&config()).expect("JSON");
     let record = Record::parse(&json).expect("a record");
     assert_eq!(record.config(), config());
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn what_a_patch_touches_is_listed_once() {
+fn each_target_affected_by_a_patch_is_listed_once() {
     let p = patch(vec![
         Change::RemoveTeam("quill".parse().expect("a name")),
         Change::PutLookup {
--- a/crates/conf/tests/rules/check.rs
+++ b/crates/conf/tests/rules/check.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_sample_breaks_no_rule() {
+fn the_sample_configuration_is_valid() {
     let report = check_config(&config(), None);
     assert_eq!((report.errors, report.warnings), (vec![], vec![]));
 }
@@ -29,14 +29,14 @@
 #[case::long_deadline("deadline", |l: &mut Lookup| l.deadline = Duration::from_secs(61))]
 #[case::empty_page("page", |l: &mut Lookup| l.page = 0)]
 #[case::large_page("page", |l: &mut Lookup| l.page = 1_001)]
-#[case::scattered_once("scope", |l: &mut Lookup| l.promise = Promise::AtMostOnce)]
-#[case::early_complete("enough_at", |l: &mut Lookup| {
+#[case::at_most_once_without_a_key("scope", |l: &mut Lookup| l.promise = Promise::AtMostOnce)]
+#[case::complete_that_ends_early("enough_at", |l: &mut Lookup| {
     l.promise = Promise::Complete;
     l.enough_at = Some(5);
 })]
-#[case::enough_at_none("enough_at", |l: &mut Lookup| l.enough_at = Some(0))]
+#[case::enough_of_zero("enough_at", |l: &mut Lookup| l.enough_at = Some(0))]
 #[case::enough_above_page("enough_at", |l: &mut Lookup| l.enough_at = Some(21))]
-fn a_lookup_that_breaks_a_rule_is_named(#[case] key: &str, #[case] mutate: fn(&mut Lookup)) {
+fn an_invalid_lookup_is_reported_with_its_key(#[case] key: &str, #[case] mutate: fn(&mut Lookup)) {
     let mut cfg = config();
     mutate(&mut cfg.fronts[0].lookups[0]);
     assert_eq!(
@@ -60,7 +60,7 @@
 #[case::team("teams.quill", |c: &mut Config| c.teams.push(team("quill", false, &[])))]
 #[case::hash("teams.quill.key_sha256", |c: &mut Config| c.teams[1].key_sha256 = "key".into())]
 #[case::no_admin("teams", |c: &mut Config| c.teams[0].admin = false)]
-fn a_configuration_that_breaks_a_rule_is_named(
+fn an_invalid_configuration_is_reported_with_its_place(
     #[case] place: &str,
     #[case] mutate: fn(&mut Config),
 ) {
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_configuration_that_would_not_fit_its_object_is_refused() {
+fn a_configuration_larger_than_an_object_is_refused() {
     let mut cfg = config();
     for f in 0..90 {
         let names: Vec<_> = (0..100).map(|l| format!("lookup-{l}")).collect();
--- a/crates/conf/tests/rules/teams.rs
+++ b/crates/conf/tests/rules/teams.rs
@@ -20,13 +20,17 @@
 #[case("nobody", "key-of-quill", false)]
 #[case("nobody", "", false)]
 #[case("", "", false)]
-fn a_key_opens_its_own_team_only(#[case] team: &str, #[case] key: &str, #[case] opens: bool) {
+fn a_key_authenticates_its_own_team_only(
+    #[case] team: &str,
+    #[case] key: &str,
+    #[case] opens: bool,
+) {
     let cfg = config();
     assert_eq!(authenticate(&cfg, team, key).is_ok(), opens);
 }
 
 #[test]
-fn the_error_does_not_tell_which_of_name_and_key_was_wrong() {
+fn a_wrong_name_and_a_wrong_key_give_the_same_error() {
     let cfg = config();
     let wrong_key = authenticate(&cfg, "quill", "x").expect_err("wrong");
     let wrong_name = authenticate(&cfg, "nobody", "x").expect_err("wrong");
@@ -45,9 +49,9 @@
     lookup: "page".parse().expect("a name"),
 }, false)]
 #[case::new_front(Change::PutFront(front("new", &[])), false)]
-#[case::itself(Change::PutTeam(team("quill", true, &[])), false)]
+#[case::own_team(Change::PutTeam(team("quill", true, &[])), false)]
 #[case::another_team(Change::RemoveTeam("ops".parse().expect("a name")), false)]
-fn a_team_is_confined_to_its_fronts(#[case] change: Change, #[case] allowed: bool) {
+fn a_team_may_change_only_its_own_fronts(#[case] change: Change, #[case] allowed: bool) {
     let p = patch(vec![change]);
     let quill = "quill".parse().expect("a name");
     let result = check_scope(&config(), &quill, &p);
@@ -63,7 +67,7 @@
 }
 
 #[test]
-fn a_team_that_was_removed_may_change_nothing() {
+fn a_removed_team_may_change_nothing() {
     let removed = "removed".parse().expect("a name");
     let p = patch(vec![Change::PutFront(front("archive", &[]))]);
     let e = check_scope(&config(), &removed, &p).expect_err("removed");
--- a/crates/http/tests/callers.rs
+++ b/crates/http/tests/callers.rs
@@ -99,7 +99,7 @@
 const PATH: &str = "/v1/fronts/archive/lookups/quotes";
 
 #[tokio::test]
-async fn an_answer_states_its_coverage() {
+async fn an_answer_contains_its_coverage() {
     let s = start().await;
     let res = exchange(s.addr, post(PATH, "", r#"{"query":"trout"}"#).as_bytes()).await;
     let body = res.split_once("\r\n\r\n").expect("a head").1;
@@ -111,7 +111,7 @@
 }
 
 #[tokio::test]
-async fn a_refusal_says_when_to_come_back() {
+async fn a_refusal_says_when_to_retry() {
     let s = start().await;
     let res = exchange(s.addr, post(PATH, "", r#"{"query":"overload"}"#).as_bytes()).await;
     assert!(
@@ -128,23 +128,23 @@
 }
 
 #[rstest]
-#[case::path("/v1/fronts/archive", "", r#"{"query":"x"}"#, 404, "no such path")]
-#[case::name(
+#[case::unknown_path("/v1/fronts/archive", "", r#"{"query":"x"}"#, 404, "no such path")]
+#[case::invalid_front_name(
     "/v1/fronts/Archive/lookups/q",
     "",
     r#"{"query":"x"}"#,
     400,
     "not a front name"
 )]
-#[case::no_json(PATH, "", "query=x", 400, "expected value")]
+#[case::not_json(PATH, "", "query=x", 400, "expected value")]
 #[case::no_query(PATH, "", "{}", 400, "missing field `query`")]
 #[case::wrong_type(PATH, "", r#"{"query":7}"#, 400, "invalid type")]
 #[case::unknown_key(PATH, "", r#"{"query":"x","quety":"y"}"#, 400, "unknown field `quety`")]
-#[case::empty(PATH, "", r#"{"query":""}"#, 400, "`query` is empty")]
-#[case::control(PATH, "", r#"{"query":"a\u0000b"}"#, 400, "not plain text")]
-#[case::deadline(PATH, "", r#"{"query":"x","deadline":"soon"}"#, 400, "deadline `soon`")]
-#[case::zero(PATH, "", r#"{"query":"x","deadline":"0ms"}"#, 400, "out of range")]
-#[case::key(
+#[case::empty_query(PATH, "", r#"{"query":""}"#, 400, "`query` is empty")]
+#[case::control_character(PATH, "", r#"{"query":"a\u0000b"}"#, 400, "not plain text")]
+#[case::invalid_deadline(PATH, "", r#"{"query":"x","deadline":"soon"}"#, 400, "deadline `soon`")]
+#[case::zero_deadline(PATH, "", r#"{"query":"x","deadline":"0ms"}"#, 400, "out of range")]
+#[case::invalid_key(
     PATH,
     "idempotency-key: 12\r\n",
     r#"{"query":"x"}"#,
@@ -173,7 +173,7 @@
 }
 
 #[tokio::test]
-async fn an_oversized_body_is_refused_with_its_bound() {
+async fn an_oversized_body_is_refused_naming_the_limit() {
     let s = start().await;
     let body = format!(r#"{{"query":"{}"}}"#, "x".repeat(BODY_BYTES_MAX));
     let res = exchange(s.addr, post(PATH, "", &body).as_bytes()).await;
@@ -201,12 +201,12 @@
 /// A caller sends half of the headers, or half of the body, and nothing more. Without timeouts each such caller would hold
 /// a connection forever, until none is left for the others.
 #[rstest]
-#[case::head("POST /v1/fronts/archive/lookups/quotes HTTP/1.1\r\nhost: x\r\nconte")]
+#[case::headers("POST /v1/fronts/archive/lookups/quotes HTTP/1.1\r\nhost: x\r\nconte")]
 #[case::body(
     "POST /v1/fronts/archive/lookups/quotes HTTP/1.1\r\nhost: x\r\ncontent-length: 99\r\n\r\n{"
 )]
 #[tokio::test]
-async fn half_a_request_is_ended_and_others_are_served(#[case] half: &str) {
+async fn an_incomplete_request_times_out_and_others_are_served(#[case] half: &str) {
     let s = start().await;
     let mut slow = Vec::new();
     for _ in 0..16 {
@@ -219,7 +219,7 @@
 }
 
 #[tokio::test]
-async fn a_stopping_server_finishes_the_request_that_has_begun() {
+async fn a_stopping_server_finishes_the_request_in_progress() {
     let s = start().await;
     let mut tcp = TcpStream::connect(s.addr).await.expect("listening");
     let request = post(PATH, "", r#"{"query":"trout"}"#);
@@ -236,7 +236,7 @@
 /// A caller keeps a connection open for its next lookup. If it is idle for longer than the header timeout, it must not be
 /// closed: the next request would fail.
 #[tokio::test]
-async fn a_kept_connection_outlives_the_header_timeout() {
+async fn a_kept_alive_connection_outlives_the_header_timeout() {
     let s = start().await;
     let mut tcp = TcpStream::connect(s.addr).await.expect("listening");
     let req = post(PATH, "", r#"{"query":"trout"}"#).replace("connection: close\r\n", "");
@@ -256,7 +256,7 @@
 /// also apply if the server is waiting for the idle timeout when the first byte arrives. If it went on waiting for the
 /// idle timeout of a minute, the connection would be occupied for that long, and other callers would be kept out.
 #[tokio::test]
-async fn half_a_head_on_a_kept_connection_is_ended() {
+async fn incomplete_headers_on_a_kept_alive_connection_time_out() {
     let s = start().await;
     let mut tcp = TcpStream::connect(s.addr).await.expect("listening");
     let req = post(PATH, "", r#"{"query":"trout"}"#).replace("connection: close\r\n", "");
--- a/crates/http/tests/fuzz/backend.rs
+++ b/crates/http/tests/fuzz/backend.rs
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn an_answer_means_what_the_protocol_says() {
+fn an_answer_is_parsed_as_the_protocol_specifies() {
     let rt = runtime();
     let _in = rt.enter();
     let mut b = rt.block_on(Fixture::start());
--- a/crates/http/tests/pool.rs
+++ b/crates/http/tests/pool.rs
@@ -244,14 +244,14 @@
 #[case(Script::Error, PartReply::Failed)]
 #[case(Script::Close, PartReply::Broken)]
 #[tokio::test]
-async fn a_reply_is_judged(#[case] script: Script, #[case] wanted: PartReply) {
+async fn a_reply_is_classified(#[case] script: Script, #[case] wanted: PartReply) {
     let mut b = Fixture::start(script, 2).await;
     let id = b.dispatch(0);
     assert_eq!(b.reply().await, (id, wanted, true));
 }
 
 #[tokio::test]
-async fn without_a_share_nothing_is_sent() {
+async fn without_a_connection_share_nothing_is_sent() {
     let mut b = Fixture::start(Script::Complete, 0).await;
     let id = b.dispatch(0);
     b.pool.cancel(&id);
@@ -280,7 +280,7 @@
 }
 
 #[tokio::test]
-async fn a_cancel_without_an_idle_connection_closes_the_attempts_own() {
+async fn a_cancel_without_an_idle_connection_closes_the_attempts_connection() {
     let mut b = Fixture::start(Script::Hang, 1).await;
     let id = b.dispatch(0);
     b.fake.seen.notified().await;
@@ -291,7 +291,7 @@
 /// A burst of attempts is dispatched with a share of two connections. If every VM opened a third one, the server's
 /// connection limit would be exceeded.
 #[tokio::test]
-async fn a_server_never_sees_more_connections_than_shared() {
+async fn a_server_never_has_more_connections_than_its_share() {
     let mut b = Fixture::start(Script::Complete, 2).await;
     for attempt in 0..40 {
         b.dispatch(attempt);
@@ -305,7 +305,7 @@
 /// A share is lowered while its connections are busy. The share may be given to another VM only after they are closed,
 /// so until then the pools report that they exceed it.
 #[tokio::test]
-async fn a_lowered_share_is_told_only_when_connections_are_closed() {
+async fn a_lowered_share_is_reported_only_when_connections_are_closed() {
     let mut b = Fixture::start(Script::Hang, 2).await;
     let first = b.dispatch(0);
     b.fake.seen.notified().await;
@@ -326,7 +326,7 @@
 /// A leaving process has closed its connections, and another VM may use its share by now. Shares set after that must not
 /// open connections again: the server's connection limit would be exceeded.
 #[tokio::test]
-async fn a_closed_pool_opens_nothing_by_later_shares() {
+async fn a_closed_pool_ignores_later_shares() {
     let mut b = Fixture::start(Script::Complete, 2).await;
     b.pool.close();
     b.pool
--- a/crates/limit/tests/limits.rs
+++ b/crates/limit/tests/limits.rs
@@ -33,10 +33,10 @@
 #[case::urgent_long_queue(Promise::Urgent, 60, 95, false)]
 #[case::complete_idle(Promise::Complete, 0, 10, true)]
 #[case::complete_one_slow_shard(Promise::Complete, 5, 400, false)]
-#[case::complete_goes_before_urgent(Promise::Complete, 45, 60, false)]
-#[case::urgent_stays_longer(Promise::Urgent, 45, 60, true)]
-#[case::once_that_cannot_end(Promise::AtMostOnce, 85, 90, false)]
-fn a_lookup_is_taken_on_if_it_can_end_in_time(
+#[case::complete_is_rejected_before_urgent(Promise::Complete, 45, 60, false)]
+#[case::urgent_is_admitted_longer(Promise::Urgent, 45, 60, true)]
+#[case::at_most_once_that_cannot_end_in_time(Promise::AtMostOnce, 85, 90, false)]
+fn a_lookup_is_admitted_if_it_can_end_in_time(
     #[case] promise: Promise,
     #[case] typical_ms: u64,
     #[case] worst_ms: u64,
@@ -57,7 +57,7 @@
 /// Lookups end late although the estimate of this VM says that they fit, because other VMs load the
 /// servers too. The policy must admit less until lookups end in time, and more again afterwards.
 #[test]
-fn late_lookups_lower_what_is_taken_on_until_they_are_in_time() {
+fn late_lookups_reduce_admission_until_lookups_end_in_time() {
     let mut policy = AdaptiveAdmission::new(100);
     let mut now = Instant::now();
     let half_full = request(Promise::Complete, 30, 60, 5);
@@ -79,7 +79,7 @@
 /// end in time, the VM would reject callers for another minute. Recovery starts half a second after the last
 /// rejection and takes one second.
 #[test]
-fn calm_after_a_storm_gives_back_what_it_took() {
+fn admission_recovers_after_an_overload() {
     let mut policy = AdaptiveAdmission::new(100);
     let start = Instant::now();
     let half_full = request(Promise::Complete, 30, 60, 5);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn while_lookups_are_refused_nothing_is_given_back() {
+fn admission_does_not_recover_while_lookups_are_rejected() {
     let mut policy = AdaptiveAdmission::new(100);
     let start = Instant::now();
     let half_full = request(Promise::Complete, 30, 60, 5);
@@ -115,7 +115,7 @@
 /// After an overload the last recorded latencies are high. If they caused every lookup to be rejected, no
 /// new sample would show that the servers are fast again.
 #[test]
-fn a_lookup_is_always_taken_on_when_none_is_in_flight() {
+fn a_lookup_is_always_admitted_when_none_is_in_flight() {
     let mut policy = AdaptiveAdmission::new(100);
     let now = Instant::now();
     for _ in 0..1000 {
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn the_baseline_looks_at_nothing_but_its_bound() {
+fn the_baseline_admission_checks_only_its_bound() {
     let mut policy = FixedAdmission::new(2);
     let now = Instant::now();
     let hopeless = request(Promise::Complete, 900, 900, 1);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn extra_attempts_are_a_share_of_the_first_ones() {
+fn extra_attempts_are_a_fraction_of_the_initial_attempts() {
     let now = Instant::now();
     let mut budget = ExtraBudget::new(0.02, 10, 0.0);
     assert!(budget.take_retries(now, 5));
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn half_of_what_is_saved_up_is_kept_for_retries() {
+fn half_of_the_saved_budget_is_reserved_for_retries() {
     let now = Instant::now();
     let mut budget = ExtraBudget::new(1.0, 10, 0.0);
     for _ in 0..10 {
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_quiet_process_still_earns_retries() {
+fn an_idle_process_still_earns_retries() {
     let now = Instant::now();
     let mut budget = ExtraBudget::new(0.0, 10, 2.0);
     assert!(budget.take_retries(now, 5));
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn the_digest_finds_the_quantile_and_forgets() {
+fn the_digest_estimates_the_quantile_of_recent_samples() {
     let mut digest = LatencyDigest::new(0.9);
     for n in 0..10_000_u64 {
         digest.add(Duration::from_micros(1_000 + n % 1_000));
@@ -189,7 +189,7 @@
 /// A small VM receives few parts of a group. If a hedge delay needed 128 samples, such a VM would not
 /// hedge in its first ten seconds and would wait for every straggler.
 #[test]
-fn a_hedge_delay_is_known_after_sixteen_parts() {
+fn a_hedge_delay_is_learned_after_sixteen_parts() {
     let mut hedge = LearnedDelay::new(0.975);
     for _ in 0..15 {
         hedge.observe(Distance::Near, Duration::from_millis(8));
--- a/crates/member/tests/member/chart.rs
+++ b/crates/member/tests/member/chart.rs
@@ -17,7 +17,7 @@
 #[case(VmState::Leaving, VmEvent::Heard, None)]
 #[case(VmState::Leaving, VmEvent::Restarted, Some(VmState::Alive))]
 #[case(VmState::Unreachable, VmEvent::Unlisted, Some(VmState::Gone))]
-fn a_state_answers_an_event(
+fn an_event_leads_to_its_next_state(
     #[case] from: VmState,
     #[case] event: VmEvent,
     #[case] to: Option<VmState>,
--- a/crates/member/tests/member/fuzz.rs
+++ b/crates/member/tests/member/fuzz.rs
@@ -175,5 +175,5 @@
     #![proptest_config(config(24))]
 
     #[test]
-    fn shares_never_pass_a_limit_and_add_up_after_healing(sequential 1..40 => Fleet);
+    fn shares_never_exceed_a_limit_and_add_up_after_recovery(sequential 1..40 => Fleet);
 }
--- a/crates/member/tests/member/gossip.rs
+++ b/crates/member/tests/member/gossip.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn all_see_all_alive() {
+fn every_vm_sees_every_other_alive() {
     let w = fleet(9);
     for by in 0..9 {
         assert_eq!(w.processes[&by].m.view().live().count(), 9);
@@ -32,7 +32,7 @@
 /// A paused VM does not answer lookups. The other VMs must mark it as unreachable within seconds,
 /// and as alive again once it answers.
 #[test]
-fn a_paused_vm_becomes_unreachable_and_comes_back() {
+fn a_paused_vm_becomes_unreachable_and_alive_again() {
     let mut w = fleet(9);
     w.processes.get_mut(&4).expect("running").paused = true;
     w.run(Duration::from_secs(7));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn all_agree_on_who_holds_a_duty() {
+fn every_vm_agrees_on_the_holder_of_a_duty() {
     let w = fleet(9);
     let holder = |by: u8| w.processes[&by].m.view().holder("relay").cloned();
     assert!((1..9).all(|by| holder(by) == holder(0)));
@@ -68,7 +68,7 @@
 /// The platform's list lags and does not contain a new VM yet. The new VM sends heartbeats to the
 /// others, and is alive in their views.
 #[test]
-fn a_vm_is_alive_to_others_before_the_list_shows_it() {
+fn a_vm_is_alive_for_others_before_it_is_listed() {
     let mut w = fleet(3);
     w.freeze_list();
     w.start(3);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_removed_vm_is_gone_from_every_view() {
+fn a_removed_vm_is_absent_from_every_view() {
     let mut w = fleet(4);
     w.kill(3);
     w.remove(3);
@@ -90,7 +90,7 @@
 /// know them. Unless their heartbeats contain their entries, it knows no other VM until the
 /// platform is reachable again.
 #[test]
-fn a_vm_that_starts_while_the_platform_is_away_meets_its_peers() {
+fn a_vm_that_starts_in_a_platform_outage_finds_its_peers() {
     let mut w = fleet(3);
     w.kill(2);
     w.platform_mode = PlatformMode::Unreachable;
--- a/crates/member/tests/member/shares.rs
+++ b/crates/member/tests/member/shares.rs
@@ -24,7 +24,7 @@
 #[case(40, vec![4, 4, 4, 4, 4, 4, 4, 5, 5, 2])]
 #[case(100, vec![10, 10, 10, 10, 11, 11, 11, 11, 11, 5])]
 #[case(3, vec![0, 0, 0, 0, 0, 0, 1, 1, 1, 0])]
-fn a_limit_is_dealt_out_whole(#[case] limit: u32, #[case] expected: Vec<u32>) {
+fn a_limit_is_distributed_completely(#[case] limit: u32, #[case] expected: Vec<u32>) {
     let seats = seats(9, 1);
     let s = server("s", limit);
     let share = |seat: &Seat| seat_share(&s, &seats, seat.id).0;
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_larger_limit_gives_no_seat_less() {
+fn a_larger_limit_lowers_no_seats_share() {
     let seats = seats(9, 2);
     for limit in 0..200 {
         for x in &seats {
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn nine_starting_together_soon_hold_nearly_all() {
+fn nine_vms_started_together_soon_hold_nearly_all_connections() {
     assert_eq!(connections_in_use(&nine_vms()), [24, 38, 95]);
 }
 
@@ -90,7 +90,7 @@
 /// A tenth VM joins while another one is partitioned from all others and cannot lower its shares.
 /// Without a spare seat the new VM would hold no connections until the partition ends.
 #[test]
-fn a_newcomer_gets_connections_while_another_vm_is_cut_off() {
+fn a_new_vm_gets_connections_while_another_is_partitioned() {
     let mut w = nine_vms();
     w.processes.get_mut(&4).expect("running").partitioned = true;
     w.start(9);
@@ -102,7 +102,7 @@
 /// Two VMs are replaced while a third one is partitioned. The platform removes the old VMs, so
 /// their seats can be assigned to the new ones at once, whatever epoch the partitioned VM is at.
 #[test]
-fn replacements_take_the_seats_of_removed_vms_during_a_cut() {
+fn new_vms_take_the_seats_of_removed_vms_during_a_partition() {
     let mut w = nine_vms();
     w.processes.get_mut(&4).expect("running").partitioned = true;
     for i in [1, 2] {
@@ -120,7 +120,7 @@
 /// A process is killed and restarted at once. It still has its seat, so it gets its share back
 /// after one write, and does not depend on any other VM.
 #[test]
-fn a_restarted_process_has_its_share_back() {
+fn a_restarted_process_regains_its_share() {
     let mut w = nine_vms();
     let before = w.processes[&3].connections.clone();
     w.kill(3);
@@ -133,7 +133,7 @@
 /// when its next incarnation starts. If it took effect then, a seat in use would be assigned to a
 /// new VM.
 #[test]
-fn a_late_write_of_an_earlier_run_cannot_vacate_the_seat() {
+fn a_late_write_of_an_earlier_incarnation_cannot_vacate_the_seat() {
     let mut w = nine_vms();
     w.platform_mode = PlatformMode::DelaysWrites;
     w.leave(3);
@@ -152,7 +152,7 @@
 /// After a VM is removed permanently, the remaining VMs share its connections once all of them have
 /// lowered to the table without its seat.
 #[test]
-fn the_rest_share_what_a_removed_vm_held() {
+fn the_remaining_vms_share_the_connections_of_a_removed_vm() {
     let mut w = nine_vms();
     w.kill(8);
     w.remove(8);
@@ -165,7 +165,7 @@
 /// the seat of its previous incarnation. If it did not vacate that seat, the seat's connections
 /// would stay unused as long as the VM is listed.
 #[test]
-fn a_process_that_leaves_gives_up_the_seat_of_its_earlier_run() {
+fn a_leaving_process_vacates_the_seat_of_its_earlier_incarnation() {
     let mut w = nine_vms();
     w.platform_mode = PlatformMode::DelaysWrites;
     w.kill(7);
@@ -182,7 +182,7 @@
 /// and were then paused, the write would take effect, and the next new VM would open the same
 /// connections.
 #[test]
-fn a_vm_that_is_moving_does_not_use_its_old_seat() {
+fn a_vm_that_changes_seats_does_not_use_its_old_seat() {
     let mut w = nine_vms();
     w.processes.get_mut(&4).expect("running").partitioned = true;
     w.start(9);
--- a/crates/member/tests/member/table.rs
+++ b/crates/member/tests/member/table.rs
@@ -14,14 +14,14 @@
 }
 
 #[test]
-fn a_table_survives_its_object() {
+fn a_table_round_trips_through_its_object() {
     let table = SeatTable::initial(dcs().iter());
     let content = table.encode().expect("encodes");
     assert_eq!(SeatTable::decode(&content), Ok(table));
 }
 
 #[test]
-fn another_form_is_refused() {
+fn another_format_version_is_refused() {
     let mut content = SeatTable::initial(dcs().iter()).encode().expect("encodes");
     content[0] = 9;
     let e = SeatTable::decode(&content).expect_err("refused");
@@ -36,7 +36,7 @@
     #![proptest_config(crate::fuzz::config(256))]
 
     #[test]
-    fn any_bytes_are_a_table_or_an_error(mut bytes: Vec<u8>) {
+    fn any_bytes_decode_to_a_table_or_an_error(mut bytes: Vec<u8>) {
         let _ = SeatTable::decode(&bytes);
         bytes.insert(0, 1);
         if let Ok(table) = SeatTable::decode(&bytes) {
@@ -49,14 +49,14 @@
     #![proptest_config(crate::fuzz::config(256))]
 
     #[test]
-    fn any_bytes_are_a_heartbeat_or_an_error(bytes: Vec<u8>) {
+    fn any_bytes_decode_to_a_heartbeat_or_an_error(bytes: Vec<u8>) {
         let _ = postcard::from_bytes::<Heartbeat>(&bytes);
     }
 
     /// A peer may send wrong data, for example if its build is faulty. No heartbeat that decodes
     /// may make a VM panic.
     #[test]
-    fn no_heartbeat_stops_a_vm(all: Vec<(Vec<u8>, u8)>) {
+    fn no_heartbeat_causes_a_panic(all: Vec<(Vec<u8>, u8)>) {
         let mut w = World::new(&[25]);
         (0..3).for_each(|i| w.start(i));
         w.run(Duration::from_secs(1));
--- a/crates/mesh/tests/mesh/frame.rs
+++ b/crates/mesh/tests/mesh/frame.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn another_version_is_refused_as_such() {
+fn another_version_is_refused_as_a_version_error() {
     let mut buf = encoded_frame();
     buf[4] = 2;
     let decoded = codec("sixteen bytes or more").decode(&buf).map(|_| ());
@@ -99,7 +99,7 @@
     }
 
     #[test]
-    fn a_cut_frame_is_refused(len: prop::sample::Index) {
+    fn a_truncated_frame_is_refused(len: prop::sample::Index) {
         let buf = encoded_frame();
         let buf = &buf[..len.index(buf.len())];
         prop_assert!(codec("sixteen bytes or more").decode(buf).is_err());
--- a/crates/mesh/tests/mesh/link.rs
+++ b/crates/mesh/tests/mesh/link.rs
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_message_above_the_bound_does_not_leave() {
+fn a_message_above_the_size_limit_is_not_sent() {
     let (a, _b) = connected_pair();
     let long = "x".repeat(65 << 10);
     assert_eq!(
@@ -146,7 +146,7 @@
 /// One peer is dead, and one accepts connections and never reads. The sender runs on a tokio runtime with one worker: if
 /// either peer blocked it, the healthy peer would receive no more messages.
 #[test]
-fn a_dead_and_a_stopped_peer_hold_up_nobody() {
+fn a_dead_and_a_stalled_peer_do_not_delay_others() {
     let (a, mut b) = connected_pair();
     let stopped = TcpListener::bind(any_port()).expect("listens");
     let dead = TcpListener::bind(any_port()).expect("listens");
@@ -179,7 +179,7 @@
 /// An unknown client connects to the mesh port and sends bytes that are no messages. The process must keep running and
 /// receiving messages from its peers.
 #[test]
-fn garbled_bytes_are_survived() {
+fn garbled_bytes_do_not_stop_the_mesh() {
     let (a, mut b) = connected_pair();
     for len in [0_usize, 1, 8, 200, 4096] {
         let mut conn = TcpStream::connect(b.mesh.local_addr()).expect("connects");
--- a/crates/mesh/tests/mesh/replay.rs
+++ b/crates/mesh/tests/mesh/replay.rs
@@ -16,10 +16,10 @@
 }
 
 #[rstest]
-#[case::again(vec![1, 1], vec![Ok(()), Err(RejectReason::Replayed)])]
-#[case::crossed(vec![2, 1, 2], vec![Ok(()), Ok(()), Err(RejectReason::Replayed)])]
-#[case::far_behind(vec![100, 36], vec![Ok(()), Err(RejectReason::Replayed)])]
-#[case::just_in_reach(vec![100, 37], vec![Ok(()), Ok(())])]
+#[case::repeated(vec![1, 1], vec![Ok(()), Err(RejectReason::Replayed)])]
+#[case::out_of_order(vec![2, 1, 2], vec![Ok(()), Ok(()), Err(RejectReason::Replayed)])]
+#[case::outside_the_window(vec![100, 36], vec![Ok(()), Err(RejectReason::Replayed)])]
+#[case::at_the_edge_of_the_window(vec![100, 37], vec![Ok(()), Ok(())])]
 #[case::after_a_gap(vec![1, 1000, 999], vec![Ok(()), Ok(()), Ok(())])]
 fn a_frame_is_admitted_once(
     #[case] seqs: Vec<u64>,
@@ -33,7 +33,7 @@
 /// A recorded frame of an earlier incarnation is sent again after the process restarted. If it were accepted, it would
 /// restore a state of the sender that is out of date.
 #[test]
-fn a_frame_of_an_earlier_run_is_refused() {
+fn a_frame_of_an_earlier_incarnation_is_refused() {
     let mut guard = ReplayGuard::default();
     assert_eq!(guard.admit(&with_incarnation(5, 1)), Ok(()));
     assert_eq!(guard.admit(&with_incarnation(1, 2)), Ok(()));
--- a/crates/once/tests/once/chart.rs
+++ b/crates/once/tests/once/chart.rs
@@ -13,7 +13,7 @@
 #[case(ClaimState::Rewriting, ClaimEvent::Miss, Some(ClaimState::Exposed))]
 #[case(ClaimState::Exposed, ClaimEvent::GiveUp, Some(ClaimState::Unknown))]
 #[case(ClaimState::Granted, ClaimEvent::GiveUp, None)]
-fn a_state_answers_an_event(
+fn an_event_leads_to_its_next_state(
     #[case] from: ClaimState,
     #[case] event: ClaimEvent,
     #[case] to: Option<ClaimState>,
--- a/crates/once/tests/once/decisions.rs
+++ b/crates/once/tests/once/decisions.rs
@@ -38,7 +38,7 @@
 /// Copies of a request arrive at all VMs at the same time. Only the one that is written first may
 /// run.
 #[test]
-fn of_two_asks_at_once_one_is_granted() {
+fn of_concurrent_requests_for_one_key_one_is_granted() {
     let mut w = World::new(3);
     let key = w.key(0, "a");
     (0..3).for_each(|i| w.request(i, &key));
@@ -51,7 +51,7 @@
 /// The platform is unreachable. Nothing was dispatched and no claim can be written any more, so the
 /// request is refused at once, and the caller may retry with the same key.
 #[test]
-fn with_the_platform_away_an_ask_is_refused_at_once() {
+fn a_request_is_refused_at_once_while_the_platform_is_unreachable() {
     let mut w = World::new(1);
     w.platform_mode = PlatformMode::Unreachable;
     let key = w.key(0, "a");
@@ -68,7 +68,7 @@
 /// The write of a claim takes effect, but its answer is lost. Reading the object shows the nonce of
 /// this request.
 #[test]
-fn a_lost_answer_is_resolved_by_reading_back() {
+fn a_write_whose_answer_is_lost_is_resolved_by_reading_back() {
     let mut w = World::new(1);
     w.platform_mode = PlatformMode::LosesAnswers;
     let key = w.key(0, "a");
@@ -80,7 +80,7 @@
 /// The write of a claim is delayed, and reads fail. The write may still take effect, so the request
 /// must not be reported as not run. When it takes effect, the key is claimed without having run.
 #[test]
-fn a_write_that_may_yet_land_leaves_the_key_unknown() {
+fn a_write_that_may_still_take_effect_leaves_the_key_unknown() {
     let mut w = World::new(1);
     w.platform_mode = PlatformMode::DelaysWritesAndFailsReads;
     let key = w.key(0, "a");
@@ -99,7 +99,7 @@
 /// writes the claim itself after a timeout; when the writer resumes, its own write finds that
 /// entry.
 #[test]
-fn a_stopped_writer_is_not_waited_for() {
+fn a_paused_writer_does_not_delay_a_request() {
     let mut w = World::new(2);
     w.run(SECOND);
     let keys: Vec<_> = (0..8).map(|n| w.key(0, &n.to_string())).collect();
@@ -164,7 +164,7 @@
 /// A key was minted by a clock that is far ahead. It is refused, but not expired, as it may be
 /// claimed later.
 #[test]
-fn a_key_from_the_future_is_refused() {
+fn a_key_minted_in_the_future_is_refused() {
     let mut w = World::new(1);
     let key = w.key(-30, "a");
     w.request(0, &key);
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn without_a_network_every_vm_claims_by_itself() {
+fn without_a_network_every_vm_writes_its_own_claims() {
     let mut w = World::new(3);
     w.network_mode = NetworkMode::Down;
     let key = w.key(0, "a");
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn asks_that_come_together_share_writes() {
+fn concurrent_requests_share_writes() {
     let mut w = World::new(0);
     w.claims_per_segment = 512;
     w.start(0);
@@ -205,7 +205,7 @@
 /// ago. The claim's object does not exist any more: without the watermark, the lookup would run
 /// twice.
 #[test]
-fn a_clock_that_is_far_behind_does_not_bring_a_key_back() {
+fn a_vm_whose_clock_is_far_behind_does_not_grant_an_expired_key() {
     let mut w = World::new(1);
     w.network_mode = NetworkMode::Down;
     w.run(SECOND);
@@ -227,7 +227,7 @@
 /// the platform becomes unreachable. The writer's own write may still take effect, so the request
 /// must not be reported as not run.
 #[test]
-fn an_unsure_writer_heard_twice_leaves_the_key_unknown() {
+fn an_unknown_result_delivered_twice_leaves_the_key_unknown() {
     let mut w = World::new(2);
     w.network_mode = NetworkMode::Down;
     w.run(SECOND);
--- a/crates/once/tests/once/fuzz.rs
+++ b/crates/once/tests/once/fuzz.rs
@@ -169,5 +169,5 @@
     #![proptest_config(config(64))]
 
     #[test]
-    fn a_key_runs_at_most_once_and_refusals_are_true(sequential 1..60 => Fleet);
+    fn a_key_runs_at_most_once_and_refusals_are_correct(sequential 1..60 => Fleet);
 }
--- a/crates/once/tests/once/segment.rs
+++ b/crates/once/tests/once/segment.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_segment_survives_its_object() {
+fn a_segment_round_trips_through_its_object() {
     let segment = Segment {
         claims: vec![claim(1), claim(2)],
     };
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn another_form_is_refused() {
+fn another_format_version_is_refused() {
     let e = Segment::decode(&[2, 0]).expect_err("refused");
     assert_eq!(e.kind(), ErrorKind::Version);
     assert_eq!(
@@ -55,7 +55,7 @@
 #[case("claims/30000000/1", None)]
 #[case("claims/30000000/1/2/3", None)]
 #[case("claims/floor", None)]
-fn a_path_is_read(#[case] text: &str, #[case] expected: Option<(u64, u16, u32)>) {
+fn a_segment_path_is_parsed(#[case] text: &str, #[case] expected: Option<(u64, u16, u32)>) {
     let path = expected.map(|(w, bucket, segment)| SegmentPath {
         window: Window(w),
         bucket,
@@ -68,7 +68,7 @@
     #![proptest_config(crate::fuzz::config(256))]
 
     #[test]
-    fn any_bytes_are_a_segment_or_an_error(mut bytes: Vec<u8>) {
+    fn any_bytes_decode_to_a_segment_or_an_error(mut bytes: Vec<u8>) {
         let _ = Segment::decode(&bytes);
         bytes.insert(0, 1);
         let _ = Segment::decode(&bytes);
@@ -79,7 +79,7 @@
     #![proptest_config(crate::fuzz::config(256))]
 
     #[test]
-    fn any_bytes_are_a_message_or_an_error(bytes: Vec<u8>) {
+    fn any_bytes_decode_to_a_message_or_an_error(bytes: Vec<u8>) {
         let _ = postcard::from_bytes::<gs_once::Message>(&bytes);
     }
 }
--- a/crates/query/tests/engine/charts.rs
+++ b/crates/query/tests/engine/charts.rs
@@ -7,13 +7,13 @@
 
 /// Parsing checks that every state is reachable and handles every event.
 #[test]
-fn the_attempts_chart_is_whole() {
+fn the_attempt_state_machine_is_complete() {
     let chart = attempt_chart().expect("a whole chart");
     assert_eq!(chart.initial(), AttemptState::Handed);
 }
 
 #[test]
-fn no_event_leads_back_from_the_point_of_no_return() {
+fn no_event_returns_a_sent_attempt_to_an_earlier_state() {
     let chart = attempt_chart().expect("a whole chart");
     for event in AttemptEvent::iter() {
         assert_ne!(
--- a/crates/query/tests/engine/connections.rs
+++ b/crates/query/tests/engine/connections.rs
@@ -15,7 +15,7 @@
 use crate::world::whole;
 
 #[test]
-fn above_the_share_parts_wait_and_go_in_the_order_of_their_deadlines() {
+fn parts_above_the_connection_share_are_queued_by_deadline() {
     let mut w = World::new(1, 1);
     let seqs: Vec<_> = (0..4).map(|_| w.arrive("urgent")).collect();
     assert_eq!(w.open.len(), 2);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_cancelled_attempt_holds_its_connection_until_the_shell_tells_its_end() {
+fn a_cancelled_attempt_holds_its_connection_until_the_driver_reports_its_end() {
     let mut w = World::new(1, 1);
     w.share_all(&group(1, 1, &[(1, 1)]), 1);
     w.arrive("urgent");
@@ -44,7 +44,7 @@
 /// An I/O driver (shell) that never reports an attempt's end must not occupy the server's
 /// connections forever.
 #[test]
-fn a_forgotten_attempt_gives_its_connection_back_in_time() {
+fn an_attempt_whose_end_is_never_reported_releases_its_connection() {
     let mut w = World::new(1, 1);
     w.share_all(&group(1, 1, &[(1, 1)]), 1);
     w.arrive("urgent");
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_larger_share_lets_waiting_parts_go() {
+fn a_larger_share_dispatches_queued_parts() {
     let mut w = World::new(1, 1);
     for _ in 0..5 {
         w.arrive("urgent");
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn the_share_is_held_warm() {
+fn the_connection_share_is_kept_open() {
     let mut w = World::new(1, 1);
     let out = w.on(Event::Shares(vec![(server(0, 0), Connections(3))]));
     assert!(out.contains(&Action::Warm(server(0, 0), Connections(3))));
@@ -75,7 +75,7 @@
 
 /// A server that has just started gets one attempt at a time at first.
 #[test]
-fn a_new_run_of_a_server_starts_slowly() {
+fn a_new_incarnation_of_a_server_goes_through_slow_start() {
     let mut w = World::with(EngineOptions::default(), &group(1, 1, &[(1, 1)]));
     w.share_all(&group(1, 1, &[(1, 1)]), 4);
     w.on(Event::Report(report(server(0, 0), 1, &[1])));
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_server_that_sheds_is_left_alone_for_as_long_as_it_asked() {
+fn a_server_that_sheds_is_not_retried_before_its_retry_after() {
     let mut w = World::new(1, 1);
     let seq = w.arrive("urgent");
     w.serve(
@@ -112,7 +112,7 @@
 /// Every attempt at both replicas fails. One is ejected; the other is still queried, so that a
 /// wrong signal cannot remove every server of a service.
 #[test]
-fn failing_servers_are_set_aside_but_never_all_of_a_service() {
+fn failing_servers_are_ejected_but_never_all_of_a_service() {
     let mut w = World::with(EngineOptions::default(), &group(1, 2, &[(1, 1)]));
     for _ in 0..12 {
         w.arrive("urgent");
@@ -136,7 +136,7 @@
 /// another lookup in flight. Until then each attempt fails immediately; the lookup must not use up
 /// its tries on these failures.
 #[test]
-fn a_part_waits_for_replicas_that_are_down_for_a_moment() {
+fn a_part_waits_for_replicas_that_are_down_briefly() {
     let mut w = World::new(1, 2);
     let seq = w.arrive("complete");
     for _ in 0..12 {
--- a/crates/query/tests/engine/coverage.rs
+++ b/crates/query/tests/engine/coverage.rs
@@ -16,7 +16,7 @@
 #[rstest]
 #[case("urgent")]
 #[case("complete")]
-fn a_page_of_all_shards_is_the_brute_force_page(#[case] lookup: &str) {
+fn a_page_of_all_shards_equals_the_brute_force_page(#[case] lookup: &str) {
     let mut w = World::new(7, 2);
     let seq = w.arrive(lookup);
     w.serve_all();
@@ -30,7 +30,7 @@
 /// A shard's server does not reply. The page is still returned by the deadline and names the
 /// missing shard.
 #[test]
-fn an_urgent_lookup_answers_by_its_deadline_with_what_is_there() {
+fn an_urgent_lookup_returns_the_parts_received_by_its_deadline() {
     let mut w = World::new(3, 1);
     let seq = w.arrive("urgent");
     for shard in [0, 2] {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_urgent_lookup_without_any_part_is_no_empty_page() {
+fn an_urgent_lookup_without_any_part_is_refused_instead_of_an_empty_page() {
     let mut w = World::new(2, 1);
     let seq = w.arrive("urgent");
     for shard in 0..2 {
@@ -70,7 +70,7 @@
 /// A complete lookup loses one shard's only replica while it runs. It is refused with the shard's
 /// number as soon as that is known, since its caller relies on a complete page.
 #[test]
-fn a_complete_lookup_is_refused_with_what_is_missing() {
+fn a_complete_lookup_is_refused_naming_the_missing_shards() {
     let mut w = World::new(3, 1);
     let seq = w.arrive("complete");
     w.serve(
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_complete_lookup_is_not_begun_while_a_shard_has_no_replica() {
+fn a_complete_lookup_is_not_started_while_a_shard_has_no_replica() {
     let mut w = World::new(3, 1);
     w.on(Event::Sign(
         gs_query::Notice::Drain {
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn an_urgent_lookup_goes_on_without_a_shard_that_has_no_replica() {
+fn an_urgent_lookup_continues_without_a_shard_that_has_no_replica() {
     let mut w = World::new(3, 1);
     w.on(Event::Sign(
         gs_query::Notice::Drain {
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_handful_ends_early_and_says_so() {
+fn a_lookup_with_enough_parts_ends_early_and_reports_it() {
     let mut w = World::new(4, 1);
     let seq = w.arrive("handful");
     for shard in [0, 1] {
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_keyed_lookup_asks_the_shard_of_its_key_alone() {
+fn a_keyed_lookup_queries_only_the_shard_of_its_key() {
     let mut w = World::new(5, 1);
     let seq = w.arrive("book");
     let shard = gs_query::shard_of_key("franchise-9", 5).expect("a shard");
@@ -165,7 +165,7 @@
 #[rstest]
 #[case::keyed_without_key("book", None, RefusalReason::BadRequest)]
 #[case::unknown("nothing", None, RefusalReason::NoSuchLookup)]
-fn a_request_that_does_not_fit_is_refused_for_good(
+fn an_invalid_request_is_refused_without_retry_after(
     #[case] lookup: &str,
     #[case] key: Option<&str>,
     #[case] reason: RefusalReason,
--- a/crates/query/tests/engine/drain.rs
+++ b/crates/query/tests/engine/drain.rs
@@ -56,7 +56,7 @@
 #[case(Learned::ByHeader, true)]
 #[case(Learned::ByHealth, true)]
 #[case(Learned::ByPeer, false)]
-fn the_first_sign_of_a_drain_counts_and_is_spread(
+fn the_first_drain_notice_applies_and_is_broadcast(
     #[case] learned: Learned,
     #[case] broadcast: bool,
 ) {
@@ -101,7 +101,7 @@
 /// The health endpoint is out of date and does not report the drain. The drain lasts until a new
 /// incarnation is seen.
 #[test]
-fn only_a_new_run_ends_a_drain() {
+fn only_a_new_incarnation_ends_a_drain() {
     let mut w = world();
     send_drain_notice(&mut w, Some(1));
     w.on(Event::Report(report(server(0, 0), 1, &[1])));
@@ -117,9 +117,9 @@
 }
 
 #[rstest]
-#[case::of_an_earlier_run(Some(1))]
-#[case::without_a_run(None)]
-fn a_sign_told_again_does_not_drain_the_next_run(#[case] incarnation: Option<u64>) {
+#[case::of_an_earlier_incarnation(Some(1))]
+#[case::without_an_incarnation(None)]
+fn a_repeated_drain_notice_does_not_drain_the_next_incarnation(#[case] incarnation: Option<u64>) {
     let mut w = world();
     send_drain_notice(&mut w, incarnation);
     w.on(Event::Report(report(server(0, 0), 2, &[1])));
@@ -130,7 +130,7 @@
 
 /// Parts queued for a server that starts to drain are requeued to the other replica immediately.
 #[test]
-fn parts_that_wait_for_a_draining_server_move_on() {
+fn parts_queued_for_a_draining_server_are_requeued() {
     let mut w = world();
     let seqs: Vec<_> = (0..6).map(|_| w.arrive("complete")).collect();
     assert_eq!((w.open.len(), w.engine.dump(w.now).waiting), (4, 2));
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn when_the_last_replica_drains_what_waits_for_it_is_refused_at_once() {
+fn lookups_queued_for_the_last_replica_are_refused_when_it_drains() {
     let mut w = World::new(1, 1);
     let seqs: Vec<_> = (0..3).map(|_| w.arrive("complete")).collect();
     w.on(Event::Sign(
@@ -162,7 +162,7 @@
 /// A starting process receives a peer's drain notice before the map that declares the server. Its
 /// first lookups must not be sent to that server.
 #[test]
-fn a_drain_told_before_the_server_is_declared_counts() {
+fn a_drain_notice_before_the_server_is_declared_applies() {
     let mut w = World::with(EngineOptions::default(), &group(1, 2, &[(1, 1)]));
     let notice = Notice::Drain {
         server: server(1, 0),
@@ -182,7 +182,7 @@
 /// announces the drain of the next incarnation without naming it. That is a new notice and not a
 /// repetition of the server's own report.
 #[test]
-fn a_servers_own_word_does_not_make_a_later_sign_an_echo() {
+fn a_drain_notice_after_a_servers_own_report_is_not_a_repetition() {
     let mut w = World::with(EngineOptions::default(), &group(1, 2, &[(1, 1)]));
     w.arrive("urgent");
     let d = w.take(0);
--- a/crates/query/tests/engine/fuzz/mod.rs
+++ b/crates/query/tests/engine/fuzz/mod.rs
@@ -105,14 +105,14 @@
     /// Every page is the merge of exactly the shards in its coverage, from one snapshot, for its
     /// caller.
     #[test]
-    fn answers_are_true(sequential 1..120 => Fuzz<Answers>);
+    fn answers_match_their_coverage(sequential 1..120 => Fuzz<Answers>);
 
     /// No attempt is sent to an incarnation of a server after a notice of its drain.
     #[test]
-    fn drained_servers_get_no_work(sequential 1..120 => Fuzz<Drains>);
+    fn draining_servers_get_no_work(sequential 1..120 => Fuzz<Drains>);
 
     /// Every lookup has one outcome by its deadline, which is correct about whether it was
     /// executed.
     #[test]
-    fn outcomes_are_true(sequential 1..120 => Fuzz<Outcomes>);
+    fn outcomes_are_correct(sequential 1..120 => Fuzz<Outcomes>);
 }
--- a/crates/query/tests/engine/hedge.rs
+++ b/crates/query/tests/engine/hedge.rs
@@ -28,7 +28,7 @@
 /// One server of four is slow. Its part is hedged at another server, so that the page is not
 /// delayed.
 #[test]
-fn a_slow_part_is_hedged_at_another_server_and_the_loser_is_cancelled() {
+fn a_slow_part_is_hedged_at_another_server_and_the_slower_attempt_cancelled() {
     let mut w = with_learned_latency(EngineOptions::default());
     let seq = w.arrive("urgent");
     let slow = w.take(3);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn the_time_already_spent_is_taken_off_what_a_retry_may_use() {
+fn the_budget_of_a_retry_excludes_the_time_already_spent() {
     let mut w = World::new(1, 2);
     w.arrive("complete");
     let first = w.take(0);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn the_baseline_never_hedges_but_times_out_and_tries_once_more() {
+fn the_baseline_policy_never_hedges_and_retries_once_after_a_timeout() {
     let options = EngineOptions {
         policy: PolicyName::Baseline,
         attempt_timeout: Duration::from_millis(50),
@@ -175,9 +175,9 @@
 /// A new VM, or one that saw a partition, must not wait the whole deadline for unresponsive
 /// servers.
 #[rstest]
-#[case::of_a_fresh_vm(Learned::Nothing)]
-#[case::after_a_cut(Learned::LongTimes)]
-fn a_silent_server_leaves_time_for_its_replica(#[case] learned: Learned) {
+#[case::on_a_new_vm(Learned::Nothing)]
+#[case::after_a_partition(Learned::LongTimes)]
+fn an_unresponsive_server_leaves_time_for_its_replica(#[case] learned: Learned) {
     let mut w = World::new(2, 2);
     if matches!(learned, Learned::LongTimes) {
         for _ in 0..40 {
@@ -205,7 +205,7 @@
 /// Slow parts have used up the budget for hedges. A server that becomes unresponsive must not cost
 /// its shard.
 #[test]
-fn a_silent_server_is_asked_around_from_what_is_kept_for_retries() {
+fn an_unresponsive_server_is_replaced_from_the_budget_reserved_for_retries() {
     let options = EngineOptions {
         extra_ratio: 0.0,
         extra_burst: 10,
--- a/crates/query/tests/engine/once.rs
+++ b/crates/query/tests/engine/once.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn it_is_sent_once_the_claim_is_granted() {
+fn an_at_most_once_lookup_is_sent_after_its_claim_is_granted() {
     let (mut w, seq) = world_with_claim();
     assert_eq!(w.open.len(), 1);
     assert!(w.open[0].once);
@@ -56,7 +56,7 @@
 
 /// A retry reaches a VM that is leaving while the first submission is executed through another VM.
 #[test]
-fn a_resend_refused_on_arrival_is_not_told_not_run() {
+fn a_resend_refused_on_arrival_is_not_reported_as_not_run() {
     let mut w = World::new(1, 2);
     w.on(Event::Leave);
     let seq = w.arrive("levy");
@@ -73,7 +73,7 @@
 #[case(PartReply::Garbled)]
 #[case(PartReply::Failed)]
 #[case(PartReply::Cancelled)]
-fn after_it_was_sent_it_is_never_tried_again(#[case] reply: PartReply) {
+fn an_at_most_once_lookup_is_never_retried_after_it_was_sent(#[case] reply: PartReply) {
     let (mut w, seq) = world_with_claim();
     w.serve(0, reply);
     assert!(w.open.is_empty());
@@ -89,7 +89,7 @@
 #[rstest]
 #[case(PartReply::Shed { retry_after: Duration::from_millis(5) })]
 #[case(PartReply::Draining)]
-fn a_refusal_by_the_server_is_not_run_for_good(#[case] reply: PartReply) {
+fn a_refusal_by_the_server_is_not_run_without_retry_after(#[case] reply: PartReply) {
     let (mut w, seq) = world_with_claim();
     w.serve(0, reply);
     assert!(w.open.is_empty());
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn an_attempt_that_never_left_may_go_to_another_server() {
+fn an_attempt_that_was_not_sent_may_be_retried_at_another_server() {
     let (mut w, seq) = world_with_claim();
     let d = w.take(0);
     w.reply(&d, PartReply::NotSent);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn it_is_never_hedged() {
+fn an_at_most_once_lookup_is_never_hedged() {
     let (mut w, _) = world_with_claim();
     let d = w.take(0);
     w.sent(&d);
@@ -139,7 +139,7 @@
 /// The caller disconnects while its lookup is at a server. Cancelling it would leave unknown
 /// whether it was executed, so it continues.
 #[test]
-fn it_goes_on_when_the_caller_hangs_up() {
+fn an_at_most_once_lookup_continues_when_the_caller_disconnects() {
     let (mut w, seq) = world_with_claim();
     let d = w.take(0);
     w.sent(&d);
--- a/crates/query/tests/engine/outcome.rs
+++ b/crates/query/tests/engine/outcome.rs
@@ -22,10 +22,10 @@
 
 #[rstest]
 #[case::draining(PartReply::Draining, "not-run")]
-#[case::snapshot_gone(PartReply::NoSnapshot { holds: Default::default() }, "not-run")]
+#[case::no_snapshot(PartReply::NoSnapshot { holds: Default::default() }, "not-run")]
 #[case::failed(PartReply::Failed, "unknown")]
 #[case::broken(PartReply::Broken, "unknown")]
-fn a_lookup_is_not_run_only_if_its_attempt_says_so(
+fn a_lookup_is_not_run_only_if_its_attempt_was_not_executed(
     #[case] reply: PartReply,
     #[case] expected: &str,
 ) {
@@ -42,7 +42,7 @@
 /// The deadline passes while an attempt is dispatched but not reported as sent. The I/O driver
 /// (shell) may be sending its first byte at that moment, so it may be executed.
 #[test]
-fn an_attempt_that_the_shell_still_has_may_have_run() {
+fn an_attempt_not_reported_as_sent_by_the_driver_may_have_run() {
     let mut w = World::new(1, 1);
     let seq = w.arrive("complete");
     w.advance(Duration::from_millis(199));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_lookup_that_only_ever_waited_is_not_run() {
+fn a_lookup_that_was_only_queued_is_not_run() {
     let mut w = World::new(1, 1);
     w.share_all(&group(1, 1, &[(1, 1)]), 0);
     let seq = w.arrive("urgent");
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_leaving_process_refuses_new_lookups_and_finishes_the_old() {
+fn a_leaving_process_refuses_new_lookups_and_finishes_those_in_flight() {
     let mut w = World::new(2, 1);
     let old = w.arrive("complete");
     w.on(Event::Leave);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn more_than_can_end_in_time_is_refused_at_once_as_overload() {
+fn lookups_that_cannot_end_in_time_are_refused_as_overload() {
     let mut w = World::new(1, 1);
     // A latency of 50 ms per part makes the expected queueing time exceed the deadline.
     for _ in 0..4 {
@@ -113,10 +113,10 @@
 }
 
 #[rstest]
-#[case::no_tries(EngineOptions { tries_max: 0, ..Default::default() }, "tries_max")]
-#[case::no_lookups(EngineOptions { lookups_max: 0, ..Default::default() }, "lookups_max")]
+#[case::zero_tries_max(EngineOptions { tries_max: 0, ..Default::default() }, "tries_max")]
+#[case::zero_lookups_max(EngineOptions { lookups_max: 0, ..Default::default() }, "lookups_max")]
 #[case::not_a_number(EngineOptions { extra_ratio: f64::NAN, ..Default::default() }, "extra_ratio")]
-#[case::all(EngineOptions { hedge_quantile: 1.0, ..Default::default() }, "hedge_quantile")]
+#[case::hedge_quantile_of_one(EngineOptions { hedge_quantile: 1.0, ..Default::default() }, "hedge_quantile")]
 fn an_option_out_of_range_is_named(#[case] options: EngineOptions, #[case] named: &str) {
     let e = options.check().expect_err("out of range");
     assert_eq!(
--- a/crates/query/tests/engine/poison/canary.rs
+++ b/crates/query/tests/engine/poison/canary.rs
@@ -18,7 +18,7 @@
 /// before they are executed, and a single server gets the lookup next. When that crashes too, the
 /// lookup is refused by this VM and every peer, and no further server gets it.
 #[test]
-fn at_most_one_further_server_sees_a_suspect() {
+fn at_most_one_further_server_executes_a_suspect() {
     let mut w = World::new(6, 2);
     let seq = w.arrive("urgent");
     let first = w.take(0);
@@ -66,7 +66,7 @@
 
 /// The caller retries its poisoned lookup while the first submission's canary is in flight.
 #[test]
-fn while_a_suspect_is_tried_its_resends_are_refused() {
+fn resends_of_a_suspect_are_refused_while_its_canary_is_in_flight() {
     let mut w = World::new(4, 2);
     w.arrive("urgent");
     let first = w.take(0);
@@ -81,7 +81,7 @@
 /// A server fails by itself under a harmless lookup. The canary's part clears the lookup, the rest
 /// of the fan-out follows, and the page is complete.
 #[test]
-fn a_harmless_lookup_is_cleared_by_its_canary_and_answered_whole() {
+fn a_harmless_lookup_is_cleared_by_its_canary_and_answered_completely() {
     let mut w = World::new(4, 2);
     let seq = w.arrive("complete");
     let first = w.take(2);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn under_a_peers_suspicion_a_lookup_shows_one_server_first() {
+fn a_lookup_suspected_by_a_peer_starts_with_a_canary() {
     let mut w = World::new(5, 1);
     quarantine(&mut w, 1, Duration::ZERO);
     let early = w.arrive("urgent");
@@ -115,7 +115,7 @@
 /// A quarantine on any VM raises suspicion, since variants of the poisoned query may follow. A
 /// lookup not seen before starts with a canary; one that succeeded recently does not.
 #[test]
-fn while_suspicion_is_up_only_unproven_lookups_get_a_canary() {
+fn under_suspicion_only_unproven_lookups_get_a_canary() {
     let mut w = World::new(5, 1);
     w.arrive_with(World::request("urgent", "known"));
     w.serve_all();
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_peers_quarantine_stops_the_lookup_here() {
+fn a_peers_quarantine_ends_the_lookup_in_flight() {
     let mut w = World::new(3, 1);
     let seq = w.arrive("urgent");
     quarantine(&mut w, 2, Duration::from_secs(30));
@@ -143,7 +143,7 @@
 /// server would leave any of those shards without a replica, so it is sent to the shard that has
 /// one to spare; the next canary avoids the shard whose server just crashed.
 #[test]
-fn a_canary_goes_where_a_replica_can_be_spared() {
+fn a_canary_is_sent_to_a_shard_with_a_spare_replica() {
     let mut w = World::new(6, 2);
     quarantine(&mut w, 2, Duration::from_secs(30));
     for s in (0..6).filter(|s| *s != 4) {
--- a/crates/query/tests/engine/poison/proven.rs
+++ b/crates/query/tests/engine/poison/proven.rs
@@ -17,7 +17,7 @@
 /// server that executes it, so this one is harmless: there is no canary, only a retry of the failed
 /// part.
 #[test]
-fn a_lookup_that_a_server_survived_is_no_suspect() {
+fn a_lookup_that_a_server_executed_without_crashing_is_not_a_suspect() {
     let mut w = World::new(3, 2);
     let seq = w.arrive("urgent");
     let ok = w.take(0);
@@ -34,7 +34,7 @@
 /// The crashed servers restart. Their new incarnations are used immediately, without the failures
 /// of the old ones.
 #[test]
-fn a_crashed_server_is_back_with_its_new_run() {
+fn a_crashed_server_is_used_again_in_its_new_incarnation() {
     let mut w = World::new(1, 2);
     for r in 0..2 {
         w.on(Event::Report(report(server(0, r), 1, &[1])));
@@ -63,7 +63,7 @@
 /// A server fails by itself under a popular lookup, and the VM that saw it announces its suspicion.
 /// The lookup succeeded here recently, so it must not be refused.
 #[test]
-fn a_peers_suspicion_does_not_stop_a_lookup_that_just_ran_well_here() {
+fn a_peers_suspicion_does_not_stop_a_lookup_that_succeeded_here_recently() {
     let mut w = World::new(3, 1);
     w.arrive("urgent");
     w.serve_all();
@@ -84,7 +84,7 @@
 /// Its fan-out crashes a server of each shard. An immediate retry of the first part would crash
 /// that shard's last replica too, so it waits for the results of the other shards.
 #[test]
-fn a_lost_part_of_a_proven_lookup_waits_for_the_other_parts_before_its_retry() {
+fn a_failed_part_of_a_proven_lookup_waits_for_the_other_parts_before_its_retry() {
     let mut w = World::new(3, 2);
     w.arrive("urgent");
     w.serve_all();
@@ -108,8 +108,8 @@
 /// arrives, or after 10 ms.
 #[rstest]
 #[case::after_another_part(true)]
-#[case::after_a_moment(false)]
-fn a_lost_part_of_a_proven_lookup_is_retried_soon(#[case] another_arrives: bool) {
+#[case::after_ten_milliseconds(false)]
+fn a_failed_part_of_a_proven_lookup_is_retried_soon(#[case] another_arrives: bool) {
     let mut w = World::new(3, 2);
     w.arrive("urgent");
     w.serve_all();
--- a/crates/query/tests/engine/poison/together.rs
+++ b/crates/query/tests/engine/poison/together.rs
@@ -20,7 +20,7 @@
 /// alone without crashing, so the page is complete and the query is not refused for the 30 s of a
 /// quarantine.
 #[test]
-fn servers_that_break_together_do_not_convict_a_lookup() {
+fn servers_crashing_in_one_data_centre_do_not_quarantine_a_lookup() {
     let mut w = World::new(4, 2);
     let seq = w.arrive("complete");
     let (first, second) = (w.take(0), w.take(1));
@@ -39,7 +39,7 @@
 /// partition looks like that, so it is refused without a canary, which could crash a shard's last
 /// replica.
 #[test]
-fn servers_that_break_here_and_elsewhere_convict_a_lookup() {
+fn servers_crashing_in_two_data_centres_quarantine_a_lookup() {
     let mut w = World::new(4, 2);
     // Without its near replica, shard 1 is queried in the other data centre.
     w.on(Event::Sign(
@@ -71,7 +71,7 @@
 /// attempts broken everywhere before the deadline's timer is processed. The lookups are past their
 /// deadlines and must not be quarantined.
 #[test]
-fn breaks_found_after_the_deadline_convict_nobody() {
+fn broken_attempts_found_after_the_deadline_quarantine_no_lookup() {
     let mut w = World::new(4, 2);
     w.on(Event::Sign(
         Notice::Drain {
@@ -98,7 +98,7 @@
 /// A data centre fails, and many servers break at once under a lookup that succeeded recently. It
 /// must not be quarantined.
 #[test]
-fn a_proven_lookup_is_not_quarantined_when_a_data_centre_goes() {
+fn a_proven_lookup_is_not_quarantined_when_a_data_centre_fails() {
     let mut w = World::new(6, 2);
     w.arrive("urgent");
     w.serve_all();
@@ -133,7 +133,7 @@
 /// retries it through this VM before the other VM's notice arrives, which would crash the other
 /// replicas too. The crash also closed this VM's connections at the same moment.
 #[test]
-fn servers_lost_together_raise_suspicion_before_a_peers_word() {
+fn connections_lost_together_raise_suspicion_before_a_peers_notice() {
     let mut w = World::new(6, 2);
     w.on(Event::Lost(server(0, 0)));
     w.on(Event::Lost(server(1, 0)));
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn one_server_lost_raises_no_suspicion() {
+fn connections_lost_separately_raise_no_suspicion() {
     let mut w = World::new(6, 2);
     w.on(Event::Lost(server(0, 0)));
     w.on(Event::Lost(server(0, 0)));
--- a/crates/query/tests/engine/replies.rs
+++ b/crates/query/tests/engine/replies.rs
@@ -14,7 +14,7 @@
 
 /// A reply is duplicated. Counted twice, it would report a shard as answered that never replied.
 #[test]
-fn a_doubled_reply_counts_once() {
+fn a_duplicate_reply_counts_once() {
     let mut w = World::new(3, 1);
     let seq = w.arrive("urgent");
     let d = w.serve(0, PartReply::Failed);
@@ -32,7 +32,7 @@
 
 #[rstest]
 #[case::other_vm("vm-2", 7)]
-#[case::earlier_run("vm-1", 6)]
+#[case::earlier_incarnation("vm-1", 6)]
 fn a_reply_to_another_processs_attempt_is_dropped(#[case] vm: &str, #[case] incarnation: u64) {
     let mut w = World::new(1, 1);
     let seq = w.arrive("urgent");
@@ -48,7 +48,7 @@
 /// The replies of two concurrent lookups arrive in reverse order. Each page must contain only the
 /// parts of its own attempts, which are identified by their ids.
 #[test]
-fn replies_of_two_lookups_in_any_order_reach_their_own() {
+fn replies_of_two_lookups_in_any_order_reach_their_lookups() {
     let mut w = World::new(2, 1);
     let a = w.arrive("urgent");
     let b = w.arrive("urgent");
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_reply_after_the_answer_changes_nothing_but_frees_the_connection() {
+fn a_reply_after_the_answer_only_frees_the_connection() {
     let mut w = World::new(1, 1);
     let seq = w.arrive("urgent");
     let d = w.take(0);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_caller_that_hung_up_gets_no_answer_and_its_attempts_are_stopped() {
+fn a_disconnected_caller_gets_no_answer_and_its_attempts_are_cancelled() {
     let mut w = World::new(2, 1);
     let seq = w.arrive("urgent");
     w.on(Event::Gone(seq));
--- a/crates/query/tests/engine/silence.rs
+++ b/crates/query/tests/engine/silence.rs
@@ -51,7 +51,7 @@
 
 /// Prevents callers from waiting for their whole deadline for shards in a partitioned data centre.
 #[rstest]
-fn a_lookup_that_needs_a_silent_shard_is_refused_at_once(
+fn a_lookup_that_needs_an_unresponsive_shard_is_refused_at_once(
     #[values(1, 2)] replicas: u32,
     #[values(Noticed::ByTimer, Noticed::ByShell)] noticed: Noticed,
 ) {
@@ -73,7 +73,7 @@
 /// Prevents a shard from staying refused once its servers are back: one lookup per second tries
 /// them.
 #[test]
-fn one_lookup_a_second_tries_a_silent_shard() {
+fn one_lookup_per_second_tries_an_unresponsive_shard() {
     let mut w = world_with_silent_shard(1, Noticed::ByTimer);
     w.advance(RETRY_AFTER);
     let tried = w.arrive("complete");
@@ -89,7 +89,7 @@
 
 /// Prevents urgent lookups from being refused for a shard that they do not need.
 #[test]
-fn an_urgent_lookup_goes_out_with_the_shards_that_answer() {
+fn an_urgent_lookup_is_sent_despite_an_unresponsive_shard() {
     let mut w = world_with_silent_shard(1, Noticed::ByTimer);
     let seq = w.arrive("urgent");
     assert_eq!(w.open.len(), 2);
@@ -99,7 +99,7 @@
 
 /// Prevents lookups from being refused for a server that is slow but responsive.
 #[test]
-fn a_shard_that_answers_others_is_not_silent() {
+fn a_shard_that_answers_another_lookup_is_responsive() {
     let mut w = World::new(1, 1);
     w.arrive("complete");
     let slow = w.take(0);
--- a/crates/query/tests/engine/snapshot.rs
+++ b/crates/query/tests/engine/snapshot.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn the_newest_snapshot_that_every_shard_is_ready_for_is_pinned() {
+fn the_newest_snapshot_that_every_shard_holds_is_pinned() {
     let mut w = two_snapshots();
     w.arrive("urgent");
     assert!(w.open.iter().all(|d| d.snapshot == SnapshotId(2)));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_caller_never_goes_back_behind_its_floor() {
+fn a_lookup_is_refused_without_a_snapshot_at_its_minimum() {
     let mut w = two_snapshots();
     report_held(&mut w, 1, &[1]);
     let mut req = World::request("complete", "pine");
@@ -68,7 +68,7 @@
 /// A server replies from another snapshot than the pinned one. Its hits do not fit the other parts,
 /// so the part is discarded and another replica is queried.
 #[test]
-fn a_part_from_another_snapshot_is_no_part() {
+fn a_part_from_another_snapshot_is_discarded() {
     let mut w = two_snapshots();
     let seq = w.arrive("urgent");
     let other = PartReply::Whole {
@@ -86,7 +86,7 @@
 /// The replicas drop the snapshot that a lookup is pinned to. It restarts on the other one, and no
 /// part of the first is in its page.
 #[test]
-fn a_lookup_whose_snapshot_is_dropped_begins_again_on_another() {
+fn a_lookup_whose_snapshot_is_dropped_restarts_on_another() {
     let mut w = two_snapshots();
     let seq = w.arrive("complete");
     w.serve(0, PartReply::NoSnapshot { holds: holds(&[1]) });
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_late_part_of_the_dropped_snapshot_is_not_taken_after_the_restart() {
+fn a_late_part_of_the_dropped_snapshot_is_discarded_after_the_restart() {
     let mut w = two_snapshots();
     let seq = w.arrive("urgent");
     let old = w.take(2);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn without_another_snapshot_the_shard_is_missing_as_gone() {
+fn without_another_snapshot_the_shard_is_reported_missing() {
     let mut w = World::new(2, 1);
     let seq = w.arrive("urgent");
     w.serve(1, PartReply::NoSnapshot { holds: holds(&[]) });
@@ -161,7 +161,7 @@
 /// A health endpoint reports a snapshot that the server itself reported as dropped: the snapshot is
 /// not requested again.
 #[test]
-fn a_servers_own_word_on_its_snapshots_outweighs_its_health_endpoint() {
+fn a_servers_reply_about_its_snapshots_outweighs_its_health_endpoint() {
     let mut w = two_snapshots();
     w.arrive("urgent");
     w.serve(0, PartReply::NoSnapshot { holds: holds(&[1]) });
--- a/crates/rig/tests/backend.rs
+++ b/crates/rig/tests/backend.rs
@@ -18,7 +18,7 @@
 
 /// Regression test: the connection of a truncated answer was closed before any byte of it was sent.
 #[tokio::test]
-async fn an_answer_cut_short_sends_its_head_and_some_of_its_body() {
+async fn a_truncated_answer_sends_its_headers_and_some_of_its_body() {
     let store = Store::start().await.expect("a free port");
     let work = Duration::from_millis(1);
     let server = Backend::start(&store, "i-0", "s", "east", work, Runs::default());
@@ -45,7 +45,7 @@
 /// While a server is down, another program's connection may use its port; the restart must succeed nevertheless,
 /// or a soak ends early.
 #[tokio::test]
-async fn a_server_starts_again_though_a_connection_has_its_port() {
+async fn a_server_restarts_while_a_connection_uses_its_port() {
     let store = Store::start().await.expect("a free port");
     let work = Duration::from_millis(1);
     let server = Backend::start(&store, "i-0", "s", "east", work, Runs::default());
--- a/crates/rig/tests/checker.rs
+++ b/crates/rig/tests/checker.rs
@@ -99,26 +99,26 @@
 }
 
 #[rstest]
-#[case::whole(&[])]
+#[case::complete(&[])]
 #[case::one_missing(&[2])]
 #[case::all_missing(&[0, 1, 2, 3])]
 #[tokio::test]
-async fn a_right_page_passes(#[case] missing: &[u32]) {
+async fn a_correct_page_passes(#[case] missing: &[u32]) {
     let b = bench("quote").await;
     assert_eq!(b.check(b.right(missing)), None);
 }
 
 #[rstest]
-#[case::a_hit_is_left_out(|a: &mut Answer| { a.hits.remove(0); }, Fault::Page)]
+#[case::a_hit_is_missing(|a: &mut Answer| { a.hits.remove(0); }, Fault::Page)]
 #[case::a_score_is_wrong(|a: &mut Answer| { a.hits[0].score += 1; }, Fault::Page)]
 #[case::the_order_is_wrong(|a: &mut Answer| { a.hits.swap(0, 1); }, Fault::Page)]
 #[case::the_count_is_wrong(|a: &mut Answer| { a.matched += 1; }, Fault::Page)]
-#[case::a_shard_is_claimed(|a: &mut Answer| { a.coverage.missing.clear(); a.coverage.whole = SHARDS; }, Fault::Page)]
+#[case::a_missing_shard_is_counted(|a: &mut Answer| { a.coverage.missing.clear(); a.coverage.whole = SHARDS; }, Fault::Page)]
 #[case::the_sum_is_wrong(|a: &mut Answer| { a.coverage.whole -= 1; }, Fault::Coverage)]
 #[case::the_snapshot_is_unknown(|a: &mut Answer| { a.snapshot = SnapshotId(9); }, Fault::Coverage)]
 #[case::it_ends_early(|a: &mut Answer| { a.ended_early = true; }, Fault::EarlyEnd)]
 #[tokio::test]
-async fn a_wrong_page_is_named(#[case] spoil: fn(&mut Answer), #[case] fault: Fault) {
+async fn a_wrong_page_is_reported(#[case] spoil: fn(&mut Answer), #[case] fault: Fault) {
     let b = bench("quote").await;
     let mut page = b.right(&[2]);
     spoil(&mut page);
@@ -126,7 +126,7 @@
 }
 
 #[tokio::test]
-async fn a_complete_lookup_with_a_missing_shard_is_thin() {
+async fn a_complete_lookup_with_a_missing_shard_is_reported() {
     let b = bench("placement").await;
     assert_eq!(b.check(b.right(&[2])), Some(Fault::Thin));
 }
--- a/crates/rig/tests/link.rs
+++ b/crates/rig/tests/link.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 
 #[tokio::test]
-async fn a_cut_link_holds_bytes_until_it_is_healed() {
+async fn a_partitioned_link_holds_bytes_until_it_is_restored() {
     let net = Arc::new(Net::with_unused_network(Duration::from_millis(1)));
     let listener = TcpListener::bind((net.ip(2, 1), 0)).await.expect("a port");
     let target = listener.local_addr().expect("an address");
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test]
-async fn a_closed_end_closes_the_other() {
+async fn a_closed_end_of_a_link_closes_the_other() {
     let net = Arc::new(Net::with_unused_network(Duration::ZERO));
     let listener = TcpListener::bind((net.ip(2, 1), 0)).await.expect("a port");
     let target = listener.local_addr().expect("an address");
--- a/crates/rig/tests/platform.rs
+++ b/crates/rig/tests/platform.rs
@@ -88,7 +88,7 @@
 }
 
 #[tokio::test]
-async fn a_data_centre_that_is_cut_off_gets_no_answer_until_it_is_healed() {
+async fn a_partitioned_data_centre_gets_no_answer_until_it_is_restored() {
     let p = start().await;
     p.put("groups/a", "one");
     p.control(Control {
@@ -115,7 +115,7 @@
 }
 
 #[tokio::test]
-async fn it_is_controlled_and_counted_over_http() {
+async fn the_platform_is_controlled_and_counted_over_http() {
     let p = start().await;
     let path = "/v1/objects/claims/a";
     let (status, _) = call(&p, [127, 0, 1, 1], "PUT", path, "x").await;
@@ -136,7 +136,7 @@
 }
 
 #[tokio::test]
-async fn an_order_that_is_none_is_refused() {
+async fn an_invalid_control_request_is_refused() {
     let p = start().await;
     let (status, body) = call(&p, [127, 0, 0, 1], "POST", "/control", r#"{"donw": 1}"#).await;
     assert_eq!(status, 400);
--- a/crates/rig/tests/servers.rs
+++ b/crates/rig/tests/servers.rs
@@ -78,7 +78,7 @@
 }
 
 #[tokio::test]
-async fn merged_shards_are_the_brute_force_page() {
+async fn merged_shards_equal_the_brute_force_page() {
     let corpus = Arc::new(Corpus::sample(300));
     let reference = ReferenceSearch::new(corpus.clone());
     let index = SnapshotIndex::build(&corpus, SNAPSHOT, 7);
@@ -106,7 +106,7 @@
 }
 
 #[tokio::test]
-async fn a_part_carries_what_the_protocol_says() {
+async fn a_part_has_the_headers_of_the_protocol() {
     let corpus = Corpus::sample(50);
     let servers = one_server(&corpus).await;
     let (status, headers, body) = search(&servers, "larch", "v/1/2/0/0")
@@ -122,7 +122,7 @@
 }
 
 #[tokio::test]
-async fn a_garbled_part_does_not_fit_its_digest() {
+async fn a_garbled_part_does_not_match_its_digest() {
     let servers = one_server(&Corpus::sample(50)).await;
     let spoil = Command::Spoil {
         server: None,
@@ -138,7 +138,7 @@
 
 /// Regression test: the connection of a truncated part was closed before any byte of it was sent.
 #[tokio::test]
-async fn a_truncated_part_sends_its_head_and_some_of_its_body() {
+async fn a_truncated_part_sends_its_headers_and_some_of_its_body() {
     let servers = one_server(&Corpus::sample(50)).await;
     let command = Command::Spoil {
         server: None,
@@ -160,7 +160,7 @@
 }
 
 #[tokio::test]
-async fn a_drained_server_runs_nothing() {
+async fn a_draining_server_executes_nothing() {
     let servers = one_server(&Corpus::sample(50)).await;
     servers
         .apply(Command::Drain { server: name() })
--- a/crates/route/tests/policy.rs
+++ b/crates/route/tests/policy.rs
@@ -45,12 +45,12 @@
 #[rstest]
 #[case::faster([(true, 9e3, 0, 0, 1.0), (true, 2e3, 0, 0, 1.0)], 1)]
 #[case::less_in_flight([(true, 2e3, 4, 0, 1.0), (true, 2e3, 0, 0, 1.0)], 1)]
-#[case::less_load_told([(true, 2e3, 0, 4, 1.0), (true, 2e3, 0, 0, 1.0)], 1)]
-#[case::warmer([(true, 2e3, 0, 0, 0.1), (true, 2e3, 0, 0, 1.0)], 1)]
-#[case::near_before_slightly_faster_far([(true, 2.2e3, 0, 0, 1.0), (false, 2e3, 0, 0, 1.0)], 0)]
-#[case::spills_to_a_much_faster_far([(true, 20e3, 0, 0, 1.0), (false, 5e3, 0, 0, 1.0)], 1)]
-#[case::a_misleading_load_weighs_little([(true, 2e3, 0, 9999, 1.0), (true, 4e3, 0, 0, 1.0)], 0)]
-fn the_observed_policy_takes(
+#[case::less_reported_load([(true, 2e3, 0, 4, 1.0), (true, 2e3, 0, 0, 1.0)], 1)]
+#[case::further_in_slow_start([(true, 2e3, 0, 0, 0.1), (true, 2e3, 0, 0, 1.0)], 1)]
+#[case::same_data_centre_before_slightly_faster_other([(true, 2.2e3, 0, 0, 1.0), (false, 2e3, 0, 0, 1.0)], 0)]
+#[case::much_faster_in_another_data_centre([(true, 20e3, 0, 0, 1.0), (false, 5e3, 0, 0, 1.0)], 1)]
+#[case::a_misleading_load_has_little_weight([(true, 2e3, 0, 9999, 1.0), (true, 4e3, 0, 0, 1.0)], 0)]
+fn the_observed_latency_policy_prefers(
     #[case] views: [(bool, f64, u32, u32, f64); 2],
     #[case] expected: usize,
 ) {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn of_many_equal_replicas_all_get_work() {
+fn all_of_many_equal_replicas_get_work() {
     let c = candidates(&[(true, 2e3, 0, 0, 1.0); 5]);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut taken = [0; 5];
--- a/crates/scrape/tests/scrape.rs
+++ b/crates/scrape/tests/scrape.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn totals_grow_and_states_are_as_they_are_now() {
+fn totals_accumulate_and_states_show_the_current_value() {
     let exporter = exporter();
     let _ = exporter.text(&[("hedges", 3)], &[("in-flight", 7.0)]);
     let text = exporter.text(&[("hedges", 5)], &[("in-flight", 2.0)]);
@@ -35,7 +35,7 @@
 /// A state machine that is replaced counts from zero again. The exported total must not fall then, which would make
 /// computed rates jump.
 #[test]
-fn a_total_that_begins_anew_does_not_fall() {
+fn a_total_that_restarts_from_zero_does_not_fall() {
     let exporter = exporter();
     for n in [10, 2, 3] {
         let text = exporter.text(&[("hedges", n)], &[]);
--- a/crates/settings/tests/settings/accept.rs
+++ b/crates/settings/tests/settings/accept.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_minimal_file_takes_every_default() {
+fn the_minimal_file_uses_every_default() {
     let s = accepted(MINIMAL);
     assert_eq!(s.vm.data_centre.as_str(), "hobart-a");
     assert_eq!(s.platform.timeout, Duration::from_millis(500));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn each_documented_default_is_the_one_taken() {
+fn each_documented_default_is_the_one_used() {
     let minimal = accepted(MINIMAL);
     for key in KEYS {
         let Presence::Default(value) = key.presence else {
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn relative_paths_start_at_the_settings_file_and_a_trace_is_named_by_its_vm() {
+fn relative_paths_resolve_from_the_settings_file_and_a_trace_is_named_after_its_vm() {
     let dir = dir();
     let file = dir.path().join("vm.toml");
     std::fs::write(
--- a/crates/settings/tests/settings/docs.rs
+++ b/crates/settings/tests/settings/docs.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn the_page_is_what_the_code_says() {
+fn the_page_matches_the_settings() {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../docs/SETTINGS.md");
     if std::env::var_os(WRITE_VAR).is_some() {
         std::fs::write(&path, render_page()).expect("the page written");
--- a/crates/settings/tests/settings/fuzz.rs
+++ b/crates/settings/tests/settings/fuzz.rs
@@ -38,12 +38,12 @@
     #![proptest_config(config())]
 
     #[test]
-    fn any_bytes(buf in proptest::collection::vec(any::<u8>(), 0..600)) {
+    fn any_bytes_are_accepted_or_reported(buf in proptest::collection::vec(any::<u8>(), 0..600)) {
         check_report(&String::from_utf8_lossy(&buf));
     }
 
     #[test]
-    fn a_good_file_with_a_piece_replaced(
+    fn a_valid_file_with_a_piece_replaced_is_accepted_or_reported(
         from in 0..MINIMAL.len(),
         len in 0..40usize,
         piece in r#"[\[\]\{\}="'.,#\n a-z0-9é-]{0,24}"#,
@@ -53,7 +53,7 @@
     }
 
     #[test]
-    fn any_value_for_any_key(
+    fn any_value_for_any_key_is_accepted_or_reported(
         pos in 0..gs_settings::KEYS.len(),
         value in r#"("[ -~é]{0,12}"|-?[0-9]{1,22}|[0-9]{1,4}\.[0-9e]{1,6}|[\[\{]{1,200}|inf|true)"#,
     ) {
@@ -62,7 +62,7 @@
     }
 
     #[test]
-    fn deep_nesting(open in r"[\[\{]", n in 1..2_000usize) {
+    fn deep_nesting_is_reported(open in r"[\[\{]", n in 1..2_000usize) {
         check_report(&format!("a = {}", open.repeat(n)));
         check_report(&format!("{} = 1", "a.".repeat(n) + "a"));
     }
--- a/crates/settings/tests/settings/refuse.rs
+++ b/crates/settings/tests/settings/refuse.rs
@@ -66,7 +66,7 @@
     "[callers]\nin-flight = \"many\"",
     r#"wrong-type | "many" | `callers.in-flight` is a string | write a whole number"#
 )]
-#[case::no_such_word(
+#[case::unknown_choice(
     "[tuning]\npolicy = \"best\"",
     r#"bad-value | "best" | `tuning.policy` does not read: there is no `best` | write one of chosen, baseline"#
 )]
@@ -78,7 +78,7 @@
     "[shutdown]\nheartbeat = \"1s\"",
     r#"unknown-key | heartbeat | there is no key `heartbeat` in `[shutdown]` | it belongs under `[mesh]`"#
 )]
-#[case::strange_key(
+#[case::unknown_key(
     "[log]\nfolder = \"x\"",
     r#"unknown-key | folder | there is no key `folder` in `[log]` | the keys of `[log]` are level"#
 )]
@@ -86,15 +86,15 @@
     "[calers]\nbody = \"1KB\"",
     r#"unknown-key | calers | there is no section `calers` | did you mean `callers`?"#
 )]
-#[case::value_for_section(
+#[case::array_for_section(
     "[[log]]",
     r#"wrong-type | [[log]] | `log` is a section, not a value | write `[log]` on a line of its own and its keys below"#
 )]
-#[case::twice(
+#[case::duplicate_key(
     "[log]\nlevel = \"info\"\nlevel = \"warn\"",
     "duplicate | level | the key is given twice | keep one of the two"
 )]
-#[case::section_twice(
+#[case::duplicate_section(
     "[vm]",
     "duplicate | vm | the key is given twice | keep one of the two"
 )]
@@ -118,7 +118,7 @@
     "[bootstrap]\nteam = \"ops\"\nkey-sha256 = \"s3cret\"",
     r#"bad-value | "s3cret" | `bootstrap.key-sha256` does not read: not a SHA-256 in hexadecimal | give 64 digits of 0-9 and a-f: `printf %s KEY | sha256sum`"#
 )]
-#[case::half_a_bootstrap(
+#[case::bootstrap_without_key_hash(
     "[bootstrap]\nteam = \"ops\"",
     r#"clash | "ops" | `bootstrap.team` is given without `bootstrap.key-sha256` | give both, or neither"#
 )]
@@ -126,7 +126,7 @@
     "[source]\nip = \"::1\"",
     r#"clash | "::1" | `source.ip` and `platform.addr` are of different IP versions | give both as IPv4 or both as IPv6"#
 )]
-fn a_bad_addition(#[case] added: &str, #[case] expected: &str) {
+fn an_invalid_addition_to_the_minimal_file_is_refused(#[case] added: &str, #[case] expected: &str) {
     let text = format!("{MINIMAL}\n{added}\n");
     assert_eq!(refused(&text), [expected]);
 }
@@ -172,7 +172,11 @@
     "\".\"",
     r#"unreadable | "." | `mesh.secret-file` names DIR/., which cannot be read: Is a directory (os error 21) | make it a file that this user may read"#
 )]
-fn a_bad_change(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
+fn an_invalid_change_of_the_minimal_file_is_refused(
+    #[case] from: &str,
+    #[case] to: &str,
+    #[case] expected: &str,
+) {
     assert_eq!(refused(&MINIMAL.replacen(from, to, 1)), [expected]);
 }
 
@@ -192,7 +196,7 @@
 }
 
 #[test]
-fn a_key_in_the_place_of_its_hash_is_not_shown() {
+fn a_key_given_instead_of_its_hash_is_not_shown() {
     let text = format!("{MINIMAL}\n[bootstrap]\nteam = \"ops\"\nkey-sha256 = \"s3cret\"\n");
     let faults = gs_settings::parse("vm.toml", &text, dir().path()).expect_err("refused");
     let report = report(&faults, Path::new("/none"));
@@ -217,7 +221,7 @@
 }
 
 #[test]
-fn a_report_points_at_the_place() {
+fn a_report_shows_the_place_of_a_fault() {
     let dir = dir();
     let text = MINIMAL.replace("\"secret\"", "\"secret\"\nheartbeat = \"1h\"");
     let faults = gs_settings::parse("vm.toml", &text, dir.path()).expect_err("refused");
@@ -237,7 +241,7 @@
 }
 
 #[test]
-fn a_file_that_is_not_there() {
+fn a_missing_file_is_refused() {
     let dir = dir();
     let file = dir.path().join("vm.toml");
     let faults = gs_settings::load(&file).expect_err("refused");
@@ -251,7 +255,7 @@
 }
 
 #[test]
-fn a_directory_instead_of_a_file() {
+fn a_directory_instead_of_a_file_is_refused() {
     let dir = dir();
     let faults = gs_settings::load(dir.path()).expect_err("refused");
     let kinds: Vec<_> = faults
@@ -263,7 +267,7 @@
 }
 
 #[test]
-fn a_file_that_is_not_utf8() {
+fn a_file_that_is_not_utf8_is_refused() {
     let dir = dir();
     let file = dir.path().join("vm.toml");
     std::fs::write(&file, b"[vm]\nname = \"\xff\xfe\"\n").expect("a file");
@@ -277,7 +281,7 @@
 }
 
 #[test]
-fn a_file_larger_than_any_is_not_read_to_its_end() {
+fn an_oversized_file_is_refused() {
     let dir = dir();
     let file = dir.path().join("vm.toml");
     std::fs::write(&file, "#".repeat(300_000)).expect("a file");
@@ -291,7 +295,7 @@
 }
 
 #[test]
-fn a_broken_file_of_the_largest_size_has_a_short_report() {
+fn an_invalid_file_of_the_largest_size_has_a_short_report() {
     let text = "a=\n".repeat(80_000);
     let faults = gs_settings::parse("vm.toml", &text, Path::new("")).expect_err("refused");
     assert_eq!(faults.faults().len(), 50);
--- a/crates/store/tests/store/lost_answer.rs
+++ b/crates/store/tests/store/lost_answer.rs
@@ -74,7 +74,7 @@
 /// The answer is lost, and another VM writes the object, keeping our nonce, before the first writer reads it back. The
 /// first writer must still learn that its write took effect.
 #[tokio::test]
-async fn reading_back_finds_our_write_under_a_later_one() {
+async fn reading_back_finds_our_write_before_a_later_one() {
     let (rig, p) = pair().await;
     rig.put("claims/a", "nonce-1 nonce-2");
     let v = write_with_read_back(
@@ -92,7 +92,7 @@
 /// The platform accepts a write, breaks the connection, and the write takes effect only later. Reading the object back
 /// before shows no write, which must not count as a conflict.
 #[tokio::test]
-async fn a_write_that_may_yet_land_stays_unknown() {
+async fn a_write_that_may_still_take_effect_stays_unknown() {
     let (rig, p) = pair().await;
     rig.control(Control {
         stall_writes: Some(true),
--- a/crates/store/tests/store/malformed_replies.rs
+++ b/crates/store/tests/store/malformed_replies.rs
@@ -32,9 +32,9 @@
 }
 
 #[rstest]
-#[case::nothing(b"", ErrorKind::Unavailable)]
-#[case::no_http(b"\x00\xff\x13 garbage\r\n\r\n", ErrorKind::Unavailable)]
-#[case::cut_short(
+#[case::empty(b"", ErrorKind::Unavailable)]
+#[case::not_http(b"\x00\xff\x13 garbage\r\n\r\n", ErrorKind::Unavailable)]
+#[case::truncated(
     b"HTTP/1.1 200 OK\r\nx-version: 3\r\ncontent-length: 9\r\n\r\nab",
     ErrorKind::Unavailable
 )]
@@ -43,7 +43,7 @@
     b"HTTP/1.1 200 OK\r\nx-version: -1\r\ncontent-length: 0\r\n\r\n",
     ErrorKind::BadInput
 )]
-#[case::other_status(
+#[case::unexpected_status(
     b"HTTP/1.1 302 Found\r\ncontent-length: 0\r\n\r\n",
     ErrorKind::BadInput
 )]
@@ -52,7 +52,10 @@
     ErrorKind::Unavailable
 )]
 #[tokio::test]
-async fn a_read_fails_with_its_kind(#[case] answer: &'static [u8], #[case] kind: ErrorKind) {
+async fn a_malformed_reply_to_a_read_gives_its_error_kind(
+    #[case] answer: &'static [u8],
+    #[case] kind: ErrorKind,
+) {
     let p = client_of_server_answering(answer).await;
     let e = p
         .read("config/current")
@@ -63,9 +66,9 @@
 
 /// A write that was sent may have taken effect, whatever malformed reply comes back.
 #[rstest]
-#[case::nothing(b"")]
-#[case::no_http(b"\x00\xff\x13 garbage\r\n\r\n")]
-#[case::cut_short(b"HTTP/1.1 200 OK\r\nx-version: 3\r\ncontent-length: 9\r\n\r\nab")]
+#[case::empty(b"")]
+#[case::not_http(b"\x00\xff\x13 garbage\r\n\r\n")]
+#[case::truncated(b"HTTP/1.1 200 OK\r\nx-version: 3\r\ncontent-length: 9\r\n\r\nab")]
 #[case::no_version(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n")]
 #[case::server_error(b"HTTP/1.1 500 No\r\ncontent-length: 0\r\n\r\n")]
 #[tokio::test]
@@ -77,10 +80,10 @@
 }
 
 #[rstest]
-#[case::no_json(b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\n{\"rev")]
-#[case::other_json(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n[]")]
+#[case::truncated_json(b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\n{\"rev")]
+#[case::array_instead_of_object(b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n[]")]
 #[tokio::test]
-async fn a_list_that_is_none_is_refused(#[case] answer: &'static [u8]) {
+async fn a_malformed_list_is_refused(#[case] answer: &'static [u8]) {
     let p = client_of_server_answering(answer).await;
     let e = p.list("groups/").await.expect_err("a malformed reply");
     assert_eq!(e.kind(), ErrorKind::BadInput, "{e}");
--- a/crates/store/tests/store/objects.rs
+++ b/crates/store/tests/store/objects.rs
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test]
-async fn more_than_an_object_holds_is_refused_without_a_call() {
+async fn an_oversized_object_is_refused_without_a_call() {
     let (rig, p) = pair().await;
     let e = p
         .write("claims/a", Version::ABSENT, Bytes::from(vec![0; 1_000_001]))
@@ -69,14 +69,14 @@
 }
 
 #[tokio::test]
-async fn a_path_that_names_another_call_is_refused() {
+async fn a_path_with_a_query_string_is_refused() {
     let (_rig, p) = pair().await;
     let e = p.read("a?prefix=b").await.expect_err("not a path");
     assert_eq!(e.kind(), ErrorKind::BadInput);
 }
 
 #[tokio::test]
-async fn a_call_over_the_platforms_rate_is_told_and_counted() {
+async fn a_call_over_the_platforms_rate_is_reported_and_counted() {
     let (rig, p) = pair().await;
     let limits = Limits {
         reads: 0,
--- a/crates/store/tests/store/watch.rs
+++ b/crates/store/tests/store/watch.rs
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test]
-async fn what_is_there_first_and_what_changes_is_delivered() {
+async fn existing_objects_and_later_changes_are_delivered() {
     let (rig, p) = pair().await;
     rig.put("groups/a", "one");
     rig.put("other/b", "none of ours");
@@ -88,7 +88,7 @@
 /// The VM is partitioned from the platform and its watch gets no answer at all: a change made meanwhile must be
 /// delivered after the partition.
 #[tokio::test]
-async fn a_change_in_a_cut_is_delivered_after_it() {
+async fn a_change_in_a_partition_is_delivered_after_it() {
     let (rig, p) = pair().await;
     rig.put("groups/a", "one");
     let (_w, mut rx) = watch(p);
@@ -112,7 +112,7 @@
 /// During an outage the platform drops its log of changes, and an object is deleted. The prefix must be listed again,
 /// and the deletion found by comparison.
 #[tokio::test]
-async fn a_forgotten_revision_lists_again() {
+async fn a_compacted_revision_causes_a_new_list() {
     let (rig, p) = pair().await;
     let v = rig.put("groups/a", "one");
     rig.put("groups/b", "two");
@@ -155,7 +155,7 @@
 /// Every VM learns of a change both from a peer and from the platform's watch. Reading the object on each VM would be
 /// most of the calls that a change costs, so an object that a peer sent is not read.
 #[tokio::test]
-async fn what_a_peer_brought_is_not_read() {
+async fn an_object_received_from_a_peer_is_not_read() {
     let (rig, p) = pair().await;
     let held = Arc::new(AtomicU64::new(0));
     let held_version = held.clone();
--- a/crates/trace/tests/memory.rs
+++ b/crates/trace/tests/memory.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn claims_take_no_memory() {
+fn declared_lengths_allocate_no_memory() {
     let mut whole = Vec::new();
     let script = Script::parse(SCRIPT).expect("a script");
     script.write(&mut whole).expect("written");
--- a/crates/trace/tests/trace/expectations.rs
+++ b/crates/trace/tests/trace/expectations.rs
@@ -27,7 +27,7 @@
     "outcome = \"answered\"\nreason = \"overload\"",
     "reason is nothing; stated: Overload"
 )]
-fn another_outcome_than_stated(#[case] stated: &str, #[case] expected: &str) {
+fn an_outcome_other_than_stated_is_reported(#[case] stated: &str, #[case] expected: &str) {
     let steps = format!("{ARRIVE}{}", whole(0, 7, "a"));
     let dispatched = vec![
         dispatch("1/0/0", "a0", false),
@@ -45,12 +45,12 @@
 }
 
 #[rstest]
-#[case::too_many(
+#[case::too_many_dispatches(
     "[[lookup]]\nseq = 1\noutcome = \"pending\"\ndispatches-max = 0",
     3,
     "lookup 1 is dispatched 1 times, to a0"
 )]
-#[case::too_few(
+#[case::too_few_dispatches(
     "[[lookup]]\nseq = 1\noutcome = \"pending\"\ndispatches = 2",
     3,
     "lookup 1 was dispatched 1 times; stated: 2"
@@ -65,7 +65,11 @@
     3,
     "server a0 receives attempt hobart-1/1/1/0/0, its dispatch number 1"
 )]
-fn another_course_than_stated(#[case] stated: &str, #[case] step: u64, #[case] expected: &str) {
+fn dispatches_other_than_stated_are_reported(
+    #[case] stated: &str,
+    #[case] step: u64,
+    #[case] expected: &str,
+) {
     let actions = vec![vec![dispatch("1/0/0", "a0", false)]];
     let d = check(stated, ARRIVE, actions).expect_err("diverges");
     assert_eq!((d.step, d.text.as_str()), (step, expected));
--- a/crates/trace/tests/trace/fuzz.rs
+++ b/crates/trace/tests/trace/fuzz.rs
@@ -49,13 +49,13 @@
     #![proptest_config(config())]
 
     #[test]
-    fn any_bytes(buf in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn any_bytes_are_read_without_a_panic(buf in proptest::collection::vec(any::<u8>(), 0..400)) {
         read(&buf);
         read(&[b"GSTRACE\n\x01\0".as_slice(), &buf].concat());
     }
 
     #[test]
-    fn any_record_with_a_true_checksum(
+    fn any_record_with_a_valid_checksum_is_read_without_a_panic(
         payload in proptest::collection::vec(any::<u8>(), 0..200),
         kind in 0..4u8,
     ) {
@@ -67,7 +67,7 @@
     }
 
     #[test]
-    fn a_trace_with_bytes_replaced(at in 0..1000usize, bytes in proptest::collection::vec(any::<u8>(), 1..9)) {
+    fn a_trace_with_bytes_replaced_is_read_without_a_panic(at in 0..1000usize, bytes in proptest::collection::vec(any::<u8>(), 1..9)) {
         let mut buf = trace();
         let at = at % buf.len();
         let to = (at + bytes.len()).min(buf.len());
@@ -76,7 +76,7 @@
     }
 
     #[test]
-    fn any_text_as_script_or_outcomes(
+    fn any_text_is_parsed_as_script_or_outcomes_without_a_panic(
         from in 0..HEAD.len(),
         len in 0..60usize,
         piece in r#"[\[\]\{\}="'.,#\n a-z0-9-]{0,24}"#,
--- a/crates/trace/tests/trace/invariants.rs
+++ b/crates/trace/tests/trace/invariants.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_true_page_passes() {
+fn a_correct_page_passes() {
     assert_eq!(scatter(AUDIT, 7, page(&["a", "b"], 2, &[])), Ok(()));
     assert_eq!(scatter(ARRIVE, 6, page(&["a"], 2, &[1])), Ok(()));
 }
@@ -60,7 +60,7 @@
     page(&["z"], 2, &[]),
     "step 5 at 5ms: lookup 1: document `z` is in no part that it received from its snapshot"
 )]
-#[case::complete_and_is_not(
+#[case::incomplete_page_of_a_complete_lookup(
     AUDIT,
     7,
     page(&["a"], 2, &[1]),
@@ -72,13 +72,13 @@
     page(&["a"], 3, &[1, 1]),
     "step 5 at 5ms: lookup 1: its coverage does not add up: Coverage { shards: 3, whole: 1, missing: [MissingShard { shard: ShardId(1), reason: Late }, MissingShard { shard: ShardId(1), reason: Late }] }"
 )]
-#[case::not_run_that_ran(
+#[case::not_run_after_execution(
     ARRIVE,
     7,
     refusal(Outcome::NotRun),
     "step 5 at 5ms: lookup 1: the outcome is `not-run` but attempt hobart-1/1/1/0/0 may have run"
 )]
-fn an_outcome_that_breaks_an_invariant(
+fn an_outcome_that_violates_an_invariant_is_reported(
     #[case] lookup: &str,
     #[case] snapshot: u32,
     #[case] last: Action,
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn sent_after_not_run() {
+fn an_attempt_sent_after_not_run_is_reported() {
     let steps = format!("{ARRIVE}{SENT}");
     let actions = vec![vec![
         dispatch("1/0/0", "a0", false),
@@ -102,14 +102,14 @@
 }
 
 #[test]
-fn answered_twice() {
+fn a_second_answer_is_reported() {
     let twice = vec![refusal(Outcome::Unknown), refusal(Outcome::Unknown)];
     let d = check("", ARRIVE, vec![twice]).expect_err("diverges");
     assert_eq!(d.to_string(), "step 3 at 0s: lookup 1 is answered twice");
 }
 
 #[test]
-fn never_answered() {
+fn a_missing_answer_is_reported() {
     let steps = format!("{ARRIVE}[[step]]\nat = \"2s\"\nleave = {{}}\n");
     let d = check("", &steps, vec![]).expect_err("diverges");
     assert_eq!(
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_machine_that_goes_another_way_than_the_one_that_recorded() {
+fn a_recorded_attempt_that_the_replay_does_not_dispatch_is_reported() {
     let steps = format!("{ARRIVE}{SENT}");
     let d = check("", &steps, vec![]).expect_err("diverges");
     assert_eq!(
@@ -131,7 +131,7 @@
 const GRANTED: &str = "[[step]]\nat = \"1ms\"\nclaim = [1, \"granted\"]\n";
 
 #[test]
-fn at_most_once_without_a_claim() {
+fn an_at_most_once_dispatch_without_a_claim_is_reported() {
     let actions = vec![vec![dispatch("1/0/0", "a0", true)]];
     let d = check("", LEVY, actions).expect_err("diverges");
     assert_eq!(
@@ -146,7 +146,10 @@
 #[case::garbled("ends = \"garbled\"", false)]
 #[case::shed("shed = \"5ms\"", true)]
 #[case::not_sent("ends = \"not-sent\"", true)]
-fn at_most_once_again(#[case] end: &str, #[case] allowed: bool) {
+fn a_second_at_most_once_dispatch_is_allowed_only_if_the_first_was_not_executed(
+    #[case] end: &str,
+    #[case] allowed: bool,
+) {
     let reply = format!("[[step]]\nat = \"2ms\"\nreply = {{ to = [\"1/0/0\"], {end} }}\n");
     let steps = format!("{LEVY}{GRANTED}{SENT}{reply}");
     let actions = vec![
@@ -183,7 +186,7 @@
 }
 
 #[test]
-fn a_draining_server_gets_no_new_work() {
+fn new_work_at_a_draining_server_is_reported() {
     assert_eq!(drained("3900ms", ""), Ok(()));
     assert_eq!(
         drained("4100ms", ""),
@@ -194,7 +197,7 @@
 }
 
 #[test]
-fn a_new_run_of_a_drained_server_gets_work() {
+fn a_new_incarnation_of_a_drained_server_may_get_work() {
     let same = "[[step]]\nat = \"2s\"\nreport = { servers = [\"a0\"], incarnation = 4 }\n";
     let new = "[[step]]\nat = \"2s\"\nreport = { servers = [\"a0\"], incarnation = 5 }\n";
     assert!(drained("9s", same).is_err());
--- a/crates/trace/tests/trace/reading.rs
+++ b/crates/trace/tests/trace/reading.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_whole_trace_is_read() {
+fn a_complete_trace_is_read() {
     let buf = trace();
     let reader = Reader::new(buf.as_slice()).expect("a trace");
     assert_eq!(reader.header().vm.as_str(), "hobart-1");
@@ -35,26 +35,26 @@
 
 #[rstest]
 #[case::empty(b"", "byte 0: this is not a trace (step: read trace)")]
-#[case::foreign(b"[vm]\nname = 3\n", "byte 0: this is not a trace (step: read trace)")]
-#[case::only_a_start(b"GSTRACE\n", "byte 8: the trace is cut short here (step: read trace)")]
+#[case::not_a_trace(b"[vm]\nname = 3\n", "byte 0: this is not a trace (step: read trace)")]
+#[case::only_the_magic(b"GSTRACE\n", "byte 8: the trace is cut short here (step: read trace)")]
 #[case::no_header(
     b"GSTRACE\n\x01\x00",
     "record 0 at byte 10: the trace is cut short here (step: read trace)"
 )]
-#[case::another_format(
+#[case::another_format_version(
     b"GSTRACE\n\x02\x00",
     "byte 8: the trace is of format 2, this program reads 1 (step: read trace)"
 )]
-#[case::huge_claim(
+#[case::huge_declared_length(
     b"GSTRACE\n\x01\x00\xff\xff\xff\xff\0\0\0\0",
     "record 0 at byte 10: it declares 4294967295 bytes, more than 4194304 (step: read trace)"
 )]
-fn a_file_that_is_no_trace(#[case] buf: &[u8], #[case] expected: &str) {
+fn an_invalid_trace_is_refused(#[case] buf: &[u8], #[case] expected: &str) {
     assert_eq!(first_error(buf).to_string(), expected);
 }
 
 #[test]
-fn a_trace_cut_anywhere_is_refused() {
+fn a_trace_truncated_anywhere_is_refused() {
     let buf = trace();
     for len in 0..buf.len() {
         let e = first_error(&buf[..len]);
--- a/crates/trace/tests/trace/recording.rs
+++ b/crates/trace/tests/trace/recording.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn events_come_back_with_their_times() {
+fn recorded_events_are_read_with_their_times() {
     let events = events(
         r#"
         [[step]]
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn an_exact_replay_does_just_what_the_recorded_run_did() {
+fn an_exact_replay_repeats_the_recorded_actions() {
     assert_eq!(replayed([3, 5]), Ok(()));
     assert_eq!(
         replayed([3, 6]),
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_slow_disk_loses_events_and_never_holds_the_process_up() {
+fn a_slow_disk_loses_events_and_never_blocks_the_process() {
     // A write to the file blocks, so the queue fills up. The process must not block; the events
     // that do not fit are counted, and the trace contains a gap where they are missing.
     let file = File::new();
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_full_disk_is_told_at_the_end() {
+fn a_full_disk_is_reported_at_the_end() {
     struct Full(u32);
     impl Write for Full {
         fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
--- a/crates/trace/tests/trace/scripts.rs
+++ b/crates/trace/tests/trace/scripts.rs
@@ -8,7 +8,7 @@
 use crate::common::events;
 
 #[test]
-fn events_stand_in_the_order_of_their_times() {
+fn events_are_sorted_by_time() {
     let events = events(
         r#"
         [[step]]
@@ -48,15 +48,15 @@
     "at = \"0s\"\nsent = [\"1/0\"]",
     "`hobart-1/1/1/0` is not an attempt id (step: script step 2)"
 )]
-#[case::endless(
+#[case::too_many_ticks(
     "at = \"0s\"\ntick = { every = \"1ns\", until = \"1h\" }",
     "`tick` produces too many events (step: script step 2)"
 )]
-#[case::never(
+#[case::zero_interval(
     "at = \"0s\"\ntick = { every = \"0s\", until = \"1h\" }",
     "`tick` produces too many events (step: script step 2)"
 )]
-fn a_step_that_is_refused(#[case] step: &str, #[case] expected: &str) {
+fn an_invalid_step_is_refused(#[case] step: &str, #[case] expected: &str) {
     let script = Script::parse(&format!("{HEAD}\n[[step]]\n{step}\n")).expect("a script");
     let e = script.events().expect_err("an error");
     assert_eq!(e.to_string(), expected);
@@ -71,7 +71,11 @@
     38,
     "unknown variant `well`"
 )]
-fn a_script_that_does_not_read(#[case] step: &str, #[case] line: u32, #[case] expected: &str) {
+fn a_malformed_script_is_refused_with_its_line(
+    #[case] step: &str,
+    #[case] line: u32,
+    #[case] expected: &str,
+) {
     let e = Script::parse(&format!("{HEAD}\n[[step]]\n{step}\n")).expect_err("an error");
     assert!(e.to_string().contains(expected), "{e}");
     assert!(e.to_string().contains(&format!("line {line},")), "{e}");
--- a/crates/types/tests/parse.rs
+++ b/crates/types/tests/parse.rs
@@ -6,7 +6,7 @@
 #[rstest]
 #[case("hobart-1/1700000000000/42/7/1")]
 #[case("vm.a_b/0/0/0/0")]
-fn attempt_id_round_trips(#[case] s: &str) {
+fn an_attempt_id_round_trips(#[case] s: &str) {
     let id: AttemptId = s.parse().expect("well formed");
     assert_eq!(id.to_string(), s);
 }
@@ -17,14 +17,14 @@
 #[case("hobart-1/1/2/3/4/5")]
 #[case("Hobart/1/2/3/4")]
 #[case("hobart-1/1/2/3/99999")]
-fn attempt_id_refused(#[case] s: &str) {
+fn an_invalid_attempt_id_is_refused(#[case] s: &str) {
     let e = s.parse::<AttemptId>().expect_err("malformed");
     assert_eq!(e.kind(), ErrorKind::BadInput);
 }
 
 #[rstest]
 #[case("1700000000-abcdef12", 1_700_000_000)]
-fn key_contains_its_minting_time(#[case] s: &str, #[case] at: u64) {
+fn a_key_contains_its_minting_time(#[case] s: &str, #[case] at: u64) {
     let k: IdempotencyKey = s.parse().expect("well formed");
     assert_eq!((k.minted(), k.to_string().as_str()), (at, s));
 }
@@ -35,7 +35,7 @@
 #[case("1700000000-short")]
 #[case("1700000000-ABCDEF12")]
 #[case("1700000000-abcdef12-3")]
-fn key_refused(#[case] s: &str) {
+fn an_invalid_key_is_refused(#[case] s: &str) {
     assert!(s.parse::<IdempotencyKey>().is_err());
 }
 
@@ -52,7 +52,7 @@
 #[case("64kB")]
 #[case("-1")]
 #[case("99999999999GB")]
-fn bytes_refused(#[case] s: &str) {
+fn invalid_bytes_are_refused(#[case] s: &str) {
     let e = s.parse::<Bytes>().expect_err("malformed");
     assert_eq!(
         e.hint(),
