--- a/crates/conf/src/decide.rs
+++ b/crates/conf/src/decide.rs
@@ -32,7 +32,7 @@
         let objections = p.objections();
         if !objections.is_empty() {
             let error = Error::new(ErrorKind::BadInput, "a VM rejects the patch");
-            p.refusal = Some((error.at("collect acknowledgements"), objections));
+            p.refusal = Some((error.at("ask VMs"), objections));
             return Some(PatchEvent::Opposed);
         }
         let agreed = p.is_acked_by_all_since(self.fleet.members(), me, None);
@@ -66,7 +66,7 @@
             ErrorKind::Unavailable,
             format!("no acknowledgement from {}", names.join(", ")),
         )
-        .at("collect acknowledgements")
+        .at("ask VMs")
         .with_hint("repair or remove these VMs, and send the change under a new id");
         let wait = self.options.ack_wait;
         let one = |vm: VmId| Objection {
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -277,7 +277,7 @@
             ErrorKind::BadInput,
             format!("header `{name}` is missing or malformed"),
         )
-        .at("read delegated request")
+        .at("read hand-over")
     };
     let h = &head.headers;
     let text = |name: &HeaderName| h.get(name).and_then(|v| v.to_str().ok());
--- a/crates/edge/src/register/peer_queries.rs
+++ b/crates/edge/src/register/peer_queries.rs
@@ -155,5 +155,5 @@
 /// Returns the error for peers that cannot reach the platform; `who` names them.
 pub(super) fn platform_unreachable(who: &str) -> Error {
     let text = format!("{who} cannot reach the platform");
-    Error::new(ErrorKind::Unavailable, text).at("query peers")
+    Error::new(ErrorKind::Unavailable, text).at("ask a peer")
 }
--- a/src/commands/patch.rs
+++ b/src/commands/patch.rs
@@ -90,7 +90,7 @@
         Ok(outcome) => Ok(outcome),
         Err(e) if reply.status.is_success() => {
             let text = format!("the response is not a patch outcome: {e}");
-            Err(Error::new(ErrorKind::Unknown, text).at("read outcome"))
+            Err(Error::new(ErrorKind::Unknown, text).at("read verdict"))
         }
         Err(_) => Err(reply.into_error()),
     }
