--- a/crates/conf/src/dump.rs
+++ b/crates/conf/src/dump.rs
@@ -8,7 +8,7 @@
 
 use crate::fleet::VmStatus;
 use crate::manager::ConfigManager;
-use crate::patch::AffectedTarget;
+use crate::patch::Touched;
 use crate::proposal::Proposal;
 
 /// The state of the configuration manager.
@@ -25,7 +25,7 @@
     /// The patch that is being decided, as far as known here.
     pub pending: Option<PatchId>,
     /// The lookups refused because the outcome of a patch that changes them is unknown.
-    pub doubts: Vec<AffectedTarget>,
+    pub doubts: Vec<Touched>,
     /// The current proposal of this VM.
     pub proposal: Option<ProposalDump>,
     /// The number of queued proposals.
--- a/crates/conf/src/in_doubt.rs
+++ b/crates/conf/src/in_doubt.rs
@@ -7,7 +7,7 @@
 use gs_types::prelude::*;
 
 use crate::latest_record::LatestRecord;
-use crate::patch::AffectedTarget;
+use crate::patch::Touched;
 use crate::record::Pending;
 
 /// The interval at which an acknowledgement is repeated while the patch is undecided.
@@ -27,7 +27,7 @@
 pub(crate) struct InDoubtPatch {
     object: u64,
     proposer: VmId,
-    affected: Vec<AffectedTarget>,
+    affected: Vec<Touched>,
     /// The safe time: until then the affected lookups may be served, because the proposer does not
     /// report the patch as accepted before.
     safe_until: Instant,
@@ -103,7 +103,7 @@
     }
 
     /// Returns the lookups that must be refused now.
-    pub(crate) fn refused_targets(&self, now: Instant) -> &[AffectedTarget] {
+    pub(crate) fn refused_targets(&self, now: Instant) -> &[Touched] {
         match !self.abandoned && now >= self.safe_until {
             true => &self.affected,
             false => &[],
--- a/crates/conf/src/manager.rs
+++ b/crates/conf/src/manager.rs
@@ -20,7 +20,7 @@
 use crate::message::Message;
 use crate::message::RecordSummary;
 use crate::options::ConfigManagerOptions;
-use crate::patch::AffectedTarget;
+use crate::patch::Touched;
 use crate::proposal::Proposal;
 use crate::proposal::ProposeCall;
 use crate::proposal::RetryState;
@@ -39,7 +39,7 @@
     pub(crate) latest: Option<LatestRecord>,
     pub(crate) in_doubt_patch: Option<InDoubtPatch>,
     /// The list last sent as [`Action::Doubt`].
-    pub(crate) reported_in_doubt: Vec<AffectedTarget>,
+    pub(crate) reported_in_doubt: Vec<Touched>,
     pub(crate) fleet: Fleet,
     pub(crate) groups: Option<BTreeSet<GroupName>>,
     pub(crate) queue: VecDeque<Proposal>,
@@ -194,7 +194,7 @@
 
     /// Returns all lookups that must be refused now because a patch that changes them is in doubt here.
     #[must_use]
-    pub fn in_doubt_targets(&self, now: Instant) -> &[AffectedTarget] {
+    pub fn in_doubt_targets(&self, now: Instant) -> &[Touched] {
         self.in_doubt_patch
             .as_ref()
             .map_or(&[], |d| d.refused_targets(now))
