--- a/crates/edge/src/directory_watcher.rs
+++ b/crates/edge/src/directory_watcher.rs
@@ -197,7 +197,7 @@
             && let Ok(server) = name.parse::<ServerName>()
         {
             log::debug!("event=server-unlisted name={server}");
-            self.feed.push(Event::ServerGone(server));
+            self.feed.push(Event::EntryMissing(server));
         }
     }
 }
--- a/crates/edge/src/settings.rs
+++ b/crates/edge/src/settings.rs
@@ -341,7 +341,7 @@
             .region(self.vm.region.clone())
             .regions(regions)
             .data_centre(self.vm.data_centre.clone())
-            .peers(self.budget.peers)
+            .vms_assumed(self.budget.peers)
             .answer_margin(self.answer_margin())
             .extra_ratio(self.budget.extra_ratio * ALLOWANCE_FRACTION)
             .extra_window(self.budget.window)
--- a/crates/relay/src/connection_shares.rs
+++ b/crates/relay/src/connection_shares.rs
@@ -107,8 +107,8 @@
                 knows_vms: false,
                 runs_fan_outs: true,
                 fan_out_vm_names: HashSet::new(),
-                fan_out_vms: VmCount::of(core.options.peers as usize),
-                all_vms: VmCount::of(core.options.peers as usize),
+                fan_out_vms: VmCount::of(core.options.vms_assumed as usize),
+                all_vms: VmCount::of(core.options.vms_assumed as usize),
                 subsets: HashMap::new(),
                 scarce: HashSet::new(),
             };
--- a/crates/relay/src/event.rs
+++ b/crates/relay/src/event.rs
@@ -49,8 +49,8 @@
     Table(Arc<RouteTable>),
     /// A server registered itself or renewed its entry with changes.
     Server(Arc<ServerEntry>),
-    /// A server's entry is no longer in the register.
-    ServerGone(ServerName),
+    /// A server's entry is no longer in the register, or cannot be read.
+    EntryMissing(ServerName),
     /// Whether the register, the source of routes and servers, is reachable.
     RegisterReachable(bool),
     /// The announced VMs, this one included.
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -133,7 +133,7 @@
         match event {
             Event::Table(table) => self.core.on_table(now, table, out),
             Event::Server(entry) => self.core.on_entry(now, entry, out),
-            Event::ServerGone(name) => self.core.on_entry_missing(now, name, out),
+            Event::EntryMissing(name) => self.core.on_entry_missing(now, name, out),
             Event::Quarantined(requests) => {
                 for request in requests {
                     self.core.suspects.quarantine(now, request);
--- a/crates/relay/tests/relay/register.rs
+++ b/crates/relay/tests/relay/register.rs
@@ -22,7 +22,7 @@
 
 /// Returns the event for a missing register entry.
 fn entry_missing(name: &str) -> Event {
-    Event::ServerGone(name.parse().expect("a name"))
+    Event::EntryMissing(name.parse().expect("a name"))
 }
 
 /// An entry disappears, and a new version of the routes arrives a second later. If the update of
