--- a/crates/relay/src/active_request.rs
+++ b/crates/relay/src/active_request.rs
@@ -68,7 +68,7 @@
     }
 
     /// Returns whether it is neither complete nor abandoned.
-    pub(crate) fn is_open(&self) -> bool {
+    pub(crate) fn is_unfinished(&self) -> bool {
         !matches!(self.state, PartState::Complete | PartState::Abandoned)
     }
 }
@@ -99,9 +99,9 @@
     pub(crate) parts: Vec<Part>,
     pub(crate) complete: usize,
     pub(crate) abandoned: usize,
-    pub(crate) extra: u32,
+    pub(crate) extra_attempts: u32,
     /// Whether a server has executed a part of it without crashing.
-    pub(crate) survived: bool,
+    pub(crate) executed_without_crash: bool,
     pub(crate) timer: Option<Instant>,
     /// When to retry, if a peer had no capacity for it.
     pub(crate) retry_after: Option<Duration>,
@@ -140,7 +140,7 @@
         { attempts }.chain(bundles).any(Attempt::may_have_run)
     }
 
-    pub(crate) fn time_left(&self, now: Instant) -> Duration {
+    pub(crate) fn time_to_answer(&self, now: Instant) -> Duration {
         self.answer_by.saturating_duration_since(now)
     }
 }
--- a/crates/relay/src/admission.rs
+++ b/crates/relay/src/admission.rs
@@ -118,14 +118,14 @@
         let Some(expected) = self.expected_page_time(now, request, &scatter.shards) else {
             return Ok(());
         };
-        let time_left = request.objective_at.saturating_duration_since(now);
+        let time_to_objective = request.objective_at.saturating_duration_since(now);
         let priority = u32::from(request.route.priority.min(PRIORITY_MAX));
         if expected.mul_f64(LAST_PART_FACTOR)
-            <= time_left.mul_f64(PRIORITY_FRACTION.powi(priority as i32))
+            <= time_to_objective.mul_f64(PRIORITY_FRACTION.powi(priority as i32))
         {
             return Ok(());
         }
-        let retry = (expected - time_left.min(expected))
+        let retry = (expected - time_to_objective.min(expected))
             .clamp(LATENCY_RETRY_AFTER_MIN, LATENCY_RETRY_AFTER_MAX);
         Err((RefuseReason::Overload, Some(self.with_jitter(retry))))
     }
@@ -169,7 +169,7 @@
         self.route_times(&route);
         let mut reachable = 0;
         let mut retry_at: Option<Instant> = None;
-        for part in self.parts_of(&route, request.shards_wanted.as_deref()) {
+        for part in self.create_parts(&route, request.shards_wanted.as_deref()) {
             match self.placement_context(now, request).choose_server(&part) {
                 Placement::Now(..) | Placement::Wait => reachable += 1,
                 Placement::Unavailable(available_at) => retry_at = earliest(retry_at, available_at),
--- a/crates/relay/src/arrival.rs
+++ b/crates/relay/src/arrival.rs
@@ -139,15 +139,15 @@
             route,
             complete: 0,
             abandoned: 0,
-            extra: 0,
-            survived: false,
+            extra_attempts: 0,
+            executed_without_crash: false,
             timer: None,
             retry_after: None,
         })
     }
 
     /// Returns the parts of a request on a route, restricted to the given shards if there are any.
-    pub(crate) fn parts_of(&mut self, route: &Route, shards: Option<&[u16]>) -> Vec<Part> {
+    pub(crate) fn create_parts(&mut self, route: &Route, shards: Option<&[u16]>) -> Vec<Part> {
         let services = match &route.target {
             Target::One(weighted) => {
                 let chosen = split::choose_service(weighted, &mut self.rng);
--- a/crates/relay/src/attempt_end.rs
+++ b/crates/relay/src/attempt_end.rs
@@ -33,7 +33,7 @@
                 .update_server_health(now, server, id, (begun, 0.0), &route, &end);
             return;
         }
-        self.with(id.lookup, |core, request| {
+        self.with_request(id.lookup, |core, request| {
             if id.part == BUNDLE_PART_NUMBER {
                 core.on_bundle_ended(now, request, id, end, out);
             } else {
@@ -41,7 +41,7 @@
             }
             false
         });
-        self.to_review.insert(id.lookup);
+        self.ended_since_check.insert(id.lookup);
     }
 }
 
@@ -77,9 +77,9 @@
         self.update_suspicion(now, request, index, server, &end);
         if matches!(end, AttemptEnd::NotSent) && cause != Cause::First {
             let service = request.parts[index].service.clone();
-            self.service(&service).extra_budget.give_back();
+            self.service_state(&service).extra_budget.give_back();
         }
-        if !request.parts[index].is_open() {
+        if !request.parts[index].is_unfinished() {
             return;
         }
         let is_good = matches!(&end, AttemptEnd::Answered(a, _) if a.is_good());
@@ -115,7 +115,7 @@
                     .note_crash(now, fingerprint, service, (server, born));
             }
             AttemptEnd::Answered(..) => {
-                request.survived = true;
+                request.executed_without_crash = true;
                 if !self.suspects.is_empty() {
                     self.suspects
                         .note_survived(request.req.fingerprint(), service);
@@ -127,7 +127,7 @@
 
     /// Records that servers which a peer queried executed the request without crashing.
     pub(crate) fn note_survived_at_peer(&mut self, request: &mut ActiveRequest) {
-        request.survived = true;
+        request.executed_without_crash = true;
         if !self.suspects.is_empty() {
             self.suspects
                 .note_survived_somewhere(request.req.fingerprint());
@@ -153,7 +153,7 @@
         let fingerprint = request.req.fingerprint();
         if self
             .suspects
-            .quarantine_if_proved(now, fingerprint, request.survived)
+            .quarantine_if_proved(now, fingerprint, request.executed_without_crash)
         {
             log::warn!(
                 "event=quarantine request={fingerprint} id={}",
@@ -216,7 +216,7 @@
             return;
         };
         view.on_ended(id);
-        self.freed_services.push(view.entry.service.clone());
+        self.services_to_dispatch.push(view.entry.service.clone());
         match end {
             AttemptEnd::Answered(answer, load) => {
                 let is_near = view.entry.data_centre == self.options.data_centre;
--- a/crates/relay/src/bundle.rs
+++ b/crates/relay/src/bundle.rs
@@ -53,7 +53,7 @@
     ) {
         let route = Arc::clone(&request.route);
         self.route_times(&route);
-        request.parts = self.parts_of(&route, request.shards_wanted.as_deref());
+        request.parts = self.create_parts(&route, request.shards_wanted.as_deref());
         for (peer, parts) in self.bundles_for(now, request) {
             self.send_bundle(now, request, peer, parts, out);
         }
@@ -72,7 +72,7 @@
         out: &mut Vec<Action>,
     ) {
         let service = request.parts[index].service.clone();
-        self.service(&service).extra_budget.note_request(now);
+        self.service_state(&service).extra_budget.note_request(now);
         self.try_part(now, request, index, Cause::First, out);
     }
 
@@ -109,7 +109,7 @@
         } else {
             OPTIONAL_PEER_GRACE
         };
-        let attempt_timeout = (on_time + grace).min(request.time_left(now));
+        let attempt_timeout = (on_time + grace).min(request.time_to_answer(now));
         out.push(Action::Send(Dispatch {
             attempt: id,
             server: Arc::clone(&view.entry),
@@ -146,7 +146,7 @@
             page: None,
         });
         self.counters.bundles += 1;
-        self.arm(request, request.objective_at);
+        self.schedule_check(request, request.objective_at);
     }
 
     /// Handles the end of a bundle.
--- a/crates/relay/src/completion.rs
+++ b/crates/relay/src/completion.rs
@@ -44,12 +44,12 @@
 /// but better than none, so it receives those that have arrived.
 #[must_use]
 pub fn decide_completion(now: Instant, p: &Progress) -> CompletionDecision {
-    let open = p.parts - p.complete - p.abandoned;
-    let can_come = p.complete + open;
+    let unfinished = p.parts - p.complete - p.abandoned;
+    let can_come = p.complete + unfinished;
     if can_come < p.parts_min {
         return CompletionDecision::Fail;
     }
-    let is_all = open == 0 || can_come < p.parts_wanted;
+    let is_all = unfinished == 0 || can_come < p.parts_wanted;
     let is_enough = p.complete >= p.parts_wanted && now >= p.objective_at;
     if is_all || is_enough {
         return CompletionDecision::Deliver;
--- a/crates/relay/src/connection_shares.rs
+++ b/crates/relay/src/connection_shares.rs
@@ -258,12 +258,15 @@
         };
         let views = core.servers.of(service).iter();
         let views = views.filter_map(|key| core.servers.get(*key));
-        let open: Vec<&ServerEntry> = views.filter(|v| v.is_open()).map(|v| &*v.entry).collect();
+        let accepting: Vec<&ServerEntry> = views
+            .filter(|v| v.accepts_work())
+            .map(|v| &*v.entry)
+            .collect();
         let vms = core.peer_vms.vms();
-        if is_scarce(vms.len(), open.len(), decl.connections) {
+        if is_scarce(vms.len(), accepting.len(), decl.connections) {
             scarce.insert(service.clone());
         }
-        if let Some(names) = server_subset(&core.options.vm, vms, &open, decl.connections) {
+        if let Some(names) = server_subset(&core.options.vm, vms, &accepting, decl.connections) {
             subsets.insert(service.clone(), names);
         }
     }
--- a/crates/relay/src/delegation.rs
+++ b/crates/relay/src/delegation.rs
@@ -168,7 +168,7 @@
             return FanOutPlan::default();
         };
         if !self.connection_shares.runs_fan_outs() {
-            return self.plan_for_weak_vm(scatter.shards.len());
+            return self.plan_delegating_all(scatter.shards.len());
         }
         let mut plan = FanOutPlan::default();
         for shard in &scatter.shards {
@@ -185,7 +185,7 @@
     }
 
     /// Returns the plan of a weak VM, which delegates all shards to the fan-out VMs nearest to it.
-    fn plan_for_weak_vm(&self, shards: usize) -> FanOutPlan {
+    fn plan_delegating_all(&self, shards: usize) -> FanOutPlan {
         let strong = self
             .peer_vms
             .vms()
@@ -212,7 +212,7 @@
             .iter()
             .filter_map(|k| self.servers.get(*k));
         let mut data_centres: Vec<&DataCentre> = views
-            .filter(|v| v.is_open())
+            .filter(|v| v.accepts_work())
             .map(|v| &v.entry.data_centre)
             .collect();
         if data_centres.contains(&&self.options.data_centre) {
@@ -290,7 +290,7 @@
         let Some((key, view)) = servers.find(name) else {
             continue;
         };
-        let is_usable = view.is_open()
+        let is_usable = view.accepts_work()
             && view.is_connected()
             && view.has_connection()
             && view.backoff_until(now).is_none();
--- a/crates/relay/src/dispatch.rs
+++ b/crates/relay/src/dispatch.rs
@@ -90,7 +90,10 @@
         is_hedge: bool,
     ) -> bool {
         let service = request.parts[index].service.clone();
-        let is_taken = self.service(&service).extra_budget.take(now, is_hedge);
+        let is_taken = self
+            .service_state(&service)
+            .extra_budget
+            .take(now, is_hedge);
         if !is_taken {
             self.counters.extra_refused += 1;
         }
@@ -119,13 +122,13 @@
         cause: Cause,
         out: &mut Vec<Action>,
     ) {
-        let time_left = request.time_left(now);
+        let time_to_answer = request.time_to_answer(now);
         let attempt_timeout = if request.route.is_scatter() {
             (request.route.objective * ATTEMPT_TIMEOUT_OBJECTIVES)
                 .max(ATTEMPT_TIMEOUT_MIN)
-                .min(time_left)
+                .min(time_to_answer)
         } else {
-            time_left
+            time_to_answer
         };
         let keep_connection =
             request.route.is_scatter() || self.keeps_idle_connection(&request.parts[index].service);
@@ -167,9 +170,9 @@
         self.count_attempt(request, cause);
         if !request.is_once() {
             let delay = self.route_times[&request.route.name].delay(is_near);
-            self.arm(request, now + delay);
+            self.schedule_check(request, now + delay);
         }
-        self.arm(request, request.objective_at.max(now));
+        self.schedule_check(request, request.objective_at.max(now));
     }
 
     fn keeps_idle_connection(&self, service: &ServiceName) -> bool {
@@ -184,6 +187,6 @@
             Cause::Hedge => self.counters.hedges += 1,
             Cause::Retry => self.counters.retries += 1,
         }
-        request.extra += 1;
+        request.extra_attempts += 1;
     }
 }
--- a/crates/relay/src/finish.rs
+++ b/crates/relay/src/finish.rs
@@ -58,7 +58,7 @@
             abandoned: request.abandoned,
             parts_min: request.parts_min,
             parts_wanted: request.parts_wanted,
-            objective_at: self.postpone(request.objective_at),
+            objective_at: self.postpone_for_pause(request.objective_at),
             answer_by: request.answer_by,
         };
         let outcome = match decide_completion(now, &progress) {
@@ -70,7 +70,7 @@
         true
     }
 
-    fn postpone(&self, at: Instant) -> Instant {
+    fn postpone_for_pause(&self, at: Instant) -> Instant {
         self.process_pause.map_or(at, |s| s.postpone(at))
     }
 
@@ -103,7 +103,7 @@
             objective: request.route.objective,
             parts: (request.complete, request.parts.len()),
             abandoned: AbandonCounts::of(request.parts.iter().filter_map(|p| p.abandon_reason)),
-            extra: request.extra,
+            extra: request.extra_attempts,
         };
         out.push(Action::Answer(request.seq, Box::new(report)));
         self.release(request);
@@ -161,7 +161,7 @@
     /// Releases what a request held. Its attempts in flight continue, so that their connections
     /// stay usable.
     fn release(&mut self, request: &mut ActiveRequest) {
-        self.disarm(request);
+        self.cancel_check(request);
         for index in 0..request.parts.len() {
             if matches!(request.parts[index].state, PartState::Waiting(_)) {
                 self.dequeue(request, index);
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -48,7 +48,7 @@
 mod seed_state;
 mod server;
 mod servers;
-mod service;
+mod service_state;
 mod shard_crashes;
 mod split;
 mod stall;
--- a/crates/relay/src/placement.rs
+++ b/crates/relay/src/placement.rs
@@ -34,7 +34,7 @@
 const SLOWNESS_MAX: f64 = 1.5;
 
 /// Fraction of the objective within which all attempts sent to a server are to be executed.
-const WINDOW_FRACTION: f64 = 0.6;
+const IN_FLIGHT_EXECUTION_FRACTION: f64 = 0.6;
 
 /// Added to the expected time of a server that has stalled: the length of a usual stall.
 const STALL_PENALTY: Duration = Duration::from_millis(200);
@@ -75,7 +75,7 @@
     /// A server outside this VM's subset is chosen only if none of the subset is available, and a
     /// server that has already failed the part only if there is no other.
     pub(crate) fn choose_server(&self, part: &Part) -> Placement {
-        let own = self.choose_among(part, |view, tried| view.is_used && tried.is_none());
+        let own = self.choose_among(part, |view, tried| view.is_in_subset && tried.is_none());
         if !matches!(own, Placement::Unavailable(_)) {
             return own;
         }
@@ -88,7 +88,7 @@
 
     /// Chooses a server for a hedged attempt: one that is in this VM's subset, untried and free.
     pub(crate) fn choose_hedge_server(&self, part: &Part) -> Option<(ServerKey, Duration)> {
-        match self.choose_among(part, |view, tried| view.is_used && tried.is_none()) {
+        match self.choose_among(part, |view, tried| view.is_in_subset && tried.is_none()) {
             Placement::Now(key, expected) => Some((key, expected)),
             Placement::Wait | Placement::Unavailable(_) => None,
         }
@@ -124,10 +124,10 @@
             .of(service)
             .iter()
             .filter_map(|k| self.servers.get(*k));
-        let open: SmallVec<[&ServerView; 4]> = views
-            .filter(|v| v.is_open() && v.backoff_until(self.now).is_none())
+        let available: SmallVec<[&ServerView; 4]> = views
+            .filter(|v| v.accepts_work() && v.backoff_until(self.now).is_none())
             .collect();
-        let waiting_each = waiting as f64 / open.len().max(1) as f64;
+        let waiting_each = waiting as f64 / available.len().max(1) as f64;
         let time_at = |v: &&ServerView| {
             let base = self.round_trips.round_trip(&v.entry.data_centre);
             let execution_time = self
@@ -137,7 +137,7 @@
             base + execution_time
                 .mul_f64(1.0 + QUEUE_FACTOR * v.rounds_ahead(self.now, waiting_each))
         };
-        open.iter().map(time_at).min()
+        available.iter().map(time_at).min()
     }
 
     fn choose_among(
@@ -150,12 +150,12 @@
         if may_all_have_run && servers.len() > usize::from(self.servers_max) {
             return Placement::Unavailable(None);
         }
-        let used = UsedServers::of(part, self.servers);
+        let used = AllPossibleServers::of(part, self.servers);
         let mut best: Option<(ServerKey, Duration, Duration)> = None;
         let mut must_wait = false;
         let mut retry_at: Option<Instant> = None;
         for key in servers {
-            let Some(view) = self.servers.get(*key).filter(|v| v.is_open()) else {
+            let Some(view) = self.servers.get(*key).filter(|v| v.accepts_work()) else {
                 continue;
             };
             let tried = part.attempts.iter().rfind(|a| a.server == *key);
@@ -167,7 +167,7 @@
                 retry_at = Some(retry_at.map_or(backoff_end, |b| b.min(backoff_end)));
                 continue;
             }
-            if !view.has_connection() || view.outstanding.len() >= self.window(view) {
+            if !view.has_connection() || view.outstanding.len() >= self.in_flight_limit(view) {
                 must_wait = true;
                 continue;
             }
@@ -190,20 +190,20 @@
     /// This prevents servers from working through queues of parts whose pages have already been
     /// returned: attempts beyond this limit would be executed although they are late, while a part
     /// that waits here is released together with its page.
-    fn window(&self, view: &ServerView) -> usize {
+    fn in_flight_limit(&self, view: &ServerView) -> usize {
         let slots = f64::from(view.entry.slots.0.max(1));
         let execution_time = self
             .route_times
             .execution_time()
             .mul_f64(view.slowness(self.now));
         let round_trip = self.round_trips.round_trip(&view.entry.data_centre);
-        let time = self.objective.mul_f64(WINDOW_FRACTION) + round_trip;
+        let time = self.objective.mul_f64(IN_FLIGHT_EXECUTION_FRACTION) + round_trip;
         let rounds = time.as_secs_f64() / execution_time.as_secs_f64().max(1e-4);
         (slots * rounds / f64::from(self.sending_vms)).ceil() as usize
     }
 
     fn penalty(&self, view: &ServerView, expected: Duration) -> Duration {
-        let mut cost = FAILURE_PENALTY.mul_f64(view.failing(self.now));
+        let mut cost = FAILURE_PENALTY.mul_f64(view.failure_rate(self.now));
         if view.entry.data_centre != *self.data_centre {
             cost += REMOTE_PENALTY;
         }
@@ -219,12 +219,12 @@
 /// It prevents a part from being executed by more servers than its route allows. With three
 /// replicas, a peer may query two of them without success and report the part as missing, and this
 /// VM would then query the third.
-struct UsedServers<'a> {
+struct AllPossibleServers<'a> {
     own: SmallVec<[ServerKey; 4]>,
     by_peers: SmallVec<[&'a ServerName; 4]>,
 }
 
-impl<'a> UsedServers<'a> {
+impl<'a> AllPossibleServers<'a> {
     fn of(part: &'a Part, servers: &Servers) -> Self {
         let used = part.attempts.iter().filter(|a| a.may_have_run());
         let mut own: SmallVec<[ServerKey; 4]> = used.map(|a| a.server).collect();
--- a/crates/relay/src/queue.rs
+++ b/crates/relay/src/queue.rs
@@ -12,7 +12,7 @@
 use crate::placement::Placement;
 use crate::relay::Core;
 use crate::relay::Relay;
-use crate::service::QueuedPart;
+use crate::service_state::QueuedPart;
 
 impl Core {
     /// Adds a part to the queue of its service.
@@ -20,7 +20,7 @@
         request.parts[index].state = PartState::Waiting(cause);
         let queued_part = queued_part(request, index);
         let service = request.parts[index].service.clone();
-        self.service(&service).waiting.insert(queued_part);
+        self.service_state(&service).waiting.insert(queued_part);
     }
 
     /// Removes a part from the queue of its service.
@@ -34,7 +34,7 @@
 impl Relay {
     /// Dispatches queued parts of the services of which a server has freed a connection.
     pub(crate) fn dispatch_waiting(&mut self, now: Instant, out: &mut Vec<Action>) {
-        while let Some(service) = self.core.freed_services.pop() {
+        while let Some(service) = self.core.services_to_dispatch.pop() {
             while let Some(w) = self.first_queued(&service) {
                 if !self.dispatch_queued(now, w, out) {
                     break;
@@ -56,7 +56,7 @@
         out: &mut Vec<Action>,
     ) -> bool {
         let mut is_placed = true;
-        self.with(seq, |core, request| {
+        self.with_request(seq, |core, request| {
             let index = usize::from(part);
             let PartState::Waiting(cause) = request.parts[index].state else {
                 core.dequeue(request, index);
--- a/crates/relay/src/registration.rs
+++ b/crates/relay/src/registration.rs
@@ -45,7 +45,7 @@
     /// Records that a connection was opened.
     pub(crate) fn on_connection_opened(&mut self, name: &ServerName, took: Duration) {
         if let Some(view) = self.servers.by_name_mut(name) {
-            view.open += 1;
+            view.open_connections += 1;
             self.round_trips.observe(&view.entry.data_centre, took);
         }
     }
@@ -53,7 +53,7 @@
     /// Records that a connection was closed.
     pub(crate) fn on_connection_closed(&mut self, now: Instant, name: &ServerName) {
         if let Some(view) = self.servers.by_name_mut(name) {
-            view.open = view.open.saturating_sub(1);
+            view.open_connections = view.open_connections.saturating_sub(1);
         }
         if self.peers_wanted.contains(name) {
             self.on_peer_connection_lost(now);
@@ -80,13 +80,13 @@
             .connection_shares
             .connections_max(limit, &entry.service);
         self.servers.set_connections(&entry.name, connections_max);
-        self.freed_services.push(entry.service.clone());
+        self.services_to_dispatch.push(entry.service.clone());
         if entry.availability == Availability::Draining {
             out.push(Action::Disconnect(entry.name.clone()));
             return;
         }
         let is_near = entry.data_centre == self.options.data_centre;
-        let is_used = self.connection_shares.is_in_subset(&entry);
+        let is_in_subset = self.connection_shares.is_in_subset(&entry);
         let connections_min = self
             .connection_shares
             .connections_min(&entry.service, is_near)
@@ -94,8 +94,8 @@
         let Some(view) = self.servers.by_name_mut(&entry.name) else {
             return;
         };
-        view.is_used = is_used;
-        if !is_used {
+        view.is_in_subset = is_in_subset;
+        if !is_in_subset {
             // Connections opened earlier would stay open, and the server would reset those of other
             // VMs instead.
             if view.last_connect.take().is_some() {
@@ -127,7 +127,7 @@
     ) {
         match self.servers.by_name(&name) {
             None => {}
-            Some(view) if !view.is_open() => self.remove(&name, out),
+            Some(view) if !view.accepts_work() => self.remove(&name, out),
             Some(_) => {
                 let may_have_lapsed = self.register_reachability.may_have_lapsed(now);
                 let remove_at = now + self.options.removal_delay(may_have_lapsed);
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -29,7 +29,7 @@
 use crate::server::ServerDump;
 use crate::servers::ServerKey;
 use crate::servers::Servers;
-use crate::service::Service;
+use crate::service_state::ServiceState;
 use crate::table::RouteTable;
 
 /// State machine of all requests of one process, without I/O.
@@ -42,7 +42,7 @@
     pub(crate) core: Core,
     pub(crate) requests: HashMap<LookupSeq, Box<ActiveRequest>>,
     /// Requests of which attempts have ended since they were last checked for completion.
-    pub(crate) to_review: BTreeSet<LookupSeq>,
+    pub(crate) ended_since_check: BTreeSet<LookupSeq>,
     wake_at: Option<Instant>,
 }
 
@@ -52,7 +52,7 @@
     pub(crate) options: RelayOptions,
     pub(crate) table: Option<Arc<RouteTable>>,
     pub(crate) servers: Servers,
-    pub(crate) services: HashMap<ServiceName, Service>,
+    pub(crate) services: HashMap<ServiceName, ServiceState>,
     pub(crate) route_times: HashMap<LookupName, RouteTimes>,
     /// Attempts in flight whose request has ended, with their server, dispatch time and route.
     pub(crate) orphaned_attempts: HashMap<AttemptKey, (ServerKey, Instant, LookupName)>,
@@ -83,7 +83,7 @@
     pub(crate) missing_servers: HashMap<ServerName, Instant>,
     /// Services of which a server has a newly freed connection or may now have more connections,
     /// since their queue was last dispatched.
-    pub(crate) freed_services: Vec<ServiceName>,
+    pub(crate) services_to_dispatch: Vec<ServiceName>,
     pub(crate) in_flight: usize,
     /// The last pause of this process.
     pub(crate) process_pause: Option<ProcessPause>,
@@ -116,14 +116,14 @@
                 are_plans_stale: false,
                 rebuild_plans_at: None,
                 missing_servers: HashMap::new(),
-                freed_services: Vec::new(),
+                services_to_dispatch: Vec::new(),
                 in_flight: 0,
                 process_pause: None,
                 counters: Counters::default(),
                 rng: ChaCha8Rng::seed_from_u64(seed),
             },
             requests: HashMap::new(),
-            to_review: BTreeSet::new(),
+            ended_since_check: BTreeSet::new(),
             wake_at: None,
         }
     }
@@ -153,7 +153,7 @@
                 self.core.in_flight = self.requests.len();
             }
             Event::Ended(id, end) => self.on_ended(now, id, end, out),
-            Event::CallerDisconnected(seq) => self.with(seq, |core, request| {
+            Event::CallerDisconnected(seq) => self.with_request(seq, |core, request| {
                 core.on_caller_disconnect(now, request, out)
             }),
             Event::CaughtUp => self.finish_done_requests(now, out),
@@ -188,7 +188,7 @@
     }
 
     /// Runs `f` on a request in flight and removes the request if `f` returns `true`.
-    pub(crate) fn with(
+    pub(crate) fn with_request(
         &mut self,
         seq: LookupSeq,
         f: impl FnOnce(&mut Core, &mut ActiveRequest) -> bool,
@@ -208,15 +208,15 @@
     /// process all requests are past their objective, and a check after each event would return a
     /// page with only some of the answers that arrived together.
     fn finish_done_requests(&mut self, now: Instant, out: &mut Vec<Action>) {
-        for seq in std::mem::take(&mut self.to_review) {
-            self.with(seq, |core, request| core.finish_if_done(now, request, out));
+        for seq in std::mem::take(&mut self.ended_since_check) {
+            self.with_request(seq, |core, request| core.finish_if_done(now, request, out));
         }
     }
 
     fn tick(&mut self, now: Instant, out: &mut Vec<Action>) {
         let wake_due = self.wake_at.take();
         if let Some(process_pause) = ProcessPause::detect(wake_due, now) {
-            self.postpone(now, process_pause);
+            self.postpone_timers(now, process_pause);
         }
         self.core.remove_missing(now, out);
         self.core.rebuild_plans(now, out);
@@ -226,7 +226,7 @@
             }
             self.core.timers.remove(&(at, seq));
             let mut stalled = None;
-            self.with(seq, |core, request| {
+            self.with_request(seq, |core, request| {
                 request.timer = None;
                 stalled = core.check_attempts(now, request, out);
                 core.finish_if_done(now, request, out)
@@ -238,13 +238,13 @@
     }
 
     /// Postpones the timers that expired during a pause of this process.
-    fn postpone(&mut self, now: Instant, process_pause: ProcessPause) {
+    fn postpone_timers(&mut self, now: Instant, process_pause: ProcessPause) {
         self.core.process_pause = Some(process_pause);
         let due = self.core.timers.iter().take_while(|(at, _)| *at <= now);
         let due: Vec<LookupSeq> = due.map(|(_, seq)| *seq).collect();
         for seq in due {
-            self.with(seq, |core, request| {
-                core.disarm(request);
+            self.with_request(seq, |core, request| {
+                core.cancel_check(request);
                 let at = process_pause.postpone(now);
                 request.timer = Some(at);
                 core.timers.insert((at, request.seq));
@@ -263,7 +263,7 @@
         };
         let waiting: Vec<AttemptKey> = view.outstanding.iter().map(|(id, _)| *id).collect();
         for id in waiting {
-            self.with(id.lookup, |core, request| {
+            self.with_request(id.lookup, |core, request| {
                 core.hedge_stalled(now, request, id.part, server, out);
                 false
             });
@@ -289,11 +289,11 @@
 
 impl Core {
     /// Returns the state shared by the requests for a service, which is created on first use.
-    pub(crate) fn service(&mut self, name: &ServiceName) -> &mut Service {
+    pub(crate) fn service_state(&mut self, name: &ServiceName) -> &mut ServiceState {
         let options = &self.options;
         let share = options.extra_slack * self.connection_shares.slack_share(name);
         self.services.entry(name.clone()).or_insert_with(|| {
-            Service::new(ExtraAttemptBudget::new(
+            ServiceState::new(ExtraAttemptBudget::new(
                 options.extra_window,
                 options.extra_ratio,
                 share,
@@ -310,17 +310,17 @@
     }
 
     /// Sets the time at which a request is checked next, if that is earlier than the planned time.
-    pub(crate) fn arm(&mut self, request: &mut ActiveRequest, at: Instant) {
+    pub(crate) fn schedule_check(&mut self, request: &mut ActiveRequest, at: Instant) {
         let at = at.min(request.answer_by);
         if request.timer.is_some_and(|planned| planned <= at) {
             return;
         }
-        self.disarm(request);
+        self.cancel_check(request);
         request.timer = Some(at);
         self.timers.insert((at, request.seq));
     }
 
-    pub(crate) fn disarm(&mut self, request: &mut ActiveRequest) {
+    pub(crate) fn cancel_check(&mut self, request: &mut ActiveRequest) {
         if let Some(at) = request.timer.take() {
             self.timers.remove(&(at, request.seq));
         }
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -77,13 +77,13 @@
     pub(crate) is_removed: bool,
     /// Whether it is in this VM's subset; the others of its service are used only if none of the
     /// subset is available.
-    pub(crate) is_used: bool,
+    pub(crate) is_in_subset: bool,
     /// This VM's attempts in flight, with their dispatch times.
     pub(crate) outstanding: SmallVec<[(AttemptKey, Instant); 4]>,
     /// Number of open connections of this VM.
-    pub(crate) open: u32,
+    pub(crate) open_connections: u32,
     /// The largest number of connections of this VM.
-    pub(crate) connections: u32,
+    pub(crate) connections_max: u32,
     /// Address, connections to keep open and most connections of the last connect action.
     pub(crate) last_connect: Option<(SocketAddr, Connections, Connections)>,
     slow_start_until: Instant,
@@ -91,7 +91,7 @@
     /// When the last held-up answer arrived; `None` after an attempt dispatched later was answered
     /// in normal time.
     held_up: Option<Instant>,
-    failing: (f64, Instant),
+    failure_rate: (f64, Instant),
     load: Option<(Load, u32, Instant)>,
     backoffs: u32,
     backoff_until: Option<Instant>,
@@ -104,14 +104,14 @@
             slow_start_until: now + entry.warming,
             entry,
             is_removed: false,
-            is_used: true,
+            is_in_subset: true,
             outstanding: SmallVec::new(),
-            open: 0,
-            connections: 0,
+            open_connections: 0,
+            connections_max: 0,
             last_connect: None,
             slowness: (1.0, now),
             held_up: None,
-            failing: (0.0, now),
+            failure_rate: (0.0, now),
             load: None,
             backoffs: 0,
             backoff_until: None,
@@ -128,7 +128,7 @@
             self.backoffs = 0;
             self.backoff_until = None;
             self.load = None;
-            self.failing = (0.0, now);
+            self.failure_rate = (0.0, now);
             self.slowness = (1.0, now);
             self.held_up = None;
         }
@@ -139,26 +139,26 @@
         ServerDump {
             name: self.entry.name.clone(),
             service: self.entry.service.clone(),
-            is_open: self.is_open(),
-            is_used: self.is_used,
+            is_open: self.accepts_work(),
+            is_used: self.is_in_subset,
             is_resting: self.backoff_until(now).is_some(),
             outstanding: self.outstanding.len(),
             slowness: self.slowness(now),
-            failing: self.failing(now),
+            failing: self.failure_rate(now),
         }
     }
 
     /// Returns whether it accepts new work at all.
-    pub(crate) fn is_open(&self) -> bool {
+    pub(crate) fn accepts_work(&self) -> bool {
         !self.is_removed && self.entry.availability == Availability::Ready
     }
 
     pub(crate) fn is_connected(&self) -> bool {
-        self.open > 0
+        self.open_connections > 0
     }
 
     pub(crate) fn has_connection(&self) -> bool {
-        (self.outstanding.len() as u32) < self.connections
+        (self.outstanding.len() as u32) < self.connections_max
     }
 
     /// Returns when its backoff ends; `None` if it is not in backoff.
@@ -190,8 +190,8 @@
     }
 
     /// Returns the fraction of its recent attempts that failed.
-    pub(crate) fn failing(&self, now: Instant) -> f64 {
-        let (value, at) = self.failing;
+    pub(crate) fn failure_rate(&self, now: Instant) -> f64 {
+        let (value, at) = self.failure_rate;
         value * decay(now, at, HEALTH_HALF_LIFE)
     }
 
@@ -216,7 +216,7 @@
 
     /// Returns the dispatch time of the oldest attempt in flight if nothing was received since;
     /// otherwise `None`.
-    pub(crate) fn silent_since(&self) -> Option<Instant> {
+    pub(crate) fn unanswered_since(&self) -> Option<Instant> {
         let oldest = self.outstanding.iter().map(|(_, at)| *at).min()?;
         match self.last_contact {
             Some(last_contact) if last_contact > oldest => None,
@@ -307,9 +307,9 @@
     }
 
     fn note_failure(&mut self, now: Instant, failed: bool) {
-        let old = self.failing(now);
+        let old = self.failure_rate(now);
         let sample = if failed { 1.0 } else { 0.0 };
-        self.failing = (old + (sample - old) * FAILURE_WEIGHT, now);
+        self.failure_rate = (old + (sample - old) * FAILURE_WEIGHT, now);
     }
 
     fn note_load(&mut self, now: Instant, load: Option<Load>) {
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -47,7 +47,7 @@
     pub(crate) fn set_connections(&mut self, name: &ServerName, connections_max: Connections) {
         let key = self.by_name.get(name);
         if let Some(view) = key.and_then(|k| self.views.get_mut(k)) {
-            view.connections = connections_max.0;
+            view.connections_max = connections_max.0;
         }
     }
 
--- a/crates/relay/src/service.rs
+++ b/crates/relay/src/service_state.rs
@@ -11,12 +11,12 @@
 
 /// State shared by the requests for one service.
 #[derive(Debug)]
-pub(crate) struct Service {
+pub(crate) struct ServiceState {
     pub(crate) extra_budget: ExtraAttemptBudget,
     pub(crate) waiting: BTreeSet<QueuedPart>,
 }
 
-impl Service {
+impl ServiceState {
     pub(crate) fn new(extra_budget: ExtraAttemptBudget) -> Self {
         Self {
             extra_budget,
--- a/crates/relay/src/stall.rs
+++ b/crates/relay/src/stall.rs
@@ -18,7 +18,7 @@
 /// Returns whether nothing was received from a server for much longer than an attempt there is
 /// expected to take.
 pub(crate) fn is_stalled(now: Instant, view: &ServerView, expected: Duration) -> bool {
-    let Some(since) = view.silent_since() else {
+    let Some(since) = view.unanswered_since() else {
         return false;
     };
     let silence = now.saturating_duration_since(since);
--- a/crates/relay/src/timers.rs
+++ b/crates/relay/src/timers.rs
@@ -23,7 +23,7 @@
     ) -> Option<ServerKey> {
         let mut stalled = None;
         if request.is_once() {
-            self.arm(request, request.answer_by);
+            self.schedule_check(request, request.answer_by);
             return None;
         }
         for index in 0..request.parts.len() {
@@ -32,7 +32,7 @@
             };
             let due = begun + self.hedge_delay(request, server);
             if due > now {
-                self.arm(request, due);
+                self.schedule_check(request, due);
                 continue;
             }
             if self.is_stalled(now, request, server) {
@@ -45,7 +45,7 @@
         } else {
             request.answer_by
         };
-        self.arm(request, next);
+        self.schedule_check(request, next);
         stalled
     }
 
