--- a/crates/edge/src/announcer.rs
+++ b/crates/edge/src/announcer.rs
@@ -44,7 +44,7 @@
     /// Whether the whole fleet starts for the first time.
     pub(crate) first_start: bool,
     /// The time between two renewals of the announcement; longer if there are many VMs.
-    pub(crate) renew_every: Duration,
+    pub(crate) renewal_interval: Duration,
     pub(crate) seed: u64,
 }
 
@@ -79,10 +79,10 @@
     /// Announces this VM, then polls the list of VMs and sends heartbeats until the process ends.
     pub(crate) async fn run(self) {
         let mut state = AnnouncementState {
-            leases: Leases::new(self.renew_every),
+            leases: Leases::new(self.renewal_interval),
             renewals: 0,
             // An announcement of an earlier incarnation is renewed soon: it may be about to expire.
-            renew_at: Instant::now() + self.renew_every / 2,
+            renew_at: Instant::now() + self.renewal_interval / 2,
             announced_at: None,
             vm_count: 0,
         };
@@ -90,7 +90,7 @@
         if self.first_start {
             self.announce(&mut state).await;
         }
-        let poll_interval = LIST_POLL_INTERVAL.min(self.renew_every);
+        let poll_interval = LIST_POLL_INTERVAL.min(self.renewal_interval);
         let mut schedule = PollSchedule::new(now(), self.first_start, poll_interval);
         loop {
             tokio::time::sleep(schedule.time_to_next(now())).await;
@@ -170,13 +170,15 @@
         }
         self.reachability.on_success("announcement");
         state.announced_at = Some(Instant::now());
-        state.renew_at = Instant::now() + self.renew_every;
+        state.renew_at = Instant::now() + self.renewal_interval;
     }
 
     async fn renew(&self, state: &mut AnnouncementState, vms: usize) {
         let renewal = state.next_renewal(self.seed);
         match self.directory.renew(&self.me, renewal).await {
-            Ok(()) => state.renew_at = Instant::now() + renewal_interval(self.renew_every, vms),
+            Ok(()) => {
+                state.renew_at = Instant::now() + renewal_interval(self.renewal_interval, vms)
+            }
             // The next poll is early enough: three more renewals may fail before the announcement expires.
             Err(e) => log::info!("event=renewal-failed error=\"{e}\""),
         }
--- a/crates/edge/src/callers.rs
+++ b/crates/edge/src/callers.rs
@@ -19,7 +19,7 @@
 use crate::body::read_body;
 use crate::relay_client::RelayClient;
 
-/// The protocol of callers.
+/// The protocol of callers; `gs_platform` implements that of the platform.
 pub trait CallerCodec: Send + Sync + 'static {
     /// Parses a request.
     ///
--- a/crates/edge/src/connection_pools.rs
+++ b/crates/edge/src/connection_pools.rs
@@ -120,7 +120,8 @@
         }
     }
 
-    /// Keeps at least `connections_min` connections to a server open, and at most `connections_max`.
+    /// Opens connections to a server in the background until there are `connections_min`, and limits them to
+    /// `connections_max`. Those that close later are not reopened in advance.
     pub(crate) fn connect(
         &self,
         server: &Arc<ServerEntry>,
@@ -208,8 +209,8 @@
             _ = &mut cancelled => return AttemptEnd::Cancelled,
         };
         match result {
-            Ok(whole) => {
-                let reply = self.codec.reply(&self.d, whole);
+            Ok(complete_reply) => {
+                let reply = self.codec.reply(&self.d, complete_reply);
                 self.return_connection(lent, &reply);
                 reply.end
             }
--- a/crates/edge/src/directory_watcher.rs
+++ b/crates/edge/src/directory_watcher.rs
@@ -29,7 +29,7 @@
 const FULL_PAGE_LEN: usize = 200;
 
 /// The names of the kinds in log lines, by [`DirectoryKind`].
-const KINDS: [&str; 2] = ["routes", "servers"];
+const KIND_NAMES: [&str; 2] = ["routes", "servers"];
 
 /// The first backoff after a failed call.
 const BACKOFF_MIN: Duration = Duration::from_millis(100);
@@ -82,7 +82,7 @@
             };
             match result {
                 Ok(()) => {
-                    self.reachability.on_success(KINDS[self.kind as usize]);
+                    self.reachability.on_success(KIND_NAMES[self.kind as usize]);
                     backoff.reset();
                     tokio::time::sleep(state.coalesce_delay.delay()).await;
                 }
@@ -91,7 +91,8 @@
                     state.at = None;
                 }
                 Err(e) => {
-                    self.reachability.on_failure(KINDS[self.kind as usize], &e);
+                    self.reachability
+                        .on_failure(KIND_NAMES[self.kind as usize], &e);
                     tokio::time::sleep(backoff.next_delay()).await;
                 }
             }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -2,7 +2,8 @@
 //!
 //! Three interfaces define the protocols: [`CallerCodec`] to callers, [`ServerCodec`] to backend servers and
 //! [`Directory`] to the platform where routes are declared and servers registered. Decisions are made in `gs_relay`;
-//! the wire formats to callers, servers and the platform are left to implementations of these interfaces.
+//! the wire formats to callers, servers and the platform are left to implementations of these interfaces, which the
+//! crate `gs_platform` contains.
 //!
 //! [`serve()`] runs a process from its settings to its graceful shutdown.
 
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -14,7 +14,7 @@
 ];
 
 /// The names of the series of totals and states.
-const NAMES: SeriesNames = SeriesNames {
+const SERIES_NAMES: SeriesNames = SeriesNames {
     totals: "gentiansill_relay_events",
     states: "gentiansill_relay_state",
 };
@@ -32,7 +32,7 @@
     ///
     /// [`ErrorKind::Io`] if the exporter cannot be registered.
     pub(crate) fn new(vm: &VmId, data_centre: &DataCentre) -> Result<Self> {
-        let scrape = MetricsExporter::new(vm, data_centre, NAMES)?;
+        let scrape = MetricsExporter::new(vm, data_centre, SERIES_NAMES)?;
         let latency = scrape
             .meter()
             .f64_histogram("gentiansill_request_latency")
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -54,7 +54,7 @@
 const ROUTE: HeaderName = HeaderName::from_static("gs-route");
 /// The numbers of the wanted shards, separated by commas.
 const SHARDS: HeaderName = HeaderName::from_static("gs-shards");
-/// The number of VMs that the request has passed.
+/// How many times the request has been delegated.
 const HOPS: HeaderName = HeaderName::from_static("gs-hops");
 /// How long the caller still waits, in milliseconds.
 const CALLER_TIMEOUT_MS: HeaderName = HeaderName::from_static("gs-patience-ms");
@@ -70,9 +70,9 @@
 const STAMPS: HeaderName = HeaderName::from_static("gs-stamps");
 /// The shards missing from a page, separated by semicolons: the number, `=`, and the servers that may have run the
 /// part, separated by commas, or `*` if they are unknown.
-const LEFT_OUT: HeaderName = HeaderName::from_static("gs-left-out");
+const MISSING_SHARDS: HeaderName = HeaderName::from_static("gs-left-out");
 /// The headers of a delegated request that are added to the caller's own.
-const OWN_HEADERS: [HeaderName; 9] = [
+const DELEGATION_HEADERS: [HeaderName; 9] = [
     ID,
     HOST,
     CALLER_TIMEOUT_MS,
@@ -115,16 +115,18 @@
         Ok(req)
     }
 
-    fn reply(&self, _: &Dispatch, whole: CompleteReply) -> ParsedReply {
-        let end = match whole.status {
+    fn reply(&self, _: &Dispatch, complete_reply: CompleteReply) -> ParsedReply {
+        let end = match complete_reply.status {
             StatusCode::OK => {
-                let held = parse_number(&whole.headers, &HELD_US).map(Duration::from_micros);
-                parse_page(whole).map_or(AttemptEnd::Garbled, |page| {
+                let held =
+                    parse_number(&complete_reply.headers, &HELD_US).map(Duration::from_micros);
+                parse_page(complete_reply).map_or(AttemptEnd::Garbled, |page| {
                     AttemptEnd::Paged(Box::new(page), held)
                 })
             }
             StatusCode::TOO_MANY_REQUESTS => {
-                let retry_ms = parse_number(&whole.headers, &RETRY_MS).unwrap_or(DEFAULT_RETRY_MS);
+                let retry_ms =
+                    parse_number(&complete_reply.headers, &RETRY_MS).unwrap_or(DEFAULT_RETRY_MS);
                 AttemptEnd::Overloaded(Duration::from_millis(retry_ms))
             }
             // Nothing was run there: the peer is shutting down, has no routes yet or other routes than this VM, or
@@ -141,17 +143,17 @@
 }
 
 /// Parses the page in a peer's reply; returns `None` if it is malformed.
-fn parse_page(whole: CompleteReply) -> Option<Page> {
-    let stamps = whole.headers.get(STAMPS)?.as_bytes();
+fn parse_page(complete_reply: CompleteReply) -> Option<Page> {
+    let stamps = complete_reply.headers.get(STAMPS)?.as_bytes();
     let stamps = stamps.split(|b| *b == b',').filter(|s| !s.is_empty());
     Some(Page {
         stamps: stamps.map(Bytes::copy_from_slice).collect(),
-        missing: parse_missing(whole.headers.get(LEFT_OUT)?.to_str().ok()?)?,
-        body: whole.body,
+        missing: parse_missing(complete_reply.headers.get(MISSING_SHARDS)?.to_str().ok()?)?,
+        body: complete_reply.body,
     })
 }
 
-/// Formats a missing shard for [`LEFT_OUT`].
+/// Formats a missing shard for [`MISSING_SHARDS`].
 fn format_missing(missing: &Missing) -> String {
     let names = missing
         .possible_servers
@@ -201,7 +203,8 @@
 
 impl PeerHandler {
     async fn answer(&self, req: Request<Incoming>) -> Response<Full<Bytes>> {
-        // A delegated request carries the caller's own path, which may equal ours, but always has an id header.
+        // A delegated request carries the caller's own path, which may equal one of these paths, but always has an id
+        // header.
         if req.uri().path() == SEED_STATE_PATH && !req.headers().contains_key(ID) {
             return self.seed_state();
         }
@@ -291,7 +294,7 @@
     let route = parse_number(h, &ROUTE).ok_or_else(|| missing(&ROUTE))?;
     let shards = parse_numbers(h, &SHARDS).ok_or_else(|| missing(&SHARDS))?;
     let hops = parse_number(h, &HOPS).ok_or_else(|| missing(&HOPS))?;
-    for name in OWN_HEADERS {
+    for name in DELEGATION_HEADERS {
         head.headers.remove(name);
     }
     // The length is set again for each server.
@@ -326,12 +329,12 @@
         return empty_response(StatusCode::BAD_GATEWAY, "stamps");
     };
     let mut res = Response::new(Full::new(page.body));
-    let left_out: Vec<String> = page.missing.iter().map(format_missing).collect();
-    let Ok(left_out) = text_value(&left_out.join(";")) else {
+    let missing: Vec<String> = page.missing.iter().map(format_missing).collect();
+    let Ok(missing) = text_value(&missing.join(";")) else {
         return empty_response(StatusCode::BAD_GATEWAY, "left-out");
     };
     res.headers_mut().insert(STAMPS, stamps);
-    res.headers_mut().insert(LEFT_OUT, left_out);
+    res.headers_mut().insert(MISSING_SHARDS, missing);
     res.headers_mut().insert(HELD_US, micros(held));
     res
 }
--- a/crates/edge/src/process.rs
+++ b/crates/edge/src/process.rs
@@ -117,7 +117,7 @@
             feed: this.feed.clone(),
             reachability,
             first_start: this.settings.vm.first_start,
-            renew_every: this.settings.platform.renew_every,
+            renewal_interval: this.settings.platform.renew_every,
             seed,
         };
         tokio::spawn(announcer.run());
@@ -144,7 +144,7 @@
     pub(crate) async fn open(&self) -> Result<GracefulShutdown> {
         let listen_on = &self.settings.listen;
         let callers = Server::new(listen(listen_on.callers, "callers").await?, DEFAULT_LIMITS);
-        self.state.set_callers(callers.limits());
+        self.state.set_caller_limits(callers.limits());
         let peers = Server::new(listen(listen_on.peers, "peers").await?, DEFAULT_LIMITS);
         let status = Server::new(listen(listen_on.status, "status").await?, DEFAULT_LIMITS);
         let counts = callers.state();
--- a/crates/edge/src/register/client.rs
+++ b/crates/edge/src/register/client.rs
@@ -59,12 +59,12 @@
                 .at(format!("GET {path}"))
                 .from_peer(addr.to_string())
         };
-        let whole = tokio::time::timeout(timeout, self.fetch(addr, path, timeout))
+        let complete_reply = tokio::time::timeout(timeout, self.fetch(addr, path, timeout))
             .await
             .map_err(|_| failed(ErrorKind::Unavailable, "no answer in time".into()))?
             .map_err(|text| failed(ErrorKind::Unavailable, text))?;
-        match whole.status {
-            StatusCode::OK => serde_json::from_slice(&whole.body)
+        match complete_reply.status {
+            StatusCode::OK => serde_json::from_slice(&complete_reply.body)
                 .map_err(|e| failed(ErrorKind::BadInput, format!("malformed answer: {e}"))),
             StatusCode::GONE => Err(failed(ErrorKind::NotFound, "forgotten".into())),
             status => Err(failed(
@@ -86,11 +86,11 @@
         let req = Request::get(path)
             .body(Full::new(Bytes::new()))
             .map_err(|e| e.to_string())?;
-        let whole = exchange(&mut lent, req, ANSWER_BYTES_MAX)
+        let complete_reply = exchange(&mut lent, req, ANSWER_BYTES_MAX)
             .await
             .map_err(|e| format!("{e:?}"))?;
         pool.put_back(lent);
-        Ok(whole)
+        Ok(complete_reply)
     }
 
     fn pool(&self, addr: SocketAddr) -> Result<Arc<ConnectionPool>> {
--- a/crates/edge/src/register/peer_queries.rs
+++ b/crates/edge/src/register/peer_queries.rs
@@ -112,7 +112,7 @@
         may
     }
 
-    /// Queries peers one after the other whether they reach the platform, until one does.
+    /// Queries peers in turn for whether they reach the platform, until one does.
     pub(super) async fn query_platform_status(&self) -> PeersPlatformStatus {
         let peers = lock(&self.selector).peers_to_query(now());
         let mut unreachable = Vec::new();
--- a/crates/edge/src/relay_client.rs
+++ b/crates/edge/src/relay_client.rs
@@ -88,6 +88,8 @@
                 self.request_log.record(&id, &path, is_delegated, &report);
                 report.outcome
             }
+            // The relay answers every request whose caller is connected; a sender dropped without a report is a fault
+            // of this process.
             Err(_) => {
                 log::error!("event=request-forgotten id={id}");
                 Outcome::Failed(FailReason::Failed)
--- a/crates/edge/src/request_log.rs
+++ b/crates/edge/src/request_log.rs
@@ -40,10 +40,10 @@
         let Some(suppressed) = lock(&self.rate_limit).try_acquire(Instant::now()) else {
             return;
         };
-        let (whole, parts) = e.parts;
+        let (complete, parts) = e.parts;
         log::info!(
             "event=request-end id={id} path={path} route={} version={} handed={is_delegated} \
-             outcome={outcome} reason={reason} took_ms={} objective_ms={} parts={whole}/{parts} \
+             outcome={outcome} reason={reason} took_ms={} objective_ms={} parts={complete}/{parts} \
              given_up={} extra={} left_out={suppressed}",
             e.route.as_ref().map_or("", LookupName::as_str),
             e.version.unwrap_or_default(),
--- a/crates/edge/src/servers.rs
+++ b/crates/edge/src/servers.rs
@@ -11,7 +11,8 @@
 use http_body_util::Full;
 use hyper::Request;
 
-/// The protocol of backend servers.
+/// The protocol of backend servers; `gs_platform` implements that of the platform, and the module `peers` that between
+/// VMs.
 pub trait ServerCodec: Send + Sync + 'static {
     /// Builds the request of an attempt; `left` is the time that its caller still waits.
     ///
@@ -21,7 +22,7 @@
     fn request(&self, d: &Dispatch, left: Duration) -> Result<Request<Full<Bytes>>>;
 
     /// Parses the complete reply to an attempt.
-    fn reply(&self, d: &Dispatch, whole: CompleteReply) -> ParsedReply;
+    fn reply(&self, d: &Dispatch, complete_reply: CompleteReply) -> ParsedReply;
 }
 
 /// Returns the caller's request to forward: its method, target, headers and body, unchanged.
--- a/crates/edge/src/settings.rs
+++ b/crates/edge/src/settings.rs
@@ -324,8 +324,8 @@
         seeds.filter(|addr| *addr != self.listen.peers).collect()
     }
 
-    /// Returns how long before the end of its objective an answer is sent: the network latency, and the time of the work
-    /// on it here.
+    /// Returns how long before the end of its objective an answer is sent: the network latency, and the time of the
+    /// work on it here.
     fn answer_margin(&self) -> Duration {
         let cores = self.vm.capacity.cores.clamp(CORES_MIN, 1.0);
         self.answers.margin + ANSWER_WORK.div_f64(cores)
--- a/crates/edge/src/shared_state.rs
+++ b/crates/edge/src/shared_state.rs
@@ -25,7 +25,7 @@
 pub(crate) struct SharedState {
     table: Mutex<Option<Arc<RouteTable>>>,
     /// The limits of the callers' server, which follow the routes in force.
-    callers: Mutex<Option<LiveLimits>>,
+    caller_limits: Mutex<Option<LiveLimits>>,
     has_servers: AtomicBool,
     /// The servers known from a peer before the directory listed any.
     seeded_servers: Mutex<Vec<String>>,
@@ -48,8 +48,8 @@
     }
 
     /// Sets the callers' server limits to follow the routes in force, now and as they change.
-    pub(crate) fn set_callers(&self, limits: LiveLimits) {
-        *lock(&self.callers) = Some(limits);
+    pub(crate) fn set_caller_limits(&self, limits: LiveLimits) {
+        *lock(&self.caller_limits) = Some(limits);
         self.apply_limits();
     }
 
@@ -58,7 +58,7 @@
         let Some(bounds) = self.limits() else {
             return;
         };
-        if let Some(callers) = lock(&self.callers).as_ref() {
+        if let Some(callers) = lock(&self.caller_limits).as_ref() {
             callers.set(Limits {
                 head_bytes_max: bounds.headers,
                 header_timeout: bounds.header_timeout,
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -2,6 +2,9 @@
 //!
 //! The crate does I/O only. `gs_query` decides which servers to query, when to hedge and what to answer: it receives
 //! lookups through [`LookupService`], and the results of attempts through [`EventSink`].
+//!
+//! `gs_edge`, whose decisions are made in `gs_relay`, uses only what does not depend on lookups: [`Server`],
+//! [`listen()`], [`read_body`], [`exchange()`] and [`ConnectionPool`].
 
 mod backend;
 mod body;
--- a/crates/limit/src/hedge.rs
+++ b/crates/limit/src/hedge.rs
@@ -19,7 +19,8 @@
 
 /// Decides after which time a part is hedged.
 pub trait HedgePolicy: Debug + Send {
-    /// Records that a part arrived, or its attempt was abandoned, after this time.
+    /// Records that a part arrived after this time, or that its attempt was cancelled unanswered
+    /// after it, so that its latency is longer but unknown.
     fn observe(&mut self, from: Distance, latency: Duration);
 
     /// Returns the time after which a part is hedged; `None` for never.
--- a/crates/relay/src/abandon.rs
+++ b/crates/relay/src/abandon.rs
@@ -11,11 +11,12 @@
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum AbandonReason {
-    /// The request's time was over, or the part had too many attempts.
+    /// The request's final response was due, or the part had too many attempts.
     UsedUp,
     /// A further attempt would exceed the budget of its service.
     Budget,
-    /// No server is left that may execute it.
+    /// No server is available for it now: none accepts work, each is in backoff, or as many as the
+    /// route allows may have executed it.
     NoServer,
     /// It may be executed only once, and may have been.
     Once,
--- a/crates/relay/src/action.rs
+++ b/crates/relay/src/action.rs
@@ -21,7 +21,7 @@
     pub id: Arc<str>,
     /// The request as forwarded.
     pub content: Arc<OpaqueRequest>,
-    /// How long the caller still waits; it is sent to the server.
+    /// How long the caller still waits, limited by the route's timeout; it is sent to the server.
     pub time_left: Duration,
     /// Timeout of the attempt; at most `time_left`.
     pub attempt_timeout: Duration,
@@ -50,7 +50,7 @@
     pub parts_wanted: usize,
     /// The shards wanted, by their number in the route.
     pub shards: Vec<u16>,
-    /// Number of VMs that the request has passed.
+    /// How many times the request has been delegated, this time included.
     pub hops: u8,
 }
 
@@ -60,20 +60,21 @@
     /// Send an attempt to a backend server or a peer.
     Send(Dispatch),
     /// Stop an attempt; if it was sent, close its connection so that the server drops the work.
+    /// Returned only when a caller disconnects; the attempts of an answered request continue.
     Cancel(AttemptKey),
     /// Send the final response to the caller of this request, without delay; returned once for each
-    /// request.
+    /// request, except for one whose caller disconnected.
     Answer(LookupSeq, Box<RequestReport>),
     /// Notify the other VMs that this request crashes servers.
     Quarantine(Fingerprint),
     /// Send [`crate::Event::Tick`] after this time at the latest.
     Wake(Duration),
-    /// Hold at most `connections_max` connections to this server, and keep `connections_min` of
-    /// them open.
+    /// Hold at most `connections_max` connections to this server, and open connections now until
+    /// there are `connections_min`. Those that close later are not reopened in advance.
     Connect {
         /// The server.
         server: Arc<ServerEntry>,
-        /// The number of connections to keep open.
+        /// The number of connections to open now, counting those that are open already.
         connections_min: Connections,
         /// The largest number of connections.
         connections_max: Connections,
--- a/crates/relay/src/active_request.rs
+++ b/crates/relay/src/active_request.rs
@@ -22,7 +22,7 @@
 /// State of one part of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PartState {
-    /// Waits for a connection.
+    /// Waits in the queue of its service.
     Waiting(Cause),
     /// Delegated to a peer.
     Bundled,
@@ -30,7 +30,7 @@
     Running,
     /// Its answer has arrived.
     Complete,
-    /// No further attempt is made.
+    /// No further attempt is made, and no answer is accepted; it stays in this state.
     Abandoned,
 }
 
@@ -88,7 +88,7 @@
     pub(crate) caller_timeout: Duration,
     /// The shards wanted, if another VM has delegated parts.
     pub(crate) shards_wanted: Option<Vec<u16>>,
-    /// Number of VMs that it has passed.
+    /// How many times it has been delegated on the way to this VM.
     pub(crate) hops: u8,
     /// The fewest parts that make an answer.
     pub(crate) parts_min: usize,
@@ -97,11 +97,16 @@
     /// Parts delegated to peers.
     pub(crate) bundles: SmallVec<[Bundle; 2]>,
     pub(crate) parts: Vec<Part>,
+    /// Number of complete parts.
     pub(crate) complete: usize,
+    /// Number of abandoned parts.
     pub(crate) abandoned: usize,
+    /// Hedges and retries of its parts so far.
     pub(crate) extra_attempts: u32,
-    /// Whether a server has executed a part of it without crashing.
+    /// Whether a server has answered an attempt at one of its parts, and so executed it without
+    /// crashing.
     pub(crate) executed_without_crash: bool,
+    /// When it is checked next.
     pub(crate) timer: Option<Instant>,
     /// When to retry, if a peer had no capacity for it.
     pub(crate) retry_after: Option<Duration>,
@@ -140,6 +145,7 @@
         { attempts }.chain(bundles).any(Attempt::may_have_run)
     }
 
+    /// Returns the time until the final response must be sent.
     pub(crate) fn time_to_answer(&self, now: Instant) -> Duration {
         self.answer_by.saturating_duration_since(now)
     }
--- a/crates/relay/src/admission.rs
+++ b/crates/relay/src/admission.rs
@@ -160,6 +160,8 @@
 
     /// Returns `Some` if too few parts have an available server for an answer, with the time at
     /// which the next server becomes available, if that is known.
+    ///
+    /// On a split route the service is drawn here and again when the request starts.
     fn unreachable_until(
         &mut self,
         now: Instant,
--- a/crates/relay/src/arrival.rs
+++ b/crates/relay/src/arrival.rs
@@ -146,7 +146,9 @@
         })
     }
 
-    /// Returns the parts of a request on a route, restricted to the given shards if there are any.
+    /// Creates the parts of a request on a route, restricted to the given shards if there are any.
+    ///
+    /// On a split route each call draws the service at random.
     pub(crate) fn create_parts(&mut self, route: &Route, shards: Option<&[u16]>) -> Vec<Part> {
         let services = match &route.target {
             Target::One(weighted) => {
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -7,14 +7,15 @@
 
 use crate::servers::ServerKey;
 
-/// Identifies an attempt within this process.
+/// Identifies an attempt within this process: one at a part, or the delegation of a bundle of parts
+/// to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptKey {
     /// The request.
     pub lookup: LookupSeq,
-    /// The part of the request, from 0.
+    /// The position of the part in the request, from 0; [`u16::MAX`] for a bundle.
     pub part: u16,
-    /// Number of the attempt at the part, from 0.
+    /// Number of the attempt at the part, from 0; for a bundle, its number in the request, from 0.
     pub attempt: u16,
 }
 
@@ -28,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum Cause {
-    /// It is the initial attempt at its part.
+    /// It is the initial attempt at its part, or repeats one that did not reach its server.
     First,
     /// The previous attempt is slow.
     Hedge,
@@ -47,7 +48,7 @@
     NotRun,
 }
 
-/// An attempt at one part.
+/// An attempt at one part, or the delegation of a bundle.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
     pub(crate) server: ServerKey,
--- a/crates/relay/src/attempt_end.rs
+++ b/crates/relay/src/attempt_end.rs
@@ -118,7 +118,7 @@
                 request.executed_without_crash = true;
                 if !self.suspects.is_empty() {
                     self.suspects
-                        .note_survived(request.req.fingerprint(), service);
+                        .note_executed(request.req.fingerprint(), service);
                 }
             }
             _ => {}
@@ -126,11 +126,11 @@
     }
 
     /// Records that servers which a peer queried executed the request without crashing.
-    pub(crate) fn note_survived_at_peer(&mut self, request: &mut ActiveRequest) {
+    pub(crate) fn note_executed_at_peer(&mut self, request: &mut ActiveRequest) {
         request.executed_without_crash = true;
         if !self.suspects.is_empty() {
             self.suspects
-                .note_survived_somewhere(request.req.fingerprint());
+                .note_executed_by_unknown(request.req.fingerprint());
         }
     }
 
--- a/crates/relay/src/bundle.rs
+++ b/crates/relay/src/bundle.rs
@@ -1,4 +1,5 @@
-//! Bundles: batches of parts delegated to one peer, from their dispatch to their end.
+//! Starts requests, and handles their bundles: batches of parts delegated to one peer, from their
+//! dispatch to their end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -64,6 +65,7 @@
         }
     }
 
+    /// Makes the initial attempt at a part from this VM.
     fn start_part(
         &mut self,
         now: Instant,
@@ -76,6 +78,7 @@
         self.try_part(now, request, index, Cause::First, out);
     }
 
+    /// Delegates parts to a peer.
     fn send_bundle(
         &mut self,
         now: Instant,
@@ -150,6 +153,12 @@
     }
 
     /// Handles the end of a bundle.
+    ///
+    /// - If the peer returned a page, the parts on it are complete. The missing ones are retried if
+    ///   fewer parts of the request are complete than are wanted, and abandoned otherwise.
+    /// - If the peer had no capacity, the parts are abandoned.
+    /// - If nothing was run there for another reason, the parts are started from this VM.
+    /// - After any other end, any server may have executed the parts, and they are retried.
     pub(crate) fn on_bundle_ended(
         &mut self,
         now: Instant,
@@ -212,6 +221,7 @@
         }
     }
 
+    /// Applies the page that a peer returned for a bundle.
     fn apply_page(
         &mut self,
         now: Instant,
@@ -232,7 +242,7 @@
             }
         }
         if !page.stamps.is_empty() {
-            self.note_survived_at_peer(request);
+            self.note_executed_at_peer(request);
         }
         request.bundles[n].page = Some(page);
         // The peer has already waited for the missing parts, so they are retried only if fewer
--- a/crates/relay/src/completion.rs
+++ b/crates/relay/src/completion.rs
@@ -1,4 +1,9 @@
-//! Decides when a fan-out returns its page: when it is complete, or at the objective.
+//! Decides when a request is answered or fails.
+//!
+//! A request is answered when no part is unfinished, when so many are abandoned that the wanted
+//! number cannot be reached, or at the objective if that number is complete. With fewer, it waits
+//! until the final response must be sent. It fails as soon as fewer than the minimum can be
+//! complete, or at that time if fewer are. A request to a single server has one part.
 //!
 //! Among many shards one often stalls for longer than the objective or has lost all its replicas.
 //! The value of a page is the square of its coverage while it is on time and next to nothing later,
--- a/crates/relay/src/connection_shares.rs
+++ b/crates/relay/src/connection_shares.rs
@@ -23,10 +23,10 @@
 /// Connections to a server whose service no route names.
 const UNDECLARED_CONNECTIONS_MAX: Connections = Connections(1);
 
-/// Connections kept open to each server in this VM's data centre, if its share allows.
+/// Connections opened in advance to each server in this VM's data centre, if its share allows.
 const LOCAL_CONNECTIONS_MIN: u32 = 2;
 
-/// Connections kept open to each server in another data centre.
+/// Connections opened in advance to each server in another data centre.
 const REMOTE_CONNECTIONS_MIN: u32 = 1;
 
 /// This VM's shares of the connections to servers.
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Returns the number of connections to keep open to a server of a service.
+    /// Returns the number of connections to open in advance to a server of a service.
     ///
     /// The servers of a repartitioned index register before routes name them. Connections from all
     /// VMs would then exceed what the servers accept, and each connection occupies a slot for a
--- a/crates/relay/src/counters.rs
+++ b/crates/relay/src/counters.rs
@@ -11,7 +11,8 @@
     pub refused: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Requests answered after their objective.
+    /// Requests answered after their objective, also with a failure forwarded from a server; those
+    /// that failed are counted in `failed` only.
     pub late: u64,
     /// Pages without every shard.
     pub partial: u64,
--- a/crates/relay/src/crash_suspects.rs
+++ b/crates/relay/src/crash_suspects.rs
@@ -2,7 +2,7 @@
 //!
 //! A single request may crash each server that starts it while its caller repeats it, at every VM
 //! in turn; each time a whole shard, or with a fan-out all of them, is lost for seconds. A request
-//! that breaks connections and is never answered is refused for a while, and every VM is notified.
+//! that breaks connections and is never answered is refused for 30 s, and every VM is notified.
 //! The same holds for a request that one shard never answers, if it crashed servers of that shard
 //! again after they had restarted.
 
@@ -83,6 +83,7 @@
         self.shards.note_crash(now, request, service, server);
     }
 
+    /// Counts a crash against a request.
     fn count(&mut self, now: Instant, request: Fingerprint, server: ServerKey) {
         if self.suspects.len() >= SUSPECTS_MAX && !self.suspects.contains_key(&request) {
             return;
@@ -125,11 +126,12 @@
         &mut self,
         now: Instant,
         request: Fingerprint,
-        survived: bool,
+        executed_without_crash: bool,
     ) -> bool {
         let is_proved =
             |s: &Suspect| s.crashes >= CRASHES_MAX && s.servers.len() >= CRASHED_SERVERS_MIN;
-        let is_suspect_proved = !survived && self.suspects.get(&request).is_some_and(is_proved);
+        let is_suspect_proved =
+            !executed_without_crash && self.suspects.get(&request).is_some_and(is_proved);
         if !is_suspect_proved && !self.shards.is_proved(now, request) {
             return false;
         }
@@ -139,13 +141,13 @@
     }
 
     /// Records that a server of a service executed the request without crashing.
-    pub(crate) fn note_survived(&mut self, request: Fingerprint, service: &ServiceName) {
+    pub(crate) fn note_executed(&mut self, request: Fingerprint, service: &ServiceName) {
         self.suspects.remove(&request);
-        self.shards.note_survived(request, service);
+        self.shards.note_executed(request, service);
     }
 
     /// Records that an unknown server executed the request without crashing.
-    pub(crate) fn note_survived_somewhere(&mut self, request: Fingerprint) {
+    pub(crate) fn note_executed_by_unknown(&mut self, request: Fingerprint) {
         self.suspects.remove(&request);
     }
 
--- a/crates/relay/src/delegation.rs
+++ b/crates/relay/src/delegation.rs
@@ -2,8 +2,9 @@
 //!
 //! A shard may have no replica in this VM's data centre, so that traffic between data centres would
 //! be paid for each of its parts; and a weak VM takes longer to assemble a page of 90 parts than
-//! the objective allows. Such parts are delegated to a better placed VM, which queries all of them
-//! and returns one page.
+//! the objective allows, or has too few connections to the shards. Such parts are delegated to a
+//! better placed VM, which queries all of them and returns one page. The VMs that query shards are
+//! chosen by `fan_out_vms`.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -30,8 +31,8 @@
 /// The service under which peers are kept in the list of backend servers; no route leads to it.
 const PEER_SERVICE: &str = "_peers";
 
-/// The most VMs between a caller and a server: a weak VM, a strong VM in the same data centre, and
-/// one in the data centre of the replica.
+/// The most times that a request is delegated: from a weak VM to a strong one in the same data
+/// centre, and from there to one in the data centre of the replica.
 const HOPS_MAX: u8 = 2;
 
 /// The fewest parts that are delegated as a bundle: a page of one part costs as much as the part.
@@ -85,6 +86,7 @@
         self.connect_peers(now, out);
     }
 
+    /// Builds the plans of all fan-outs, and notes the peers that they name.
     fn build_plans(&mut self) {
         let Some(table) = self.table.clone() else {
             return;
@@ -163,6 +165,7 @@
         self.mark_plans_stale(now);
     }
 
+    /// Returns the plan of a fan-out.
     fn build_plan(&self, route: &Route) -> FanOutPlan {
         let Target::Scatter(scatter) = &route.target else {
             return FanOutPlan::default();
@@ -184,14 +187,17 @@
         plan
     }
 
-    /// Returns the plan of a weak VM, which delegates all shards to the fan-out VMs nearest to it.
+    /// Returns the plan of a VM that runs no fan-outs.
+    ///
+    /// All shards are delegated to the fan-out VMs of its data centre, or of another one in its
+    /// region. If there are none, it queries the shards itself.
     fn plan_delegating_all(&self, shards: usize) -> FanOutPlan {
-        let strong = self
+        let fan_out_vms = self
             .peer_vms
             .vms()
             .iter()
             .filter(|vm| self.connection_shares.is_fan_out_vm(vm));
-        let near = strong.filter(|vm| vm.region == self.options.region);
+        let near = fan_out_vms.filter(|vm| vm.region == self.options.region);
         let data_centres: BTreeSet<&DataCentre> = near.map(|vm| &vm.data_centre).collect();
         let own = &self.options.data_centre;
         let nearest = data_centres.get(own).or_else(|| data_centres.first());
@@ -233,8 +239,8 @@
     fn fan_out_vms_in(&self, data_centre: &DataCentre) -> Vec<ServerName> {
         let vms = self.peer_vms.vms().iter();
         let there = vms.filter(|vm| vm.data_centre == *data_centre && vm.name != self.options.vm);
-        let strong = there.filter(|vm| self.connection_shares.is_fan_out_vm(vm));
-        strong.filter_map(peer_name).collect()
+        let fan_out_vms = there.filter(|vm| self.connection_shares.is_fan_out_vm(vm));
+        fan_out_vms.filter_map(peer_name).collect()
     }
 
     /// Returns whether a shard of a route is delegated to a peer.
--- a/crates/relay/src/dispatch.rs
+++ b/crates/relay/src/dispatch.rs
@@ -32,7 +32,7 @@
 
 impl Core {
     /// Makes an attempt at a part if a server is available and the budget allows it; otherwise
-    /// queues or abandons the part.
+    /// queues the part if a server may become free, or abandons it.
     pub(crate) fn try_part(
         &mut self,
         now: Instant,
@@ -100,7 +100,7 @@
         is_taken
     }
 
-    /// Abandons a part for the given reason.
+    /// Abandons a part for the given reason, which is final.
     pub(crate) fn abandon_part(
         &mut self,
         request: &mut ActiveRequest,
--- a/crates/relay/src/event.rs
+++ b/crates/relay/src/event.rs
@@ -16,7 +16,7 @@
 /// A caller's request, with the number that the I/O driver (shell) assigned to it.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The number, unique in this process.
+    /// The number of the request, unique in this process.
     pub seq: LookupSeq,
     /// The request.
     pub req: CallerRequest,
@@ -38,7 +38,7 @@
     pub parts_wanted: usize,
     /// The shards wanted, by their number in the route.
     pub shards: Vec<u16>,
-    /// Number of VMs that the request has passed.
+    /// How many times the request has been delegated, this time included.
     pub hops: u8,
 }
 
--- a/crates/relay/src/finish.rs
+++ b/crates/relay/src/finish.rs
@@ -70,6 +70,7 @@
         true
     }
 
+    /// Returns a time of the request, postponed if it passed during a pause of this process.
     fn postpone_for_pause(&self, at: Instant) -> Instant {
         self.process_pause.map_or(at, |s| s.postpone(at))
     }
@@ -176,8 +177,8 @@
 
 /// Returns the outcome of a request without a success.
 ///
-/// A server's own failure is forwarded unchanged. If nothing was executed, the request is refused,
-/// which allows the caller to retry.
+/// A server's own failure is forwarded unchanged. If nothing was executed, for example because
+/// every server refused, the request is refused as for overload, which allows the caller to retry.
 fn failure_outcome(now: Instant, request: &mut ActiveRequest) -> Outcome {
     let failures = request.parts.iter_mut().filter_map(|p| p.answer.take());
     if !request.route.is_scatter()
--- a/crates/relay/src/hedge.rs
+++ b/crates/relay/src/hedge.rs
@@ -1,4 +1,5 @@
-//! Decides after which delay a slow attempt is hedged on another server.
+//! Learns the times of a route's attempts: the delay after which a slow one is hedged on another
+//! server, and the mean execution time, from which `placement` estimates response times.
 //!
 //! With 20 shards on one server each, two of three fan-outs encounter a stall of 200 ms somewhere,
 //! which is longer than the objective. The delay is learned for each route and distance, so that
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,10 +1,17 @@
 //! Relays opaque requests on routes to one server of a service, or to one server of each shard.
 //!
 //! [`Relay`] is a state machine without I/O: it processes [`Event`]s and returns [`Action`]s, and
-//! the current time is passed in. Each policy has its own module: `placement` chooses the server of
-//! an attempt, `hedge` the delay before a hedged attempt, `budget` limits extra attempts,
-//! `completion` decides when a page is returned and `admission` which requests are refused on
-//! arrival.
+//! the current time is passed in. Each policy has its own module:
+//!
+//! - `admission` decides which requests are refused on arrival,
+//! - `delegation` which parts are delegated to other VMs, in the batches that `bundle` sends,
+//! - `placement` chooses the server of an attempt, and `queue` orders the parts that wait for one,
+//! - `hedge` learns the delay before a hedged attempt, and `budget` limits extra attempts,
+//! - `completion` decides when a request is answered or fails,
+//! - `crash_suspects` quarantines requests that crash servers.
+//!
+//! What this crate calls a request is a lookup in the names of the id types that it shares with
+//! other crates: a `LookupSeq` numbers a request, and a `LookupName` names a route.
 
 mod abandon;
 mod action;
--- a/crates/relay/src/outcome.rs
+++ b/crates/relay/src/outcome.rs
@@ -39,7 +39,8 @@
     NotReady,
     /// No route matches it.
     NoRoute,
-    /// It cannot be served in time at the current load.
+    /// Too many requests are in flight, it is not expected in time, or none of its attempts was
+    /// executed, for example because every server refused it.
     Overload,
     /// Too few of its shards, or no server of its service, can be reached.
     NoServer,
@@ -53,9 +54,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, strum::Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum FailReason {
-    /// Its time was over.
+    /// The final response was due before enough parts were complete.
     Late,
-    /// Too many of its attempts failed.
+    /// Too many of its parts were abandoned before that.
     Failed,
 }
 
--- a/crates/relay/src/placement.rs
+++ b/crates/relay/src/placement.rs
@@ -48,7 +48,7 @@
 pub(crate) enum Placement {
     /// To this server now, which is expected to answer after this time.
     Now(ServerKey, Duration),
-    /// To the first server of the service that has a free connection.
+    /// To the first suitable server that has a free connection and is below its in-flight limit.
     Wait,
     /// To no server; the time is that at which the next one becomes available, if known.
     Unavailable(Option<Instant>),
@@ -140,6 +140,8 @@
         available.iter().map(time_at).min()
     }
 
+    /// Chooses the server with the lowest expected response time, penalties included, among those
+    /// that `wanted` accepts; it is passed the last attempt of the part at the server, if any.
     fn choose_among(
         &self,
         part: &Part,
@@ -150,7 +152,7 @@
         if may_all_have_run && servers.len() > usize::from(self.servers_max) {
             return Placement::Unavailable(None);
         }
-        let used = AllPossibleServers::of(part, self.servers);
+        let possible = AllPossibleServers::of(part, self.servers);
         let mut best: Option<(ServerKey, Duration, Duration)> = None;
         let mut must_wait = false;
         let mut retry_at: Option<Instant> = None;
@@ -159,8 +161,9 @@
                 continue;
             };
             let tried = part.attempts.iter().rfind(|a| a.server == *key);
-            let is_new = !used.contains(*key, view);
-            if !wanted(view, tried) || (is_new && used.count() >= usize::from(self.servers_max)) {
+            let is_new = !possible.contains(*key, view);
+            if !wanted(view, tried) || (is_new && possible.count() >= usize::from(self.servers_max))
+            {
                 continue;
             }
             if let Some(backoff_end) = view.backoff_until(self.now) {
@@ -202,6 +205,8 @@
         (slots * rounds / f64::from(self.sending_vms)).ceil() as usize
     }
 
+    /// Returns the time added to the expected response time of a server that is remote, failing or
+    /// stalled.
     fn penalty(&self, view: &ServerView, expected: Duration) -> Duration {
         let mut cost = FAILURE_PENALTY.mul_f64(view.failure_rate(self.now));
         if view.entry.data_centre != *self.data_centre {
@@ -214,7 +219,7 @@
     }
 }
 
-/// The servers that have executed a part or may have, for this VM or for its peers.
+/// The servers that may have executed a part, for this VM or for its peers.
 ///
 /// It prevents a part from being executed by more servers than its route allows. With three
 /// replicas, a peer may query two of them without success and report the part as missing, and this
@@ -226,8 +231,8 @@
 
 impl<'a> AllPossibleServers<'a> {
     fn of(part: &'a Part, servers: &Servers) -> Self {
-        let used = part.attempts.iter().filter(|a| a.may_have_run());
-        let mut own: SmallVec<[ServerKey; 4]> = used.map(|a| a.server).collect();
+        let may_have_run = part.attempts.iter().filter(|a| a.may_have_run());
+        let mut own: SmallVec<[ServerKey; 4]> = may_have_run.map(|a| a.server).collect();
         own.sort_unstable();
         own.dedup();
         let is_own = |name: &&ServerName| {
--- a/crates/relay/src/queue.rs
+++ b/crates/relay/src/queue.rs
@@ -1,6 +1,7 @@
-//! Queues of parts that wait for a connection, one for each service.
+//! Queues of parts that wait for a server, one for each service.
 //!
-//! A part is queued when every connection of this VM to a shard's replicas is busy, as after both
+//! A part is queued when each available server of its service has all connections of this VM busy,
+//! or as many of its attempts in flight as are executed in time, as after both replicas of a shard
 //! have stalled. Parts of higher priority are dispatched first, then those of older requests.
 
 use std::time::Instant;
@@ -32,7 +33,7 @@
 }
 
 impl Relay {
-    /// Dispatches queued parts of the services of which a server has freed a connection.
+    /// Dispatches queued parts of the services whose servers may have become free.
     pub(crate) fn dispatch_waiting(&mut self, now: Instant, out: &mut Vec<Action>) {
         while let Some(service) = self.core.services_to_dispatch.pop() {
             while let Some(w) = self.first_queued(&service) {
@@ -48,7 +49,7 @@
         s.waiting.first().copied()
     }
 
-    /// Dispatches the first part of a queue; returns `false` if it has to keep waiting.
+    /// Dispatches or abandons the first part of a queue; returns `false` if it has to keep waiting.
     fn dispatch_queued(
         &mut self,
         now: Instant,
--- a/crates/relay/src/registration.rs
+++ b/crates/relay/src/registration.rs
@@ -147,6 +147,7 @@
         }
     }
 
+    /// Removes a server, and closes its connections as they become idle.
     pub(crate) fn remove(&mut self, name: &ServerName, out: &mut Vec<Action>) {
         self.servers.remove(name);
         out.push(Action::Disconnect(name.clone()));
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -41,7 +41,7 @@
 pub struct Relay {
     pub(crate) core: Core,
     pub(crate) requests: HashMap<LookupSeq, Box<ActiveRequest>>,
-    /// Requests of which attempts have ended since they were last checked for completion.
+    /// Requests with attempts that ended since the last check for completion.
     pub(crate) ended_since_check: BTreeSet<LookupSeq>,
     wake_at: Option<Instant>,
 }
@@ -56,6 +56,7 @@
     pub(crate) route_times: HashMap<LookupName, RouteTimes>,
     /// Attempts in flight whose request has ended, with their server, dispatch time and route.
     pub(crate) orphaned_attempts: HashMap<AttemptKey, (ServerKey, Instant, LookupName)>,
+    /// When requests are checked next.
     pub(crate) timers: BTreeSet<(Instant, LookupSeq)>,
     /// Requests suspected of crashing servers, and those in quarantine.
     pub(crate) suspects: CrashSuspects,
@@ -81,9 +82,10 @@
     pub(crate) rebuild_plans_at: Option<Instant>,
     /// Servers whose register entry is missing, with the time at which they are removed.
     pub(crate) missing_servers: HashMap<ServerName, Instant>,
-    /// Services of which a server has a newly freed connection or may now have more connections,
-    /// since their queue was last dispatched.
+    /// Services whose queue is to be dispatched: an attempt at one of their servers has ended, or
+    /// the connections to one were assigned again.
     pub(crate) services_to_dispatch: Vec<ServiceName>,
+    /// Number of requests in flight.
     pub(crate) in_flight: usize,
     /// The last pause of this process.
     pub(crate) process_pause: Option<ProcessPause>,
@@ -213,6 +215,7 @@
         }
     }
 
+    /// Handles the expired timers.
     fn tick(&mut self, now: Instant, out: &mut Vec<Action>) {
         let wake_due = self.wake_at.take();
         if let Some(process_pause) = ProcessPause::detect(wake_due, now) {
@@ -237,7 +240,7 @@
         }
     }
 
-    /// Postpones the timers that expired during a pause of this process.
+    /// Postpones the request timers that expired during a pause of this process.
     fn postpone_timers(&mut self, now: Instant, process_pause: ProcessPause) {
         self.core.process_pause = Some(process_pause);
         let due = self.core.timers.iter().take_while(|(at, _)| *at <= now);
@@ -270,6 +273,7 @@
         }
     }
 
+    /// Requests a wake-up for the next timer, unless one is due by then.
     fn wake(&mut self, now: Instant, out: &mut Vec<Action>) {
         let first = self.core.timers.first().map(|(at, _)| *at);
         let removal = self.core.missing_servers.values().min().copied();
@@ -309,7 +313,8 @@
             .or_insert_with(|| RouteTimes::new(route.objective, quantile))
     }
 
-    /// Sets the time at which a request is checked next, if that is earlier than the planned time.
+    /// Schedules a check of a request for the given time, or for when its final response must be
+    /// sent if that is earlier; a check that is due sooner stays.
     pub(crate) fn schedule_check(&mut self, request: &mut ActiveRequest, at: Instant) {
         let at = at.min(request.answer_by);
         if request.timer.is_some_and(|planned| planned <= at) {
@@ -320,6 +325,7 @@
         self.timers.insert((at, request.seq));
     }
 
+    /// Cancels the scheduled check of a request.
     pub(crate) fn cancel_check(&mut self, request: &mut ActiveRequest) {
         if let Some(at) = request.timer.take() {
             self.timers.remove(&(at, request.seq));
--- a/crates/relay/src/reply.rs
+++ b/crates/relay/src/reply.rs
@@ -52,13 +52,14 @@
     Overloaded(Duration),
     /// Another server has the address; nothing was executed.
     WrongServer,
-    /// No connection was available; nothing was sent.
+    /// Nothing was sent: no connection was available, the idle one was found closed, the request
+    /// could not be built, or the attempt was cancelled before.
     NotSent,
     /// The connection broke after the request was sent; it may have been executed.
     Broken,
     /// The answer was truncated, malformed or that of another attempt; it may have been executed.
     Garbled,
-    /// No answer arrived within the attempt's timeout; it may have been executed.
+    /// No answer arrived within the attempt's timeout, which is given; it may have been executed.
     Late(Duration),
     /// A peer returned a page of the parts that it received, with the time for which it held the
     /// request, if it reports that.
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -80,19 +80,23 @@
     pub(crate) is_in_subset: bool,
     /// This VM's attempts in flight, with their dispatch times.
     pub(crate) outstanding: SmallVec<[(AttemptKey, Instant); 4]>,
-    /// Number of open connections of this VM.
+    /// Number of this VM's connections that are open.
     pub(crate) open_connections: u32,
-    /// The largest number of connections of this VM.
+    /// The largest number of connections that this VM may hold.
     pub(crate) connections_max: u32,
-    /// Address, connections to keep open and most connections of the last connect action.
+    /// Address, connections to open and most connections of the last connect action.
     pub(crate) last_connect: Option<(SocketAddr, Connections, Connections)>,
     slow_start_until: Instant,
+    /// The slowness, and when it was updated.
     slowness: (f64, Instant),
     /// When the last held-up answer arrived; `None` after an attempt dispatched later was answered
     /// in normal time.
     held_up: Option<Instant>,
+    /// The failure rate, and when it was updated.
     failure_rate: (f64, Instant),
+    /// The load last reported, with the number of this VM's attempts in flight then, and when.
     load: Option<(Load, u32, Instant)>,
+    /// Number of backoffs in a row.
     backoffs: u32,
     backoff_until: Option<Instant>,
     last_contact: Option<Instant>,
@@ -214,8 +218,8 @@
         ((self.attempts_ahead(now) + waiting + 1.0 - slots) / slots).max(0.0)
     }
 
-    /// Returns the dispatch time of the oldest attempt in flight if nothing was received since;
-    /// otherwise `None`.
+    /// Returns the dispatch time of the oldest attempt in flight; `None` if something was received
+    /// since then, or no attempt is in flight.
     pub(crate) fn unanswered_since(&self) -> Option<Instant> {
         let oldest = self.outstanding.iter().map(|(_, at)| *at).min()?;
         match self.last_contact {
@@ -288,7 +292,10 @@
         self.note_load(now, load);
     }
 
-    /// Records an attempt that ended with a broken connection, a malformed answer or a timeout.
+    /// Records an attempt that ended with a broken connection, a malformed answer, or a timeout
+    /// during which the server answered others.
+    ///
+    /// Unlike [`Self::on_unreachable`], it starts no backoff.
     pub(crate) fn on_broken(&mut self, now: Instant) {
         self.note_failure(now, true);
     }
--- a/crates/relay/src/shard_crashes.rs
+++ b/crates/relay/src/shard_crashes.rs
@@ -83,7 +83,7 @@
     }
 
     /// Records that a server of a service executed the request without crashing.
-    pub(crate) fn note_survived(&mut self, request: Fingerprint, service: &ServiceName) {
+    pub(crate) fn note_executed(&mut self, request: Fingerprint, service: &ServiceName) {
         if let Some(shards) = self.requests.get_mut(&request) {
             shards.retain(|r| r.service != *service);
             if shards.is_empty() {
--- a/crates/relay/src/timers.rs
+++ b/crates/relay/src/timers.rs
@@ -1,4 +1,5 @@
-//! Handles the timer of a request: hedges, the objective and the deadline.
+//! Checks a request when its timer expires: hedges slow attempts and schedules the next check, for
+//! the end of a hedge delay, the objective or the time at which the final response must be sent.
 
 use std::time::Instant;
 
