--- a/crates/edge/src/register/peer_queries.rs
+++ b/crates/edge/src/register/peer_queries.rs
@@ -112,7 +112,7 @@
         may
     }
 
-    /// Asks peers, one after the other, whether they reach the platform, until one does.
+    /// Queries peers in turn for whether they reach the platform, until one does.
     pub(super) async fn query_platform_status(&self) -> PeersPlatformStatus {
         let peers = lock(&self.selector).peers_to_query(now());
         let mut unreachable = Vec::new();
@@ -155,5 +155,5 @@
 /// Returns the error for peers that cannot reach the platform; `who` names them.
 pub(super) fn platform_unreachable(who: &str) -> Error {
     let text = format!("{who} cannot reach the platform");
-    Error::new(ErrorKind::Unavailable, text).at("query peers")
+    Error::new(ErrorKind::Unavailable, text).at("ask a peer")
 }
--- a/crates/relay/src/completion.rs
+++ b/crates/relay/src/completion.rs
@@ -1,4 +1,9 @@
-//! Decides when a fan-out returns its page: when it is complete, or at the objective.
+//! Decides when a request is answered or fails.
+//!
+//! A request is answered when no part is unfinished, when so many are abandoned that the wanted
+//! number cannot be reached, or at the objective if that number is complete. With fewer, it waits
+//! until the final response must be sent. It fails as soon as fewer than the minimum can be
+//! complete, or at that time if fewer are. A request to a single server has one part.
 //!
 //! Among many shards one often stalls for longer than the objective or has lost all its replicas.
 //! The value of a page is the square of its coverage while it is on time and next to nothing later,
@@ -44,12 +49,12 @@
 /// but better than none, so it receives those that have arrived.
 #[must_use]
 pub fn decide_completion(now: Instant, p: &Progress) -> CompletionDecision {
-    let open = p.parts - p.complete - p.abandoned;
-    let can_come = p.complete + open;
+    let unfinished = p.parts - p.complete - p.abandoned;
+    let can_come = p.complete + unfinished;
     if can_come < p.parts_min {
         return CompletionDecision::Fail;
     }
-    let is_all = open == 0 || can_come < p.parts_wanted;
+    let is_all = unfinished == 0 || can_come < p.parts_wanted;
     let is_enough = p.complete >= p.parts_wanted && now >= p.objective_at;
     if is_all || is_enough {
         return CompletionDecision::Deliver;
--- a/crates/relay/src/connection_shares.rs
+++ b/crates/relay/src/connection_shares.rs
@@ -23,10 +23,10 @@
 /// Connections to a server whose service no route names.
 const UNDECLARED_CONNECTIONS_MAX: Connections = Connections(1);
 
-/// Connections kept open to each server in this VM's data centre, if its share allows.
+/// Connections opened in advance to each server in this VM's data centre, if its share allows.
 const LOCAL_CONNECTIONS_MIN: u32 = 2;
 
-/// Connections kept open to each server in another data centre.
+/// Connections opened in advance to each server in another data centre.
 const REMOTE_CONNECTIONS_MIN: u32 = 1;
 
 /// This VM's shares of the connections to servers.
@@ -107,8 +107,8 @@
                 knows_vms: false,
                 runs_fan_outs: true,
                 fan_out_vm_names: HashSet::new(),
-                fan_out_vms: VmCount::of(core.options.peers as usize),
-                all_vms: VmCount::of(core.options.peers as usize),
+                fan_out_vms: VmCount::of(core.options.vms_assumed as usize),
+                all_vms: VmCount::of(core.options.vms_assumed as usize),
                 subsets: HashMap::new(),
                 scarce: HashSet::new(),
             };
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Returns the number of connections to keep open to a server of a service.
+    /// Returns the number of connections to open in advance to a server of a service.
     ///
     /// The servers of a repartitioned index register before routes name them. Connections from all
     /// VMs would then exceed what the servers accept, and each connection occupies a slot for a
@@ -258,12 +258,15 @@
         };
         let views = core.servers.of(service).iter();
         let views = views.filter_map(|key| core.servers.get(*key));
-        let open: Vec<&ServerEntry> = views.filter(|v| v.is_open()).map(|v| &*v.entry).collect();
+        let accepting: Vec<&ServerEntry> = views
+            .filter(|v| v.accepts_work())
+            .map(|v| &*v.entry)
+            .collect();
         let vms = core.peer_vms.vms();
-        if is_scarce(vms.len(), open.len(), decl.connections) {
+        if is_scarce(vms.len(), accepting.len(), decl.connections) {
             scarce.insert(service.clone());
         }
-        if let Some(names) = server_subset(&core.options.vm, vms, &open, decl.connections) {
+        if let Some(names) = server_subset(&core.options.vm, vms, &accepting, decl.connections) {
             subsets.insert(service.clone(), names);
         }
     }
--- a/crates/relay/src/event.rs
+++ b/crates/relay/src/event.rs
@@ -16,7 +16,7 @@
 /// A caller's request, with the number that the I/O driver (shell) assigned to it.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The number, unique in this process.
+    /// The number of the request, unique in this process.
     pub seq: LookupSeq,
     /// The request.
     pub req: CallerRequest,
@@ -38,7 +38,7 @@
     pub parts_wanted: usize,
     /// The shards wanted, by their number in the route.
     pub shards: Vec<u16>,
-    /// Number of VMs that the request has passed.
+    /// How many times the request has been delegated, this time included.
     pub hops: u8,
 }
 
@@ -49,8 +49,8 @@
     Table(Arc<RouteTable>),
     /// A server registered itself or renewed its entry with changes.
     Server(Arc<ServerEntry>),
-    /// A server's entry is no longer in the register.
-    ServerGone(ServerName),
+    /// A server's entry is no longer in the register, or cannot be read.
+    EntryMissing(ServerName),
     /// Whether the register, the source of routes and servers, is reachable.
     RegisterReachable(bool),
     /// The announced VMs, this one included.
--- a/crates/relay/src/queue.rs
+++ b/crates/relay/src/queue.rs
@@ -1,6 +1,7 @@
-//! Queues of parts that wait for a connection, one for each service.
+//! Queues of parts that wait for a server, one for each service.
 //!
-//! A part is queued when every connection of this VM to a shard's replicas is busy, as after both
+//! A part is queued when each available server of its service has all connections of this VM busy,
+//! or as many of its attempts in flight as are executed in time, as after both replicas of a shard
 //! have stalled. Parts of higher priority are dispatched first, then those of older requests.
 
 use std::time::Instant;
@@ -12,7 +13,7 @@
 use crate::placement::Placement;
 use crate::relay::Core;
 use crate::relay::Relay;
-use crate::service::QueuedPart;
+use crate::service_state::QueuedPart;
 
 impl Core {
     /// Adds a part to the queue of its service.
@@ -20,7 +21,7 @@
         request.parts[index].state = PartState::Waiting(cause);
         let queued_part = queued_part(request, index);
         let service = request.parts[index].service.clone();
-        self.service(&service).waiting.insert(queued_part);
+        self.service_state(&service).waiting.insert(queued_part);
     }
 
     /// Removes a part from the queue of its service.
@@ -32,9 +33,9 @@
 }
 
 impl Relay {
-    /// Dispatches queued parts of the services of which a server has freed a connection.
+    /// Dispatches queued parts of the services whose servers may have become free.
     pub(crate) fn dispatch_waiting(&mut self, now: Instant, out: &mut Vec<Action>) {
-        while let Some(service) = self.core.freed_services.pop() {
+        while let Some(service) = self.core.services_to_dispatch.pop() {
             while let Some(w) = self.first_queued(&service) {
                 if !self.dispatch_queued(now, w, out) {
                     break;
@@ -48,7 +49,7 @@
         s.waiting.first().copied()
     }
 
-    /// Dispatches the first part of a queue; returns `false` if it has to keep waiting.
+    /// Dispatches or abandons the first part of a queue; returns `false` if it has to keep waiting.
     fn dispatch_queued(
         &mut self,
         now: Instant,
@@ -56,7 +57,7 @@
         out: &mut Vec<Action>,
     ) -> bool {
         let mut is_placed = true;
-        self.with(seq, |core, request| {
+        self.with_request(seq, |core, request| {
             let index = usize::from(part);
             let PartState::Waiting(cause) = request.parts[index].state else {
                 core.dequeue(request, index);
--- a/crates/relay/src/timers.rs
+++ b/crates/relay/src/timers.rs
@@ -1,4 +1,5 @@
-//! Handles the timer of a request: hedges, the objective and the deadline.
+//! Checks a request when its timer expires: hedges slow attempts and schedules the next check, for
+//! the end of a hedge delay, the objective or the time at which the final response must be sent.
 
 use std::time::Instant;
 
@@ -23,7 +24,7 @@
     ) -> Option<ServerKey> {
         let mut stalled = None;
         if request.is_once() {
-            self.arm(request, request.answer_by);
+            self.schedule_check(request, request.answer_by);
             return None;
         }
         for index in 0..request.parts.len() {
@@ -32,7 +33,7 @@
             };
             let due = begun + self.hedge_delay(request, server);
             if due > now {
-                self.arm(request, due);
+                self.schedule_check(request, due);
                 continue;
             }
             if self.is_stalled(now, request, server) {
@@ -45,7 +46,7 @@
         } else {
             request.answer_by
         };
-        self.arm(request, next);
+        self.schedule_check(request, next);
         stalled
     }
 
