--- a/crates/query/src/counters.rs
+++ b/crates/query/src/counters.rs
@@ -103,7 +103,7 @@
         self.shards_whole += u64::from(answer.coverage.whole);
         if answer.ended_early {
             self.answered_early += 1;
-        } else if answer.coverage.is_full() {
+        } else if answer.coverage.is_complete() {
             self.answered_full += 1;
         } else {
             self.answered_thin += 1;
--- a/crates/query/tests/engine/connections.rs
+++ b/crates/query/tests/engine/connections.rs
@@ -106,7 +106,7 @@
     assert!(w.open.is_empty());
     w.advance(Duration::from_millis(1));
     w.serve_all();
-    assert!(w.answer(seq).coverage.is_full());
+    assert!(w.answer(seq).coverage.is_complete());
 }
 
 /// Every attempt at both replicas fails. One is ejected; the other is still queried, so that a
@@ -152,5 +152,5 @@
         w.advance(Duration::from_millis(10));
         w.serve_all();
     }
-    assert!(w.answer(seq).coverage.is_full());
+    assert!(w.answer(seq).coverage.is_complete());
 }
--- a/crates/query/tests/engine/drain.rs
+++ b/crates/query/tests/engine/drain.rs
@@ -137,7 +137,7 @@
     send_drain_notice(&mut w, Some(1));
     w.serve_all();
     for seq in seqs {
-        assert!(w.answer(seq).coverage.is_full());
+        assert!(w.answer(seq).coverage.is_complete());
     }
 }
 
--- a/crates/query/tests/engine/fuzz/answers.rs
+++ b/crates/query/tests/engine/fuzz/answers.rs
@@ -67,7 +67,7 @@
         }
         self.check_hits(req, a, &covered);
         let complete = matches!(req.lookup.as_str(), "complete" | "levy" | "book");
-        assert!(!complete || a.coverage.is_full(), "an incomplete page");
+        assert!(!complete || a.coverage.is_complete(), "an incomplete page");
     }
 
     fn check_hits(&self, req: &LookupRequest, a: &Answer, covered: &[ShardId]) {
--- a/crates/query/tests/engine/hedge.rs
+++ b/crates/query/tests/engine/hedge.rs
@@ -142,7 +142,7 @@
     w.advance(Duration::from_millis(1));
     assert_eq!(w.cancelled, [slow.attempt]);
     w.serve_all();
-    assert!(w.answer(seq).coverage.is_full());
+    assert!(w.answer(seq).coverage.is_complete());
     assert_eq!(w.engine.counters().hedges, 0);
 }
 
@@ -199,7 +199,7 @@
     assert_ne!(other.server.name, silent.server.name);
     w.sent(&other);
     w.reply(&other, whole(&other));
-    assert!(w.answer(seq).coverage.is_full());
+    assert!(w.answer(seq).coverage.is_complete());
 }
 
 /// Slow parts have used up the budget for hedges. A server that becomes unresponsive must not cost
@@ -219,5 +219,5 @@
     w.serve_all();
     w.advance(DEADLINE / 2);
     w.serve_all();
-    assert!(w.answer(seq).coverage.is_full());
+    assert!(w.answer(seq).coverage.is_complete());
 }
--- a/crates/query/tests/engine/once.rs
+++ b/crates/query/tests/engine/once.rs
@@ -28,7 +28,7 @@
     assert_eq!(w.open.len(), 1);
     assert!(w.open[0].once);
     w.serve_all();
-    assert!(w.answer(seq).coverage.is_full());
+    assert!(w.answer(seq).coverage.is_complete());
 }
 
 /// Without the claim it is unknown whether an earlier submission under the key was executed, so
@@ -107,7 +107,7 @@
     assert_eq!(w.open.len(), 1);
     assert_ne!(w.open[0].server.name, d.server.name);
     w.serve_all();
-    assert!(w.answer(seq).coverage.is_full());
+    assert!(w.answer(seq).coverage.is_complete());
 }
 
 #[test]
--- a/crates/query/tests/engine/poison/canary.rs
+++ b/crates/query/tests/engine/poison/canary.rs
@@ -91,7 +91,7 @@
     }
     assert_eq!(w.open.len(), 1);
     w.serve_all();
-    assert!(w.answer(seq).coverage.is_full());
+    assert!(w.answer(seq).coverage.is_complete());
     assert!(matches!(
         w.notices.last(),
         Some(Notice::Quarantine { crashes: 0, .. })
@@ -109,7 +109,7 @@
     let seq = w.arrive("urgent");
     assert_eq!(w.open.len(), 1);
     w.serve_all();
-    assert!(w.answer(seq).coverage.is_full());
+    assert!(w.answer(seq).coverage.is_complete());
 }
 
 /// A quarantine on any VM raises suspicion, since variants of the poisoned query may follow. A
--- a/crates/query/tests/engine/poison/proven.rs
+++ b/crates/query/tests/engine/poison/proven.rs
@@ -27,7 +27,7 @@
     crash(&mut w, &broken);
     assert!(w.cancelled.is_empty());
     w.serve_all();
-    assert!(w.answer(seq).coverage.is_full());
+    assert!(w.answer(seq).coverage.is_complete());
     assert_eq!(w.notices, []);
 }
 
@@ -49,7 +49,7 @@
     }
     let seq = w.arrive_with(World::request("urgent", "other"));
     w.serve_all();
-    assert!(w.answer(seq).coverage.is_full());
+    assert!(w.answer(seq).coverage.is_complete());
     let failures: u32 = w
         .engine
         .dump(w.now)
@@ -71,7 +71,7 @@
     let seq = w.arrive("urgent");
     assert_eq!(w.open.len(), 3);
     w.serve_all();
-    assert!(w.answer(seq).coverage.is_full());
+    assert!(w.answer(seq).coverage.is_complete());
     quarantine(&mut w, 2, Duration::from_secs(30));
     let seq = w.arrive("urgent");
     let Outcome::NotRun(r) = w.outcome(seq) else {
@@ -125,5 +125,5 @@
     }
     assert!(w.open.iter().any(|d| d.attempt.shard == ShardId(0)));
     w.serve_all();
-    assert!(w.answer(seq).coverage.is_full());
+    assert!(w.answer(seq).coverage.is_complete());
 }
--- a/crates/query/tests/engine/poison/together.rs
+++ b/crates/query/tests/engine/poison/together.rs
@@ -32,7 +32,7 @@
     }
     assert_eq!(w.open.len(), 1, "the canary alone");
     w.serve_all();
-    assert!(w.answer(seq).coverage.is_full());
+    assert!(w.answer(seq).coverage.is_complete());
 }
 
 /// A poisoned query not seen before crashes servers in this and another data centre at once. No
@@ -122,7 +122,7 @@
     }
     w.advance(Duration::from_millis(60));
     w.serve_all();
-    assert!(w.answer(seq).coverage.is_full());
+    assert!(w.answer(seq).coverage.is_complete());
 }
 
 fn near() -> DataCentre {
--- a/crates/rig/src/load/check.rs
+++ b/crates/rig/src/load/check.rs
@@ -114,7 +114,7 @@
         if !adds_up {
             return Some(Fault::Coverage);
         }
-        if request.lookup.promise == Promise::Complete && !c.is_full() {
+        if request.lookup.promise == Promise::Complete && !c.is_complete() {
             return Some(Fault::Thin);
         }
         let early_ok = request
--- a/crates/rig/src/load/tally.rs
+++ b/crates/rig/src/load/tally.rs
@@ -200,7 +200,7 @@
             self.early += 1;
             return;
         }
-        self.full += u64::from(page.coverage.is_full());
+        self.full += u64::from(page.coverage.is_complete());
         self.shards += u64::from(page.coverage.shards);
         self.whole += u64::from(page.coverage.whole);
     }
--- a/crates/rig/src/storm.rs
+++ b/crates/rig/src/storm.rs
@@ -265,7 +265,7 @@
                         sent,
                         ended: start.elapsed(),
                         page: page.is_some(),
-                        complete: page.is_some_and(|a| a.coverage.is_full()),
+                        complete: page.is_some_and(|a| a.coverage.is_complete()),
                         refused: page.is_none(),
                         wrong: checker.check(&request, &reply).is_some(),
                     };
--- a/crates/trace/src/invariants/lookup_history.rs
+++ b/crates/trace/src/invariants/lookup_history.rs
@@ -118,7 +118,7 @@
                 a.snapshot
             ));
         }
-        if self.promise == Some(Promise::Complete) && !a.coverage.is_full() {
+        if self.promise == Some(Promise::Complete) && !a.coverage.is_complete() {
             return Err("it must be complete but lacks shards".to_owned());
         }
         Ok(())
--- a/crates/types/src/answer.rs
+++ b/crates/types/src/answer.rs
@@ -55,7 +55,7 @@
 impl Coverage {
     /// Returns whether the part of every queried shard arrived complete.
     #[must_use]
-    pub fn is_full(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.whole == self.shards
     }
 }
--- a/tests/process/pairs.rs
+++ b/tests/process/pairs.rs
@@ -67,7 +67,7 @@
     let quote = ask(d, "quote", 41);
     until("a full page", async || {
         let reply = ask_vm(d, vm, &quote).await;
-        reply.page().is_some_and(|p| p.coverage.is_full())
+        reply.page().is_some_and(|p| p.coverage.is_complete())
     })
     .await;
 }
@@ -103,7 +103,7 @@
         let mut sent = Vec::new();
         for vm in 0..d.vms.len() {
             let quote = ask_vm(&d, vm, &ask(&d, "quote", 50)).await;
-            let thin = quote.page().map(|p| !p.coverage.is_full());
+            let thin = quote.page().map(|p| !p.coverage.is_complete());
             assert!(thin.is_some_and(|thin| thin || vm != cut), "{quote:?}");
             let renewal = ask(&d, "renewal", 51 + vm as u64);
             let reply = ask_vm(&d, vm, &renewal).await;
@@ -300,7 +300,7 @@
             let quote = ask(&d, "quote", 80 + round);
             until("a thin page", async || {
                 let reply = ask_vm(&d, cut, &quote).await;
-                reply.page().is_some_and(|p| !p.coverage.is_full())
+                reply.page().is_some_and(|p| !p.coverage.is_complete())
             })
             .await;
             let renewal = ask(&d, "renewal", 82 + round);
--- a/tests/process/platform_faults.rs
+++ b/tests/process/platform_faults.rs
@@ -97,14 +97,14 @@
     let cut = 2_usize;
     let site = d.vms[cut].plan().site;
     let before = ask_vm(&d, cut, &ask(&d, "quote", 40)).await;
-    assert!(before.page().is_some_and(|p| p.coverage.is_full()));
+    assert!(before.page().is_some_and(|p| p.coverage.is_complete()));
     d.cut(site).expect("a site");
     let quote = ask(&d, "quote", 41);
     let reply = ask_vm(&d, cut, &quote).await;
     let page = reply.page();
     let page = page.unwrap_or_else(|| panic!("no page: {reply:?}"));
     assert!(page.coverage.whole > 0, "{page:?}");
-    assert!(!page.coverage.is_full(), "{page:?}");
+    assert!(!page.coverage.is_complete(), "{page:?}");
     let renewal = ask(&d, "renewal", 42);
     let refused = ask_vm(&d, cut, &renewal).await;
     assert!(refused.page().is_none(), "{refused:?}");
@@ -114,7 +114,9 @@
     let caller = Caller::new();
     until("full pages again", async || {
         let reply = caller.request(d.vms[cut].plan().callers, &quote).await;
-        reply.page().is_some_and(|p: &Answer| p.coverage.is_full())
+        reply
+            .page()
+            .is_some_and(|p: &Answer| p.coverage.is_complete())
     })
     .await;
     let key = renewal.idempotency_key.expect("a key");
--- a/tests/process/server_faults.rs
+++ b/tests/process/server_faults.rs
@@ -53,7 +53,7 @@
     let innocent = ask(&d, name, 5);
     until("full pages again", async || {
         let reply = ask_vm(&d, 1, &innocent).await;
-        reply.page().is_some_and(|p| p.coverage.is_full())
+        reply.page().is_some_and(|p| p.coverage.is_complete())
     })
     .await;
 }
--- a/tests/process/vm_faults.rs
+++ b/tests/process/vm_faults.rs
@@ -150,7 +150,7 @@
     let thin = replies
         .iter()
         .filter_map(|(r, _)| coverage(r))
-        .filter(|c: &Coverage| !c.is_full());
+        .filter(|c: &Coverage| !c.is_complete());
     assert_eq!(thin.count(), 0);
     assert_eq!(d.servers.counts().summary().total.over_limit, 0);
 }
@@ -206,7 +206,7 @@
         let lookup = ask(&d, lookup, 12);
         until("a full page", async || {
             let reply = ask_vm(&d, 0, &lookup).await;
-            reply.page().is_some_and(|p| p.coverage.is_full())
+            reply.page().is_some_and(|p| p.coverage.is_complete())
         })
         .await;
     }
