--- a/crates/query/tests/engine/drain.rs
+++ b/crates/query/tests/engine/drain.rs
@@ -137,7 +137,7 @@
     send_drain_notice(&mut w, Some(1));
     w.serve_all();
     for seq in seqs {
-        assert!(w.answer(seq).coverage.is_full());
+        assert!(w.answer(seq).coverage.is_complete());
     }
 }
 
--- a/tests/process/combined_faults.rs
+++ b/tests/process/combined_faults.rs
@@ -68,7 +68,7 @@
     let quote = draw_lookup(d, "quote", 41);
     wait_until("a complete page", async || {
         let reply = send_lookup(d, vm, &quote).await;
-        reply.page().is_some_and(|p| p.coverage.is_full())
+        reply.page().is_some_and(|p| p.coverage.is_complete())
     })
     .await;
 }
@@ -102,7 +102,7 @@
         let mut sent = Vec::new();
         for vm in 0..d.vms.len() {
             let quote = send_lookup(&d, vm, &draw_lookup(&d, "quote", 50)).await;
-            let incomplete = quote.page().map(|p| !p.coverage.is_full());
+            let incomplete = quote.page().map(|p| !p.coverage.is_complete());
             assert!(
                 incomplete.is_some_and(|incomplete| incomplete || vm != partitioned_vm),
                 "{quote:?}"
@@ -302,7 +302,7 @@
             let quote = draw_lookup(&d, "quote", 80 + round);
             wait_until("an incomplete page", async || {
                 let reply = send_lookup(&d, partitioned_vm, &quote).await;
-                reply.page().is_some_and(|p| !p.coverage.is_full())
+                reply.page().is_some_and(|p| !p.coverage.is_complete())
             })
             .await;
             let renewal = draw_lookup(&d, "renewal", 82 + round);
--- a/tests/process/platform_faults.rs
+++ b/tests/process/platform_faults.rs
@@ -95,14 +95,14 @@
     let partitioned_vm = 2_usize;
     let site = d.vms[partitioned_vm].plan().site;
     let before = send_lookup(&d, partitioned_vm, &draw_lookup(&d, "quote", 40)).await;
-    assert!(before.page().is_some_and(|p| p.coverage.is_full()));
+    assert!(before.page().is_some_and(|p| p.coverage.is_complete()));
     d.cut(site).expect("a site");
     let quote = draw_lookup(&d, "quote", 41);
     let reply = send_lookup(&d, partitioned_vm, &quote).await;
     let page = reply.page();
     let page = page.unwrap_or_else(|| panic!("no page: {reply:?}"));
     assert!(page.coverage.whole > 0, "{page:?}");
-    assert!(!page.coverage.is_full(), "{page:?}");
+    assert!(!page.coverage.is_complete(), "{page:?}");
     let renewal = draw_lookup(&d, "renewal", 42);
     let refused = send_lookup(&d, partitioned_vm, &renewal).await;
     assert!(refused.page().is_none(), "{refused:?}");
@@ -114,7 +114,9 @@
         let reply = caller
             .request(d.vms[partitioned_vm].plan().callers, &quote)
             .await;
-        reply.page().is_some_and(|p: &Answer| p.coverage.is_full())
+        reply
+            .page()
+            .is_some_and(|p: &Answer| p.coverage.is_complete())
     })
     .await;
     let key = renewal.idempotency_key.expect("a key");
--- a/tests/process/server_faults.rs
+++ b/tests/process/server_faults.rs
@@ -55,7 +55,7 @@
     let innocent = draw_lookup(&d, name, 5);
     wait_until("complete pages again", async || {
         let reply = send_lookup(&d, 1, &innocent).await;
-        reply.page().is_some_and(|p| p.coverage.is_full())
+        reply.page().is_some_and(|p| p.coverage.is_complete())
     })
     .await;
 }
--- a/tests/process/vm_faults.rs
+++ b/tests/process/vm_faults.rs
@@ -142,7 +142,7 @@
     let incomplete = replies
         .iter()
         .filter_map(|(r, _)| coverage(r))
-        .filter(|c: &Coverage| !c.is_full());
+        .filter(|c: &Coverage| !c.is_complete());
     assert_eq!(incomplete.count(), 0);
     assert_eq!(d.servers.counts().summary().total.over_limit, 0);
 }
@@ -194,7 +194,7 @@
         let lookup = draw_lookup(&d, lookup, 12);
         wait_until("a complete page", async || {
             let reply = send_lookup(&d, 0, &lookup).await;
-            reply.page().is_some_and(|p| p.coverage.is_full())
+            reply.page().is_some_and(|p| p.coverage.is_complete())
         })
         .await;
     }
