--- a/crates/admin/src/operator_api.rs
+++ b/crates/admin/src/operator_api.rs
@@ -6,7 +6,7 @@
 use gs_conf::DecidedPatch;
 use gs_conf::Patch;
 use gs_conf::PatchOutcome;
-use gs_conf::VmStatus;
+use gs_conf::VmConfigStatus;
 use gs_types::prelude::*;
 use serde::Deserialize;
 use serde::Serialize;
@@ -43,7 +43,7 @@
     async fn history(&self) -> Result<Vec<HistoryEntry>>;
 
     /// Returns the version that each VM has in force.
-    fn fleet(&self) -> Vec<VmStatus>;
+    fn fleet(&self) -> Vec<VmConfigStatus>;
 
     /// Returns a summary of this process's state.
     fn status(&self) -> serde_json::Value;
--- a/crates/admin/src/view.rs
+++ b/crates/admin/src/view.rs
@@ -1,13 +1,13 @@
 //! Restricts configurations, patches and fronts to what a team may see.
 
 use gs_conf::DecidedPatch;
-use gs_conf::redacted;
+use gs_conf::redact_keys;
 use gs_types::prelude::*;
 
 /// Returns the part of a configuration that a team may see: its own fronts and itself, or everything for an admin team;
 /// never the hash of a key.
 pub(crate) fn config(cfg: &Config, team: &Team) -> Config {
-    let mut shown = redacted(cfg);
+    let mut shown = redact_keys(cfg);
     if !team.admin {
         shown.fronts.retain(|f| team.fronts.contains(&f.name));
         shown.teams.retain(|t| t.name == team.name);
--- a/crates/admin/tests/admin/common/mod.rs
+++ b/crates/admin/tests/admin/common/mod.rs
@@ -14,8 +14,8 @@
 use gs_conf::DecidedPatch;
 use gs_conf::Patch;
 use gs_conf::PatchOutcome;
-use gs_conf::VmStatus;
-use gs_conf::hash_key;
+use gs_conf::VmConfigStatus;
+use gs_conf::hash_team_key;
 use gs_types::prelude::*;
 use http_body_util::BodyExt;
 use http_body_util::Full;
@@ -47,7 +47,7 @@
 fn team(name: &str, admin: bool, fronts: &[&str]) -> Team {
     Team {
         name: name.parse().expect("a name"),
-        key_sha256: hash_key(&format!("key-of-{name}")),
+        key_sha256: hash_team_key(&format!("key-of-{name}")),
         fronts: fronts.iter().map(|f| f.parse().expect("a name")).collect(),
         admin,
     }
@@ -144,8 +144,8 @@
         }])
     }
 
-    fn fleet(&self) -> Vec<VmStatus> {
-        vec![VmStatus {
+    fn fleet(&self) -> Vec<VmConfigStatus> {
+        vec![VmConfigStatus {
             vm: "vm-1".parse().expect("a name"),
             version: Some(ConfVersion(7)),
             heard: Some(Duration::ZERO),
--- a/crates/admin/tests/admin/interface.rs
+++ b/crates/admin/tests/admin/interface.rs
@@ -1,7 +1,7 @@
 //! Calls by which operators and programs read and change the configuration.
 
-use gs_conf::Objection;
 use gs_conf::PatchOutcome;
+use gs_conf::VmRejection;
 use gs_types::prelude::*;
 use rstest::rstest;
 use serde_json::Value;
@@ -142,7 +142,7 @@
     let process = Process::new();
     *process.outcome.lock().expect("not poisoned") = PatchOutcome::Refused {
         error: Error::new(kind, "no").at("ask VMs").with_hint("fix it"),
-        against: vec![Objection {
+        against: vec![VmRejection {
             vm: "vm-3".parse().expect("a name"),
             reason: "silent".into(),
         }],
--- a/crates/conf/src/action.rs
+++ b/crates/conf/src/action.rs
@@ -9,7 +9,7 @@
 
 use crate::event::CallId;
 use crate::message::Message;
-use crate::patch::Touched;
+use crate::patch::AffectedTarget;
 use crate::patch_outcome::PatchOutcome;
 
 /// Identifies a write, so that its result can be matched to it.
@@ -49,7 +49,7 @@
     ///
     /// A prepared patch changes them and its outcome is unknown here, so the version known to this VM
     /// may no longer be in force for them.
-    Doubt(Vec<Touched>),
+    Doubt(Vec<AffectedTarget>),
     /// Send the outcome to the operator's call; sent once per call.
     Verdict(CallId, PatchOutcome),
     /// Send [`crate::Event::Tick`] after this time; replaces the previous timer.
--- a/crates/conf/src/advance.rs
+++ b/crates/conf/src/advance.rs
@@ -16,18 +16,18 @@
     pub(crate) fn advance_proposals(&mut self, cx: &mut Cx<'_>) {
         self.expire_queued_calls(cx);
         loop {
-            let next = || self.queue.pop_front();
-            let Some(mut p) = self.current.take().or_else(next) else {
+            let next = || self.queued_proposals.pop_front();
+            let Some(mut p) = self.current_proposal.take().or_else(next) else {
                 return;
             };
-            while let Some(event) = self.step(cx, &mut p) {
+            while let Some(event) = self.step_proposal(cx, &mut p) {
                 let Some(state) = self.chart.next(p.state, event) else {
                     break;
                 };
-                self.enter(cx, &mut p, state);
+                self.enter_state(cx, &mut p, state);
             }
             if !self.chart.is_final(p.state) {
-                self.current = Some(p);
+                self.current_proposal = Some(p);
                 return;
             }
             if p.calls.is_empty() {
@@ -45,17 +45,17 @@
         )
         .at("queue patch")
         .with_hint("send it again with the same id");
-        for p in &mut self.queue {
+        for p in &mut self.queued_proposals {
             for call in p.take_expired_calls(cx.now) {
                 let error = error.clone();
                 cx.out
                     .push(Action::Verdict(call, PatchOutcome::Undecided { error }));
             }
         }
-        self.queue.retain(|p| !p.calls.is_empty());
+        self.queued_proposals.retain(|p| !p.calls.is_empty());
     }
 
-    fn step(&mut self, cx: &mut Cx<'_>, p: &mut Proposal) -> Option<PatchEvent> {
+    fn step_proposal(&mut self, cx: &mut Cx<'_>, p: &mut Proposal) -> Option<PatchEvent> {
         match p.state {
             PatchState::Reading => self.step_reading(cx, p),
             PatchState::Preparing => self.step_preparing(cx, p),
@@ -67,13 +67,13 @@
         }
     }
 
-    fn enter(&mut self, cx: &mut Cx<'_>, p: &mut Proposal, state: PatchState) {
+    fn enter_state(&mut self, cx: &mut Cx<'_>, p: &mut Proposal, state: PatchState) {
         p.state = state;
-        p.since = cx.now;
-        p.last_sent = None;
+        p.entered_state_at = cx.now;
+        p.last_sent_at = None;
         p.write_retry.reset();
         match state {
-            PatchState::Asking | PatchState::Spreading => self.broadcast_latest(cx, p),
+            PatchState::Asking | PatchState::Spreading => self.broadcast_latest_record(cx, p),
             PatchState::Withdrawing => {
                 let object = p.prepared_object;
                 cx.out
@@ -95,7 +95,7 @@
     /// Sends the outcome to the calls that wait for it.
     pub(crate) fn answer_calls(&mut self, cx: &mut Cx<'_>, p: &mut Proposal) {
         let outcome = match (p.committed_version, p.refusal_outcome()) {
-            (Some(version), _) => self.accepted(p, version),
+            (Some(version), _) => self.accepted_outcome(p, version),
             (None, Some(refused)) => refused,
             (None, None) => PatchOutcome::Undecided {
                 error: self.undecided_error(p),
@@ -111,9 +111,9 @@
             PatchState::Committing => {
                 "the commit was sent to the platform and its result is unknown"
             }
-            _ if self.latest.is_none() => "this VM holds no configuration yet",
+            _ if self.latest_record.is_none() => "this VM holds no configuration yet",
             _ if self.fleet.members().is_empty() => "this VM has no list of VMs yet",
-            _ if self.pending().is_some_and(|id| *id != p.patch.id) => {
+            _ if self.pending_patch_id().is_some_and(|id| *id != p.patch.id) => {
                 "another patch is still being decided"
             }
             _ => "the platform did not answer in time",
--- a/crates/conf/src/apply.rs
+++ b/crates/conf/src/apply.rs
@@ -11,7 +11,7 @@
 ///
 /// [`ErrorKind::Conflict`] if the patch is against another version, [`ErrorKind::BadInput`] if it
 /// removes or changes what is not declared. The step names the position of the change in the patch.
-pub fn apply(cfg: &Config, patch: &Patch) -> Result<Config> {
+pub fn apply_patch(cfg: &Config, patch: &Patch) -> Result<Config> {
     if patch.against != cfg.version {
         return Err(outdated_error(cfg, patch));
     }
@@ -27,7 +27,7 @@
 /// Returns the changes that lead from one configuration to another: new fronts are put completely,
 /// changed ones by lookup.
 #[must_use]
-pub fn diff(from: &Config, to: &Config) -> Vec<Change> {
+pub fn diff_configs(from: &Config, to: &Config) -> Vec<Change> {
     let mut changes = Vec::new();
     for t in &to.teams {
         if !from.teams.contains(t) {
@@ -74,23 +74,23 @@
 
 fn apply_change(cfg: &mut Config, change: &Change) -> Result<()> {
     match change {
-        Change::PutFront(f) => put(&mut cfg.fronts, f, |x| x.name == f.name),
+        Change::PutFront(f) => replace_or_push(&mut cfg.fronts, f, |x| x.name == f.name),
         Change::RemoveFront(name) => {
-            return remove(&mut cfg.fronts, |x| x.name == *name)
+            return remove_matching(&mut cfg.fronts, |x| x.name == *name)
                 .map_err(|()| not_declared_error("front", name.as_str()));
         }
         Change::PutLookup { front, lookup } => {
             let f = front_mut(cfg, front)?;
-            put(&mut f.lookups, lookup, |x| x.name == lookup.name);
+            replace_or_push(&mut f.lookups, lookup, |x| x.name == lookup.name);
         }
         Change::RemoveLookup { front, lookup } => {
             let f = front_mut(cfg, front)?;
-            return remove(&mut f.lookups, |x| x.name == *lookup)
+            return remove_matching(&mut f.lookups, |x| x.name == *lookup)
                 .map_err(|()| not_declared_error("lookup", lookup.as_str()));
         }
-        Change::PutTeam(t) => put(&mut cfg.teams, t, |x| x.name == t.name),
+        Change::PutTeam(t) => replace_or_push(&mut cfg.teams, t, |x| x.name == t.name),
         Change::RemoveTeam(name) => {
-            return remove(&mut cfg.teams, |x| x.name == *name)
+            return remove_matching(&mut cfg.teams, |x| x.name == *name)
                 .map_err(|()| not_declared_error("team", name.as_str()));
         }
     }
@@ -104,14 +104,14 @@
         .ok_or_else(|| not_declared_error("front", name.as_str()))
 }
 
-fn put<T: Clone>(list: &mut Vec<T>, item: &T, same: impl Fn(&T) -> bool) {
+fn replace_or_push<T: Clone>(list: &mut Vec<T>, item: &T, same: impl Fn(&T) -> bool) {
     match list.iter_mut().find(|x| same(x)) {
         Some(old) => *old = item.clone(),
         None => list.push(item.clone()),
     }
 }
 
-fn remove<T>(list: &mut Vec<T>, same: impl Fn(&T) -> bool) -> Result<(), ()> {
+fn remove_matching<T>(list: &mut Vec<T>, same: impl Fn(&T) -> bool) -> Result<(), ()> {
     let at = list.iter().position(same).ok_or(())?;
     list.remove(at);
     Ok(())
--- a/crates/conf/src/background.rs
+++ b/crates/conf/src/background.rs
@@ -35,7 +35,7 @@
 impl ConfigManager {
     pub(crate) fn on_tick(&mut self, cx: &mut Cx<'_>) {
         self.wake_after = None;
-        self.acknowledge(cx);
+        self.acknowledge_prepared_patch(cx);
         self.send_summaries(cx);
         self.withdraw_abandoned_patch(cx);
         self.create_first_config(cx);
@@ -44,7 +44,7 @@
     /// Updates reads, readiness, in-doubt lookups and the timer after an event.
     pub(crate) fn after_event(&mut self, cx: &mut Cx<'_>, tick: bool) {
         self.read_if_wanted(cx);
-        self.update_ready(cx.now);
+        self.update_readiness(cx.now);
         self.extend_own_safe_time(cx.now);
         let in_doubt = self.in_doubt_targets(cx.now);
         if in_doubt != self.reported_in_doubt {
@@ -63,10 +63,10 @@
     }
 
     fn is_busy(&self) -> bool {
-        self.current.is_some()
+        self.current_proposal.is_some()
             || self.in_doubt_patch.is_some()
-            || !self.start.ready
-            || !self.queue.is_empty()
+            || !self.startup.ready
+            || !self.queued_proposals.is_empty()
             || self.read_state.wanted
     }
 
@@ -81,14 +81,14 @@
 
     /// Marks the VM ready once the platform returned the newest record or, if the platform is
     /// unreachable, after [`START_PEER_WAIT`] once no peer that reports has a newer one.
-    fn update_ready(&mut self, now: Instant) {
-        let s = &self.start;
-        if s.ready || self.latest.is_none() {
+    fn update_readiness(&mut self, now: Instant) {
+        let s = &self.startup;
+        if s.ready || self.latest_record.is_none() {
             return;
         }
         let waited = s.started_at.is_some_and(|at| now >= at + START_PEER_WAIT);
         let is_newest = self.fleet.newest_object() <= self.summary().object;
-        self.start.ready = s.confirmed || (s.platform_failed && waited && is_newest);
+        self.startup.ready = s.platform_confirmed || (s.platform_failed && waited && is_newest);
     }
 
     /// Extends the safe time of the VM's own patch while it is known to be in force nowhere.
@@ -99,12 +99,12 @@
         let known = state != PatchState::Committing || self.has_recent_acks_from_all(now);
         let in_doubt_after = self.options.in_doubt_after;
         if let Some(d) = self.in_doubt_patch.as_mut().filter(|_| known) {
-            d.extend_from(now, in_doubt_after);
+            d.extend_safe_time(now, in_doubt_after);
         }
     }
 
     /// Acknowledges the prepared patch to its proposer, repeatedly while it is undecided.
-    pub(crate) fn acknowledge(&mut self, cx: &mut Cx<'_>) {
+    pub(crate) fn acknowledge_prepared_patch(&mut self, cx: &mut Cx<'_>) {
         let me = &self.options.vm;
         let Some(d) = &mut self.in_doubt_patch else {
             return;
@@ -112,7 +112,7 @@
         if d.proposer() == me || !d.is_ack_due(cx.now) {
             return;
         }
-        let Some(latest) = &self.latest else {
+        let Some(latest) = &self.latest_record else {
             return;
         };
         let checked = latest.record.pending.as_ref().map(|p| {
@@ -134,7 +134,7 @@
             return;
         }
         self.next_summary_at = Some(cx.now + SUMMARY_INTERVAL);
-        if !self.start.ready {
+        if !self.startup.ready {
             // The first one may have been sent before any peer was connected.
             let object = self.summary().object;
             cx.out.push(Action::Broadcast(Message::Want { object }));
@@ -154,13 +154,13 @@
     /// The proposer may have crashed, or be paused and about to commit. The conditional write ensures
     /// that only one of the two takes effect. VMs try one after the other, by rank, to save writes.
     fn withdraw_abandoned_patch(&mut self, cx: &mut Cx<'_>) {
-        let Some(latest) = &self.latest else {
+        let Some(latest) = &self.latest_record else {
             return;
         };
         let Some(pending) = &latest.record.pending else {
             return;
         };
-        let ours = self.current.as_ref();
+        let ours = self.current_proposal.as_ref();
         if ours.is_some_and(|p| p.nonce == pending.nonce) {
             return;
         }
@@ -170,7 +170,7 @@
             return;
         }
         let reason = format!("its proposer {} did not finish", pending.proposer);
-        let content = latest.record.withdrawn(&reason).encode();
+        let content = latest.record.with_pending_withdrawn(&reason).encode();
         let if_version = latest.object;
         self.start_shared_write(cx, if_version, content);
     }
@@ -188,7 +188,7 @@
     /// Creates the first configuration if the platform reported that there is none.
     fn create_first_config(&mut self, cx: &mut Cx<'_>) {
         if !self.shared_write.config_missing
-            || self.latest.is_some()
+            || self.latest_record.is_some()
             || !self.shared_write.write_retry.is_due(cx.now)
         {
             return;
@@ -227,8 +227,8 @@
         self.shared_write.write_retry.schedule_retry(cx.now, jitter);
         match (result, self.shared_write.sent_content.take()) {
             (WriteResult::Done(object), Some(content)) => {
-                self.start.confirmed = true;
-                let _ = self.learn(cx, object, content);
+                self.startup.platform_confirmed = true;
+                let _ = self.apply_record_if_newer(cx, object, content);
             }
             _ => self.read_state.wanted = true,
         }
--- a/crates/conf/src/check.rs
+++ b/crates/conf/src/check.rs
@@ -7,9 +7,9 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::apply::apply;
+use crate::apply::apply_patch;
 use crate::patch::Patch;
-use crate::record::DECIDED_MAX;
+use crate::record::DECIDED_PATCHES_MAX;
 use crate::record::OBJECT_MAX_BYTES;
 
 /// The shortest deadline that a lookup may declare; no reply can cross a region in less time.
@@ -31,18 +31,20 @@
 /// The largest patch in the object, in bytes.
 pub const PATCH_MAX_BYTES: usize = 125_000;
 /// The longest entry of a decided patch in bytes: four names, a reason and the JSON around them.
-const DECIDED_LEN: usize = 1_200;
+const DECIDED_PATCH_MAX_BYTES: usize = 1_200;
 
 // A record larger than the object limit would make every later patch fail.
-const _: () =
-    assert!(CONFIG_MAX_BYTES + PATCH_MAX_BYTES + DECIDED_MAX * DECIDED_LEN < OBJECT_MAX_BYTES);
+const _: () = assert!(
+    CONFIG_MAX_BYTES + PATCH_MAX_BYTES + DECIDED_PATCHES_MAX * DECIDED_PATCH_MAX_BYTES
+        < OBJECT_MAX_BYTES
+);
 
 /// The length of a SHA-256 hash in hexadecimal digits.
 const SHA256_HEX_LEN: usize = 64;
 
 /// A violated rule with its place and a hint how to fix it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Problem {
+pub struct ConfigProblem {
     /// The place, such as `fronts.archive.lookups.quote.deadline`.
     pub place: String,
     /// What is wrong.
@@ -53,20 +55,20 @@
 
 /// The result of a check.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct ValidationReport {
     /// Violated rules; the configuration is refused.
-    pub errors: Vec<Problem>,
+    pub errors: Vec<ConfigProblem>,
     /// Valid declarations that look wrong.
-    pub warnings: Vec<Problem>,
+    pub warnings: Vec<ConfigProblem>,
 }
 
-impl Report {
+impl ValidationReport {
     /// Returns the warnings, or the violated rules as one error.
     ///
     /// # Errors
     ///
     /// [`ErrorKind::BadInput`] with the first violated rule and the number of further ones.
-    pub fn into_result(self) -> Result<Vec<Problem>> {
+    pub fn into_result(self) -> Result<Vec<ConfigProblem>> {
         let Some(first) = self.errors.first() else {
             return Ok(self.warnings);
         };
@@ -80,17 +82,17 @@
             .with_hint(first.hint.clone()))
     }
 
-    fn error(&mut self, place: impl Into<String>, text: impl Into<String>, hint: &str) {
-        self.errors.push(problem(place, text, hint));
+    fn add_error(&mut self, place: impl Into<String>, text: impl Into<String>, hint: &str) {
+        self.errors.push(new_problem(place, text, hint));
     }
 
-    fn warn(&mut self, place: impl Into<String>, text: impl Into<String>, hint: &str) {
-        self.warnings.push(problem(place, text, hint));
+    fn add_warning(&mut self, place: impl Into<String>, text: impl Into<String>, hint: &str) {
+        self.warnings.push(new_problem(place, text, hint));
     }
 }
 
-fn problem(place: impl Into<String>, text: impl Into<String>, hint: &str) -> Problem {
-    Problem {
+fn new_problem(place: impl Into<String>, text: impl Into<String>, hint: &str) -> ConfigProblem {
+    ConfigProblem {
         place: place.into(),
         text: text.into(),
         hint: hint.into(),
@@ -104,11 +106,11 @@
 /// group appear must not decide whether a patch is accepted. Until the group exists, the lookup is
 /// refused as not run.
 #[must_use]
-pub fn check_config(cfg: &Config, groups: Option<&BTreeSet<GroupName>>) -> Report {
-    let mut report = Report::default();
-    check_teams(cfg, &mut report);
-    check_fronts(cfg, groups, &mut report);
-    check_size(cfg, &mut report);
+pub fn check_config(cfg: &Config, groups: Option<&BTreeSet<GroupName>>) -> ValidationReport {
+    let mut report = ValidationReport::default();
+    validate_teams(cfg, &mut report);
+    validate_fronts(cfg, groups, &mut report);
+    validate_size(cfg, &mut report);
     report
 }
 
@@ -124,7 +126,7 @@
     cfg: &Config,
     patch: &Patch,
     groups: Option<&BTreeSet<GroupName>>,
-) -> Result<(Config, Vec<Problem>)> {
+) -> Result<(Config, Vec<ConfigProblem>)> {
     if patch.changes.is_empty() {
         let e = Error::new(ErrorKind::BadInput, "changes: the patch is empty");
         return Err(e.at("check patch").with_hint("name at least one change"));
@@ -142,14 +144,14 @@
             .at("check patch")
             .with_hint(format!("keep it under {PATCH_MAX_BYTES} bytes")));
     }
-    let next = apply(cfg, patch)?;
+    let next = apply_patch(cfg, patch)?;
     let warnings = check_config(&next, groups).into_result()?;
     Ok((next, warnings))
 }
 
-fn check_teams(cfg: &Config, report: &mut Report) {
+fn validate_teams(cfg: &Config, report: &mut ValidationReport) {
     if cfg.teams.len() > TEAMS_MAX {
-        report.error(
+        report.add_error(
             "teams",
             format!("{} teams", cfg.teams.len()),
             "remove teams; 200 at most",
@@ -159,12 +161,12 @@
     for t in &cfg.teams {
         let place = format!("teams.{}", t.name);
         if !seen.insert(&t.name) {
-            report.error(&place, "declared twice", "keep one of the two");
+            report.add_error(&place, "declared twice", "keep one of the two");
         }
-        check_key_hash(&place, t, report);
+        validate_key_hash(&place, t, report);
         for f in &t.fronts {
             if !cfg.fronts.iter().any(|x| x.name == *f) {
-                report.warn(
+                report.add_warning(
                     format!("{place}.fronts"),
                     format!("front `{f}` is not declared"),
                     "declare it, or the team may declare it by its own patch",
@@ -174,7 +176,7 @@
     }
     // Without an admin team no further change of the teams would be possible.
     if !cfg.teams.is_empty() && !cfg.teams.iter().any(|t| t.admin) {
-        report.error(
+        report.add_error(
             "teams",
             "no team is an admin team",
             "keep at least one team with `admin`",
@@ -182,13 +184,13 @@
     }
 }
 
-fn check_key_hash(place: &str, team: &Team, report: &mut Report) {
+fn validate_key_hash(place: &str, team: &Team, report: &mut ValidationReport) {
     let key = &team.key_sha256;
     let hex = key
         .bytes()
         .all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
     if key.len() != SHA256_HEX_LEN || !hex {
-        report.error(
+        report.add_error(
             format!("{place}.key_sha256"),
             "not a SHA-256 in hexadecimal",
             "give 64 digits of 0-9 and a-f: `printf %s KEY | sha256sum`",
@@ -196,9 +198,13 @@
     }
 }
 
-fn check_fronts(cfg: &Config, groups: Option<&BTreeSet<GroupName>>, report: &mut Report) {
+fn validate_fronts(
+    cfg: &Config,
+    groups: Option<&BTreeSet<GroupName>>,
+    report: &mut ValidationReport,
+) {
     if cfg.fronts.len() > FRONTS_MAX {
-        report.error(
+        report.add_error(
             "fronts",
             format!("{} fronts", cfg.fronts.len()),
             "remove fronts; 500 at most",
@@ -208,37 +214,37 @@
     for f in &cfg.fronts {
         let place = format!("fronts.{}", f.name);
         if !seen.insert(&f.name) {
-            report.error(&place, "declared twice", "keep one of the two");
+            report.add_error(&place, "declared twice", "keep one of the two");
         }
-        check_front(&place, f, groups, report);
+        validate_front(&place, f, groups, report);
     }
 }
 
-fn check_front(
+fn validate_front(
     place: &str,
     front: &Front,
     groups: Option<&BTreeSet<GroupName>>,
-    report: &mut Report,
+    report: &mut ValidationReport,
 ) {
     if front.lookups.len() > LOOKUPS_MAX {
-        report.error(
+        report.add_error(
             place,
             format!("{} lookups", front.lookups.len()),
             "split the front; 100 lookups at most",
         );
     }
     if front.lookups.is_empty() {
-        report.warn(place, "declares no lookup", "add one with `put-lookup`");
+        report.add_warning(place, "declares no lookup", "add one with `put-lookup`");
     }
     let mut seen = BTreeSet::new();
     for l in &front.lookups {
         let place = format!("{place}.lookups.{}", l.name);
         if !seen.insert(&l.name) {
-            report.error(&place, "declared twice", "keep one of the two");
+            report.add_error(&place, "declared twice", "keep one of the two");
         }
-        check_lookup(&place, l, report);
+        validate_lookup(&place, l, report);
         if groups.is_some_and(|g| !g.contains(&l.group)) {
-            report.warn(
+            report.add_warning(
                 format!("{place}.group"),
                 format!("no group `{}` is published", l.group),
                 "publish it, or correct the name; until then the lookup is refused as not run",
@@ -247,45 +253,45 @@
     }
 }
 
-fn check_lookup(place: &str, l: &Lookup, report: &mut Report) {
+fn validate_lookup(place: &str, l: &Lookup, report: &mut ValidationReport) {
     if !(DEADLINE_MIN..=DEADLINE_MAX).contains(&l.deadline) {
-        report.error(
+        report.add_error(
             format!("{place}.deadline"),
             format!("{:?} is out of range", l.deadline),
             "choose between 5ms and 60s",
         );
     }
     if !(1..=PAGE_MAX_HITS).contains(&l.page) {
-        report.error(
+        report.add_error(
             format!("{place}.page"),
             format!("{} is out of range", l.page),
             "choose between 1 and 1000",
         );
     }
     if l.promise == Promise::AtMostOnce && l.scope != Scope::Keyed {
-        report.error(
+        report.add_error(
             format!("{place}.scope"),
             "an at-most-once lookup reaches one shard only",
             "set `scope` to `keyed`",
         );
     }
-    check_enough(place, l, report);
+    validate_enough_at(place, l, report);
 }
 
-fn check_enough(place: &str, l: &Lookup, report: &mut Report) {
+fn validate_enough_at(place: &str, l: &Lookup, report: &mut ValidationReport) {
     let Some(enough) = l.enough_at else {
         return;
     };
     let place = format!("{place}.enough_at");
     if l.promise != Promise::Urgent {
-        report.error(
+        report.add_error(
             &place,
             "only an urgent lookup may end early",
             "remove it, or set `promise` to `urgent`",
         );
     }
     if enough == 0 || enough > l.page {
-        report.error(
+        report.add_error(
             &place,
             format!("{enough} is out of range"),
             "choose between 1 and the page size",
@@ -293,10 +299,10 @@
     }
 }
 
-fn check_size(cfg: &Config, report: &mut Report) {
+fn validate_size(cfg: &Config, report: &mut ValidationReport) {
     let len = json_len(cfg);
     if len > CONFIG_MAX_BYTES {
-        report.error(
+        report.add_error(
             "configuration",
             format!("{len} bytes"),
             "remove fronts or lookups; 700000 bytes at most, so that the object stays under 1 MB",
--- a/crates/conf/src/distribute.rs
+++ b/crates/conf/src/distribute.rs
@@ -19,7 +19,7 @@
 const CLOCK_DRIFT_MARGIN: Duration = Duration::from_millis(250);
 
 /// The largest content that is sent without a request, in bytes; peers request a larger one.
-const INLINE_MAX_BYTES: usize = 64 << 10;
+const INLINE_RECORD_MAX_BYTES: usize = 64 << 10;
 
 impl ConfigManager {
     pub(crate) fn step_spreading(
@@ -31,11 +31,11 @@
         let members = self.fleet.members();
         let everywhere =
             !members.is_empty() && members.iter().all(|vm| self.is_in_force(vm, version));
-        if everywhere || cx.now >= p.since + self.promise_timeout(p) {
+        if everywhere || cx.now >= p.entered_state_at + self.promise_timeout(p) {
             self.answer_calls(cx, p);
             return Some(PatchEvent::Everywhere);
         }
-        self.resend_latest(cx, p, move |manager, _, vm| {
+        self.resend_latest_record(cx, p, move |manager, _, vm| {
             !manager.is_in_force(vm, version)
         });
         None
@@ -54,7 +54,7 @@
         }
     }
 
-    pub(crate) fn accepted(&self, p: &Proposal, version: ConfVersion) -> PatchOutcome {
+    pub(crate) fn accepted_outcome(&self, p: &Proposal, version: ConfVersion) -> PatchOutcome {
         let members = self.fleet.members().iter();
         let (in_force, awaiting) = members
             .cloned()
@@ -70,30 +70,32 @@
     fn is_in_force(&self, vm: &VmId, version: ConfVersion) -> bool {
         let theirs = match *vm == self.options.vm {
             true => self.config().map(|c| c.version),
-            false => self.fleet.version(vm),
+            false => self.fleet.reported_version(vm),
         };
         theirs.is_some_and(|v| v >= version)
     }
 
     /// Sends the newest record to every peer, or its summary if the record is large.
-    pub(crate) fn broadcast_latest(&mut self, cx: &mut Cx<'_>, p: &mut Proposal) {
-        p.last_sent = Some(cx.now);
-        let message = self.latest_message();
+    pub(crate) fn broadcast_latest_record(&mut self, cx: &mut Cx<'_>, p: &mut Proposal) {
+        p.last_sent_at = Some(cx.now);
+        let message = self.latest_record_message();
         cx.out.push(Action::Broadcast(message));
     }
 
     /// Sends the newest record again to the VMs that have not replied.
-    pub(crate) fn resend_latest(
+    pub(crate) fn resend_latest_record(
         &mut self,
         cx: &mut Cx<'_>,
         p: &mut Proposal,
         missing: impl Fn(&Self, &Proposal, &VmId) -> bool,
     ) {
-        if p.last_sent.is_some_and(|at| cx.now < at + RESEND_INTERVAL) {
+        if p.last_sent_at
+            .is_some_and(|at| cx.now < at + RESEND_INTERVAL)
+        {
             return;
         }
-        p.last_sent = Some(cx.now);
-        let message = self.latest_message();
+        p.last_sent_at = Some(cx.now);
+        let message = self.latest_record_message();
         for vm in self.fleet.members().to_vec() {
             if vm != self.options.vm && missing(self, p, &vm) {
                 cx.send(&vm, message.clone());
@@ -102,9 +104,9 @@
     }
 
     /// Returns a message with the newest record, or with its summary if the record is large.
-    pub(crate) fn latest_message(&self) -> Message {
-        match &self.latest {
-            Some(r) if r.content.len() <= INLINE_MAX_BYTES => Message::Newest {
+    pub(crate) fn latest_record_message(&self) -> Message {
+        match &self.latest_record {
+            Some(r) if r.content.len() <= INLINE_RECORD_MAX_BYTES => Message::Newest {
                 object: r.object,
                 content: r.content.clone(),
             },
--- a/crates/conf/src/dump.rs
+++ b/crates/conf/src/dump.rs
@@ -6,9 +6,9 @@
 use gs_types::prelude::*;
 use serde::Serialize;
 
-use crate::fleet::VmStatus;
+use crate::fleet::VmConfigStatus;
 use crate::manager::ConfigManager;
-use crate::patch::Touched;
+use crate::patch::AffectedTarget;
 use crate::proposal::Proposal;
 
 /// The state of the configuration manager.
@@ -25,7 +25,7 @@
     /// The patch that is being decided, as far as known here.
     pub pending: Option<PatchId>,
     /// The lookups refused because the outcome of a patch that changes them is unknown.
-    pub doubts: Vec<Touched>,
+    pub doubts: Vec<AffectedTarget>,
     /// The current proposal of this VM.
     pub proposal: Option<ProposalDump>,
     /// The number of queued proposals.
@@ -33,7 +33,7 @@
     /// The number of decided patches in the record.
     pub settled: usize,
     /// The version that each VM has in force.
-    pub fleet: Vec<VmStatus>,
+    pub fleet: Vec<VmConfigStatus>,
 }
 
 /// A proposal in progress.
@@ -58,7 +58,7 @@
             id: p.patch.id.clone(),
             team: p.team.clone(),
             state: p.state.into(),
-            since: now.saturating_duration_since(p.since),
+            since: now.saturating_duration_since(p.entered_state_at),
             acknowledged: p.acks.keys().cloned().collect(),
         }
     }
@@ -68,17 +68,17 @@
     /// Returns the state for operators.
     #[must_use]
     pub fn dump(&self, now: Instant) -> ConfigManagerDump {
-        let proposal = self.current.as_ref();
+        let proposal = self.current_proposal.as_ref();
         ConfigManagerDump {
             ready: self.is_ready(),
             version: self.config().map(|c| c.version),
             object: self.summary().object,
-            pending: self.pending().cloned(),
+            pending: self.pending_patch_id().cloned(),
             doubts: self.in_doubt_targets(now).to_vec(),
             proposal: proposal.map(|p| ProposalDump::of(now, p)),
-            queued: self.queue.len(),
+            queued: self.queued_proposals.len(),
             settled: self.decided_patches().len(),
-            fleet: self.fleet(now),
+            fleet: self.vm_config_statuses(now),
         }
     }
 }
--- a/crates/conf/src/fleet.rs
+++ b/crates/conf/src/fleet.rs
@@ -11,7 +11,7 @@
 
 /// The version that a VM reported to have in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct VmStatus {
+pub struct VmConfigStatus {
     /// The VM.
     pub vm: VmId,
     /// The configuration version in force there; `None` if it has not reported yet.
@@ -49,7 +49,7 @@
     }
 
     /// Returns the version that a VM reported to have in force.
-    pub(crate) fn version(&self, vm: &VmId) -> Option<ConfVersion> {
+    pub(crate) fn reported_version(&self, vm: &VmId) -> Option<ConfVersion> {
         self.summaries.get(vm).map(|(s, _)| s.version)
     }
 
@@ -60,10 +60,10 @@
     }
 
     /// Returns the version that each VM of the list has in force.
-    pub(crate) fn status(&self, now: Instant) -> Vec<VmStatus> {
-        let one = |vm: &VmId| VmStatus {
+    pub(crate) fn vm_config_statuses(&self, now: Instant) -> Vec<VmConfigStatus> {
+        let one = |vm: &VmId| VmConfigStatus {
             vm: vm.clone(),
-            version: self.version(vm),
+            version: self.reported_version(vm),
             heard: self
                 .summaries
                 .get(vm)
--- a/crates/conf/src/in_doubt.rs
+++ b/crates/conf/src/in_doubt.rs
@@ -7,8 +7,8 @@
 use gs_types::prelude::*;
 
 use crate::latest_record::LatestRecord;
-use crate::patch::Touched;
-use crate::record::Pending;
+use crate::patch::AffectedTarget;
+use crate::record::PendingPatch;
 
 /// The interval at which an acknowledgement is repeated while the patch is undecided.
 pub(crate) const ACK_INTERVAL: Duration = Duration::from_millis(400);
@@ -27,11 +27,11 @@
 pub(crate) struct InDoubtPatch {
     object: u64,
     proposer: VmId,
-    affected: Vec<Touched>,
+    affected: Vec<AffectedTarget>,
     /// The safe time: until then the affected lookups may be served, because the proposer does not
     /// report the patch as accepted before.
     safe_until: Instant,
-    seq: u64,
+    last_ack_seq: u64,
     sent_acks: VecDeque<(u64, Instant)>,
     abandoned: bool,
 }
@@ -41,13 +41,13 @@
     ///
     /// A VM that was ready gets `grace`, because nothing is committed before it acknowledged. A
     /// starting VM gets none, because the patch may have been decided long ago.
-    pub(crate) fn new(latest: &LatestRecord, pending: &Pending, grace: Duration) -> Self {
+    pub(crate) fn new(latest: &LatestRecord, pending: &PendingPatch, grace: Duration) -> Self {
         Self {
             object: latest.object,
             proposer: pending.proposer.clone(),
             affected: pending.patch.affected(),
             safe_until: latest.learned_at + grace,
-            seq: 0,
+            last_ack_seq: 0,
             sent_acks: VecDeque::new(),
             abandoned: false,
         }
@@ -71,12 +71,12 @@
 
     /// Records that an acknowledgement is sent now and returns its number.
     pub(crate) fn record_sent_ack(&mut self, now: Instant) -> u64 {
-        self.seq += 1;
-        self.sent_acks.push_back((self.seq, now));
+        self.last_ack_seq += 1;
+        self.sent_acks.push_back((self.last_ack_seq, now));
         if self.sent_acks.len() > SENT_ACKS_MAX {
             self.sent_acks.pop_front();
         }
-        self.seq
+        self.last_ack_seq
     }
 
     /// Extends the safe time after the proposer replied to an acknowledgement that the patch is
@@ -84,7 +84,7 @@
     ///
     /// The time counts from when the acknowledgement was sent, so that a reply that was long in
     /// transit does not extend a promise that the proposer considers expired.
-    pub(crate) fn extend_from_ack(&mut self, seq: u64, in_doubt_after: Duration) {
+    pub(crate) fn extend_safe_time_from_ack(&mut self, seq: u64, in_doubt_after: Duration) {
         let Some((_, at)) = self.sent_acks.iter().find(|(s, _)| *s == seq) else {
             return;
         };
@@ -93,7 +93,7 @@
 
     /// Extends the safe time from `now`; used on the proposer, which knows that the patch is in force
     /// nowhere.
-    pub(crate) fn extend_from(&mut self, now: Instant, in_doubt_after: Duration) {
+    pub(crate) fn extend_safe_time(&mut self, now: Instant, in_doubt_after: Duration) {
         self.safe_until = self.safe_until.max(now + in_doubt_after);
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Returns the lookups that must be refused now.
-    pub(crate) fn refused_targets(&self, now: Instant) -> &[Touched] {
+    pub(crate) fn refused_targets(&self, now: Instant) -> &[AffectedTarget] {
         match !self.abandoned && now >= self.safe_until {
             true => &self.affected,
             false => &[],
--- a/crates/conf/src/inputs.rs
+++ b/crates/conf/src/inputs.rs
@@ -23,11 +23,11 @@
 use crate::proposal::ProposeCall;
 
 /// The most queued proposals; the caller of a further one is asked to retry.
-const QUEUE_MAX: usize = 64;
+const QUEUED_PROPOSALS_MAX: usize = 64;
 
 impl ConfigManager {
     pub(crate) fn on_start(&mut self, cx: &mut Cx<'_>) {
-        self.start.started_at = Some(cx.now);
+        self.startup.started_at = Some(cx.now);
         self.read_state.wanted = true;
         cx.out.push(Action::Broadcast(Message::Want { object: 0 }));
     }
@@ -35,12 +35,15 @@
     pub(crate) fn on_propose(&mut self, cx: &mut Cx<'_>, request: ProposeCall) {
         if request.dry_run {
             // Answered immediately, as it depends on no other patch and no other VM.
-            let outcome = self.dry_run(&request.team, &request.patch);
+            let outcome = self.dry_run_outcome(&request.team, &request.patch);
             return cx.out.push(Action::Verdict(request.call, outcome));
         }
         let until = cx.now + self.options.outcome_timeout;
         let digest = request.patch.digest();
-        let running = self.current.iter_mut().chain(self.queue.iter_mut());
+        let running = self
+            .current_proposal
+            .iter_mut()
+            .chain(self.queued_proposals.iter_mut());
         let mut same = running.filter(|p| p.patch.id == request.patch.id);
         match same.next() {
             Some(p) if p.digest != digest => {
@@ -58,7 +61,7 @@
             }
             _ => {}
         }
-        if self.queue.len() >= QUEUE_MAX {
+        if self.queued_proposals.len() >= QUEUED_PROPOSALS_MAX {
             let error = Error::new(ErrorKind::TooMuch, "too many patches are queued on this VM")
                 .at("queue patch")
                 .with_hint("retry with the same id in a few seconds");
@@ -68,7 +71,7 @@
         let nonce = self.rng.random();
         let wait = self.options.outcome_timeout;
         let p = Proposal::new(cx.now, request, self.chart.initial(), wait, nonce);
-        self.queue.push_back(p);
+        self.queued_proposals.push_back(p);
     }
 
     pub(crate) fn on_read(&mut self, cx: &mut Cx<'_>, result: ReadResult) {
@@ -77,17 +80,17 @@
             ReadResult::Found { object, content } => {
                 self.read_state.answered_at = Some(cx.now);
                 self.read_state.retry.reset();
-                self.start.confirmed = true;
+                self.startup.platform_confirmed = true;
                 self.shared_write.config_missing = false;
-                let _ = self.learn(cx, object, content);
+                let _ = self.apply_record_if_newer(cx, object, content);
             }
             ReadResult::Missing => {
                 self.read_state.answered_at = Some(cx.now);
-                self.shared_write.config_missing = self.latest.is_none();
+                self.shared_write.config_missing = self.latest_record.is_none();
                 self.retry_read(cx);
             }
             ReadResult::Failed => {
-                self.start.platform_failed = true;
+                self.startup.platform_failed = true;
                 self.retry_read(cx);
             }
         }
@@ -97,7 +100,8 @@
         // Retried only while something waits for a read, to spare a platform that is unreachable.
         let jitter = self.rng.random();
         self.read_state.retry.schedule_retry(cx.now, jitter);
-        self.read_state.wanted = !self.start.confirmed || self.current.is_some();
+        self.read_state.wanted =
+            !self.startup.platform_confirmed || self.current_proposal.is_some();
     }
 
     pub(crate) fn on_wrote(&mut self, cx: &mut Cx<'_>, id: WriteId, result: WriteResult) {
@@ -105,21 +109,21 @@
             self.on_shared_write(cx, result);
             return;
         }
-        let Some(mut p) = self.current.take() else {
+        let Some(mut p) = self.current_proposal.take() else {
             return;
         };
         if p.write_retry.in_flight == Some(id) {
             self.on_proposal_write(cx, &mut p, result);
         }
-        self.current = Some(p);
+        self.current_proposal = Some(p);
     }
 
     pub(crate) fn on_message(&mut self, cx: &mut Cx<'_>, from: &VmId, message: Message) {
         match message {
             Message::Gossip(summary) => self.on_summary(cx, from, summary),
-            Message::Want { object } => self.on_want(cx, from, object),
+            Message::Want { object } => self.on_record_request(cx, from, object),
             Message::Newest { object, content } => {
-                let reply = match self.learn(cx, object, content) {
+                let reply = match self.apply_record_if_newer(cx, object, content) {
                     Ok(()) => Message::Gossip(self.summary()),
                     Err(e) => Message::Ack(Ack {
                         object,
@@ -137,7 +141,7 @@
                     .as_mut()
                     .filter(|d| d.object() == object);
                 if let Some(d) = d.filter(|d| d.proposer() == from) {
-                    d.extend_from_ack(seq, in_doubt_after);
+                    d.extend_safe_time_from_ack(seq, in_doubt_after);
                 }
             }
             Message::Abandoned { object } => {
@@ -165,8 +169,8 @@
         }
     }
 
-    fn on_want(&mut self, cx: &mut Cx<'_>, from: &VmId, object: u64) {
-        let reply = match &self.latest {
+    fn on_record_request(&mut self, cx: &mut Cx<'_>, from: &VmId, object: u64) {
+        let reply = match &self.latest_record {
             Some(r) if r.object > object => Message::Newest {
                 object: r.object,
                 content: r.content.clone(),
@@ -177,7 +181,11 @@
     }
 
     fn on_ack(&mut self, cx: &mut Cx<'_>, from: &VmId, ack: Ack) {
-        if let Some(r) = self.latest.as_ref().filter(|r| r.object > ack.object) {
+        if let Some(r) = self
+            .latest_record
+            .as_ref()
+            .filter(|r| r.object > ack.object)
+        {
             let (object, content) = (r.object, r.content.clone());
             return cx.send(from, Message::Newest { object, content });
         }
@@ -188,7 +196,7 @@
         }
         let (object, seq) = (ack.object, ack.seq);
         if let Some(p) = self
-            .current
+            .current_proposal
             .as_mut()
             .filter(|p| p.prepared_object == object)
         {
@@ -204,27 +212,36 @@
     /// # Errors
     ///
     /// [`ErrorKind::BadInput`] if it is invalid or of an older version; the known record stays.
-    pub(crate) fn learn(&mut self, cx: &mut Cx<'_>, object: u64, content: Arc<str>) -> Result<()> {
-        if self.latest.as_ref().is_some_and(|r| r.object >= object) {
+    pub(crate) fn apply_record_if_newer(
+        &mut self,
+        cx: &mut Cx<'_>,
+        object: u64,
+        content: Arc<str>,
+    ) -> Result<()> {
+        if self
+            .latest_record
+            .as_ref()
+            .is_some_and(|r| r.object >= object)
+        {
             return Ok(());
         }
         let next = LatestRecord::parse(cx.now, object, content)
-            .and_then(|next| next.checked_after(self.latest.as_ref()))
+            .and_then(|next| next.ensure_not_older(self.latest_record.as_ref()))
             .inspect_err(|e| log::error!("event=config-ignored object={object} error=\"{e}\""))?;
-        let before = self.latest.as_ref().map(|r| r.record.version);
+        let before = self.latest_record.as_ref().map(|r| r.record.version);
         if before != Some(next.record.version) {
             cx.out.push(Action::Apply(next.config.clone()));
         }
-        let grace = match self.start.ready {
+        let grace = match self.startup.ready {
             true => self.options.in_doubt_after,
             false => Duration::ZERO,
         };
         let pending = next.record.pending.as_ref();
         self.in_doubt_patch = pending.map(|p| InDoubtPatch::new(&next, p, grace));
-        self.latest = Some(next);
+        self.latest_record = Some(next);
         self.shared_write.write_retry.reset();
         self.shared_write.config_missing = false;
-        self.acknowledge(cx);
+        self.acknowledge_prepared_patch(cx);
         self.send_summary_to_proposer(cx);
         Ok(())
     }
--- a/crates/conf/src/latest_record.rs
+++ b/crates/conf/src/latest_record.rs
@@ -46,7 +46,7 @@
     /// # Errors
     ///
     /// [`ErrorKind::BadInput`] if the version decreases.
-    pub(crate) fn checked_after(self, before: Option<&Self>) -> Result<Self> {
+    pub(crate) fn ensure_not_older(self, before: Option<&Self>) -> Result<Self> {
         let (version, in_force) = (self.record.version, before.map(|b| b.record.version));
         if in_force.is_none_or(|in_force| version >= in_force) {
             return Ok(self);
--- a/crates/conf/src/manager.rs
+++ b/crates/conf/src/manager.rs
@@ -14,13 +14,13 @@
 use crate::action::Action;
 use crate::event::Event;
 use crate::fleet::Fleet;
-use crate::fleet::VmStatus;
+use crate::fleet::VmConfigStatus;
 use crate::in_doubt::InDoubtPatch;
 use crate::latest_record::LatestRecord;
 use crate::message::Message;
 use crate::message::RecordSummary;
 use crate::options::ConfigManagerOptions;
-use crate::patch::Touched;
+use crate::patch::AffectedTarget;
 use crate::proposal::Proposal;
 use crate::proposal::ProposeCall;
 use crate::proposal::RetryState;
@@ -36,15 +36,15 @@
     pub(crate) options: ConfigManagerOptions,
     pub(crate) chart: Chart<PatchState, PatchEvent>,
     pub(crate) rng: ChaCha8Rng,
-    pub(crate) latest: Option<LatestRecord>,
+    pub(crate) latest_record: Option<LatestRecord>,
     pub(crate) in_doubt_patch: Option<InDoubtPatch>,
     /// The list last sent as [`Action::Doubt`].
-    pub(crate) reported_in_doubt: Vec<Touched>,
+    pub(crate) reported_in_doubt: Vec<AffectedTarget>,
     pub(crate) fleet: Fleet,
     pub(crate) groups: Option<BTreeSet<GroupName>>,
-    pub(crate) queue: VecDeque<Proposal>,
-    pub(crate) current: Option<Proposal>,
-    pub(crate) start: StartState,
+    pub(crate) queued_proposals: VecDeque<Proposal>,
+    pub(crate) current_proposal: Option<Proposal>,
+    pub(crate) startup: StartupState,
     pub(crate) read_state: ReadState,
     /// The write that withdraws another VM's patch or creates the first configuration.
     pub(crate) shared_write: SharedWrite,
@@ -55,11 +55,11 @@
 
 /// The progress of a starting VM towards an up-to-date configuration.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct StartState {
+pub(crate) struct StartupState {
     /// When [`Event::Start`] was processed.
     pub(crate) started_at: Option<Instant>,
     /// Whether the platform returned the object, or accepted a write to it.
-    pub(crate) confirmed: bool,
+    pub(crate) platform_confirmed: bool,
     /// Whether a read from the platform failed.
     pub(crate) platform_failed: bool,
     pub(crate) ready: bool,
@@ -109,14 +109,14 @@
             chart: patch_chart()?,
             rng: ChaCha8Rng::seed_from_u64(options.seed),
             options,
-            latest: None,
+            latest_record: None,
             in_doubt_patch: None,
             reported_in_doubt: Vec::new(),
             fleet: Fleet::default(),
             groups: None,
-            queue: VecDeque::new(),
-            current: None,
-            start: StartState::default(),
+            queued_proposals: VecDeque::new(),
+            current_proposal: None,
+            startup: StartupState::default(),
             read_state: ReadState::default(),
             shared_write: SharedWrite::default(),
             last_write_id: 0,
@@ -159,26 +159,28 @@
     /// Returns the configuration in force here.
     #[must_use]
     pub fn config(&self) -> Option<&Arc<Config>> {
-        self.latest.as_ref().map(|r| &r.config)
+        self.latest_record.as_ref().map(|r| &r.config)
     }
 
     /// Returns the last decided patches, oldest first.
     #[must_use]
     pub fn decided_patches(&self) -> &[DecidedPatch] {
-        self.latest.as_ref().map_or(&[], |r| &r.record.settled)
+        self.latest_record
+            .as_ref()
+            .map_or(&[], |r| &r.record.settled)
     }
 
     /// Returns the patch that is being decided, as far as this VM knows.
     #[must_use]
-    pub fn pending(&self) -> Option<&PatchId> {
-        let pending = self.latest.as_ref()?.record.pending.as_ref()?;
+    pub fn pending_patch_id(&self) -> Option<&PatchId> {
+        let pending = self.latest_record.as_ref()?.record.pending.as_ref()?;
         Some(&pending.patch.id)
     }
 
     /// Whether this VM has the newest configuration that the platform or its peers had at its start.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.start.ready
+        self.startup.ready
     }
 
     /// Whether a lookup must be refused now because a patch that changes it is in doubt here.
@@ -194,7 +196,7 @@
 
     /// Returns all lookups that must be refused now because a patch that changes them is in doubt here.
     #[must_use]
-    pub fn in_doubt_targets(&self, now: Instant) -> &[Touched] {
+    pub fn in_doubt_targets(&self, now: Instant) -> &[AffectedTarget] {
         self.in_doubt_patch
             .as_ref()
             .map_or(&[], |d| d.refused_targets(now))
@@ -203,7 +205,7 @@
     /// Returns the summary of the newest record, which heartbeats carry too.
     #[must_use]
     pub fn summary(&self) -> RecordSummary {
-        self.latest
+        self.latest_record
             .as_ref()
             .map(LatestRecord::summary)
             .unwrap_or_default()
@@ -211,8 +213,8 @@
 
     /// Returns the version that each VM reported to have in force.
     #[must_use]
-    pub fn fleet(&self, now: Instant) -> Vec<VmStatus> {
-        let mut status = self.fleet.status(now);
+    pub fn vm_config_statuses(&self, now: Instant) -> Vec<VmConfigStatus> {
+        let mut status = self.fleet.vm_config_statuses(now);
         for s in status.iter_mut().filter(|s| s.vm == self.options.vm) {
             s.version = self.config().map(|c| c.version);
             s.heard = Some(Duration::ZERO);
--- a/crates/conf/src/options.rs
+++ b/crates/conf/src/options.rs
@@ -28,7 +28,7 @@
     pub bootstrap: Option<Bootstrap>,
     /// How long VMs may take to acknowledge a patch before it is refused naming them.
     #[builder(default = Duration::from_millis(1_500))]
-    pub ack_wait: Duration,
+    pub ack_timeout: Duration,
     /// How long a VM that acknowledged a patch continues to serve the lookups that it changes without
     /// a message from the proposer or the platform.
     #[builder(default = Duration::from_millis(1_500))]
--- a/crates/conf/src/patch.rs
+++ b/crates/conf/src/patch.rs
@@ -57,14 +57,14 @@
 
 /// A front or lookup that a patch changes for callers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Touched {
+pub struct AffectedTarget {
     /// The front.
     pub front: FrontName,
     /// The lookup; `None` for every lookup of the front.
     pub lookup: Option<LookupName>,
 }
 
-impl Touched {
+impl AffectedTarget {
     /// Whether a request for this front and lookup is affected.
     #[must_use]
     pub fn covers(&self, front: &FrontName, lookup: &LookupName) -> bool {
@@ -82,7 +82,7 @@
 
     /// Returns the fronts and lookups that the patch changes; team changes affect no caller.
     #[must_use]
-    pub fn affected(&self) -> Vec<Touched> {
+    pub fn affected(&self) -> Vec<AffectedTarget> {
         let mut affected: Vec<_> = self.changes.iter().filter_map(Change::affected).collect();
         affected.sort();
         affected.dedup();
@@ -91,7 +91,7 @@
 }
 
 impl Change {
-    fn affected(&self) -> Option<Touched> {
+    fn affected(&self) -> Option<AffectedTarget> {
         let (front, lookup) = match self {
             Self::PutFront(f) => (&f.name, None),
             Self::RemoveFront(f) => (f, None),
@@ -99,7 +99,7 @@
             Self::RemoveLookup { front, lookup } => (front, Some(lookup.clone())),
             Self::PutTeam(_) | Self::RemoveTeam(_) => return None,
         };
-        Some(Touched {
+        Some(AffectedTarget {
             front: front.clone(),
             lookup,
         })
--- a/crates/conf/src/patch_eligibility.rs
+++ b/crates/conf/src/patch_eligibility.rs
@@ -8,7 +8,7 @@
 use crate::latest_record::LatestRecord;
 use crate::patch::Patch;
 use crate::record::Record;
-use crate::team::check_scope;
+use crate::team::check_team_permissions;
 
 /// The result of evaluating a patch against the newest known record.
 #[derive(Debug)]
@@ -20,13 +20,13 @@
     /// No permanent outcome can be given.
     Undecided(Error),
     /// It is against a version that this VM does not know yet.
-    Ahead,
+    UnknownVersion,
     /// It may be prepared; with the resulting configuration and the warnings.
     Eligible(Box<Config>, Vec<String>),
 }
 
 /// Evaluates a patch against a record and its configuration.
-pub(crate) fn patch_eligibility(
+pub(crate) fn evaluate_patch(
     latest: &LatestRecord,
     team: &TeamName,
     patch: &Patch,
@@ -46,13 +46,14 @@
         };
     }
     if patch.against < record.version {
-        return outdated_patch_eligibility(record, patch);
+        return evaluate_outdated_patch(record, patch);
     }
     if patch.against > record.version {
-        return PatchEligibility::Ahead;
+        return PatchEligibility::UnknownVersion;
     }
     let cfg = &latest.config;
-    let checked = check_scope(cfg, team, patch).and_then(|()| check_patch(cfg, patch, groups));
+    let checked =
+        check_team_permissions(cfg, team, patch).and_then(|()| check_patch(cfg, patch, groups));
     let (next, warnings) = match checked {
         Ok(checked) => checked,
         Err(e) => return PatchEligibility::Refused(e),
@@ -66,7 +67,7 @@
 /// If the patch had been accepted, it would have created the version after the one it is against. So
 /// the patch that created that version decides, if it is still recorded; a patch that was accepted
 /// long ago must not be reported as refused.
-fn outdated_patch_eligibility(record: &Record, patch: &Patch) -> PatchEligibility {
+fn evaluate_outdated_patch(record: &Record, patch: &Patch) -> PatchEligibility {
     let next = patch.against.next();
     let creator = match next == record.version {
         true => record.patch.as_ref(),
--- a/crates/conf/src/patch_outcome.rs
+++ b/crates/conf/src/patch_outcome.rs
@@ -32,7 +32,7 @@
         /// The reason.
         error: Error,
         /// The VMs that rejected it or did not acknowledge it.
-        against: Vec<Objection>,
+        against: Vec<VmRejection>,
     },
     /// It is not decided yet, or the decision is not known here. A resend with the same id is safe and
     /// returns the outcome.
@@ -44,7 +44,7 @@
 
 /// A VM that rejected a patch or did not acknowledge it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Objection {
+pub struct VmRejection {
     /// The VM.
     pub vm: VmId,
     /// Its reason, or that it did not acknowledge the patch in time.
--- a/crates/conf/src/prepare.rs
+++ b/crates/conf/src/prepare.rs
@@ -10,24 +10,24 @@
 use crate::manager::Cx;
 use crate::patch::Patch;
 use crate::patch_eligibility::PatchEligibility;
-use crate::patch_eligibility::patch_eligibility;
+use crate::patch_eligibility::evaluate_patch;
 use crate::patch_outcome::PatchOutcome;
 use crate::proposal::Proposal;
 use crate::record::CURRENT_PATH;
-use crate::record::Pending;
+use crate::record::PendingPatch;
 use crate::state::PatchEvent;
 
 impl ConfigManager {
     pub(crate) fn step_reading(&mut self, cx: &mut Cx<'_>, p: &mut Proposal) -> Option<PatchEvent> {
         let late = p.are_calls_expired(cx.now).then_some(PatchEvent::Late);
-        let Some(latest) = self.latest.clone() else {
+        let Some(latest) = self.latest_record.clone() else {
             self.read_state.wanted = true;
             return late;
         };
         if p.eligible_object == Some(latest.object) && !self.can_prepare(&latest) {
             return late;
         }
-        match patch_eligibility(&latest, &p.team, &p.patch, self.groups.as_ref()) {
+        match evaluate_patch(&latest, &p.team, &p.patch, self.groups.as_ref()) {
             PatchEligibility::Accepted(version) => {
                 p.committed_version = Some(version);
                 Some(PatchEvent::Committed)
@@ -40,7 +40,7 @@
                 self.send_outcome(cx, p, PatchOutcome::Undecided { error });
                 Some(PatchEvent::Settled)
             }
-            PatchEligibility::Ahead => self.read_newer_version(cx, p, &latest).or(late),
+            PatchEligibility::UnknownVersion => self.read_newer_version(cx, p, &latest).or(late),
             PatchEligibility::Eligible(next, warnings) if self.can_prepare(&latest) => {
                 p.next_config = Some(Arc::new(*next));
                 p.warnings = warnings;
@@ -55,14 +55,14 @@
     }
 
     /// Returns the outcome of a dry run against the newest known record.
-    pub(crate) fn dry_run(&self, team: &TeamName, patch: &Patch) -> PatchOutcome {
-        let Some(latest) = &self.latest else {
+    pub(crate) fn dry_run_outcome(&self, team: &TeamName, patch: &Patch) -> PatchOutcome {
+        let Some(latest) = &self.latest_record else {
             let error = Error::new(ErrorKind::Unavailable, "this VM holds no configuration yet")
                 .at("dry run")
                 .with_hint("try another VM, or retry in a few seconds");
             return PatchOutcome::Undecided { error };
         };
-        match patch_eligibility(latest, team, patch, self.groups.as_ref()) {
+        match evaluate_patch(latest, team, patch, self.groups.as_ref()) {
             PatchEligibility::Eligible(next, warnings) => PatchOutcome::Checked {
                 version: next.version,
                 warnings,
@@ -79,8 +79,8 @@
                 against: Vec::new(),
             },
             PatchEligibility::Undecided(error) => PatchOutcome::Undecided { error },
-            PatchEligibility::Ahead => PatchOutcome::Undecided {
-                error: ahead_error(patch, latest),
+            PatchEligibility::UnknownVersion => PatchOutcome::Undecided {
+                error: unknown_version_error(patch, latest),
             },
         }
     }
@@ -98,11 +98,15 @@
         p: &mut Proposal,
         latest: &LatestRecord,
     ) -> Option<PatchEvent> {
-        if self.read_state.answered_at.is_none_or(|at| at <= p.since) {
+        if self
+            .read_state
+            .answered_at
+            .is_none_or(|at| at <= p.entered_state_at)
+        {
             self.read_state.wanted = true;
             return None;
         }
-        let error = ahead_error(&p.patch, latest);
+        let error = unknown_version_error(&p.patch, latest);
         self.send_outcome(cx, p, PatchOutcome::Undecided { error });
         Some(PatchEvent::Settled)
     }
@@ -123,7 +127,7 @@
         cx: &mut Cx<'_>,
         p: &mut Proposal,
     ) -> Option<PatchEvent> {
-        let latest = self.latest.clone()?;
+        let latest = self.latest_record.clone()?;
         if self.is_own_pending(&latest, p) {
             p.prepared_object = latest.object;
             return Some(PatchEvent::Prepared);
@@ -136,7 +140,7 @@
         }
         if p.write_retry.is_due(cx.now) {
             let mut record = (*latest.record).clone();
-            record.pending = Some(self.new_pending(p));
+            record.pending = Some(self.new_pending_patch(p));
             self.start_write(
                 cx,
                 p,
@@ -148,8 +152,8 @@
         None
     }
 
-    fn new_pending(&self, p: &Proposal) -> Pending {
-        Pending {
+    fn new_pending_patch(&self, p: &Proposal) -> PendingPatch {
+        PendingPatch {
             patch: p.patch.clone(),
             team: p.team.clone(),
             proposer: self.options.vm.clone(),
@@ -188,7 +192,7 @@
     }
 }
 
-fn ahead_error(patch: &Patch, latest: &LatestRecord) -> Error {
+fn unknown_version_error(patch: &Patch, latest: &LatestRecord) -> Error {
     let text = format!(
         "the patch is against version {}, and {} is the newest",
         patch.against, latest.record.version
--- a/crates/conf/src/proposal.rs
+++ b/crates/conf/src/proposal.rs
@@ -11,8 +11,8 @@
 use crate::event::CallId;
 use crate::message::Ack;
 use crate::patch::Patch;
-use crate::patch_outcome::Objection;
 use crate::patch_outcome::PatchOutcome;
+use crate::patch_outcome::VmRejection;
 use crate::state::PatchState;
 
 /// The delay before the first retry of a write; doubled each time.
@@ -29,7 +29,7 @@
     pub(crate) nonce: u64,
     pub(crate) state: PatchState,
     /// When the state was entered.
-    pub(crate) since: Instant,
+    pub(crate) entered_state_at: Instant,
     /// The operators' calls that wait for the outcome, each with the time at which it expires.
     pub(crate) calls: Vec<(CallId, Instant)>,
     /// The object version that the patch was evaluated against and whose content it replaces.
@@ -42,8 +42,8 @@
     pub(crate) next_config: Option<Arc<Config>>,
     pub(crate) warnings: Vec<String>,
     pub(crate) acks: BTreeMap<VmId, ReceivedAck>,
-    pub(crate) archived: bool,
-    pub(crate) refusal: Option<(Error, Vec<Objection>)>,
+    pub(crate) history_written: bool,
+    pub(crate) refusal: Option<(Error, Vec<VmRejection>)>,
     /// The version that it created, once committed.
     pub(crate) committed_version: Option<ConfVersion>,
     /// Whether this VM committed it, and not another VM that received a resend.
@@ -51,14 +51,14 @@
     pub(crate) write_retry: RetryState,
     /// The content of the write in flight.
     pub(crate) sent_content: Option<Arc<str>>,
-    pub(crate) last_sent: Option<Instant>,
+    pub(crate) last_sent_at: Option<Instant>,
 }
 
 /// A received acknowledgement.
 #[derive(Clone, Debug)]
 pub(crate) struct ReceivedAck {
-    pub(crate) at: Instant,
-    pub(crate) against: Option<String>,
+    pub(crate) received_at: Instant,
+    pub(crate) rejection_reason: Option<String>,
 }
 
 /// The retry state of a write or of reads: the write in flight, if any, and the backoff.
@@ -113,7 +113,7 @@
             team: request.team,
             nonce,
             state,
-            since: now,
+            entered_state_at: now,
             calls: vec![(request.call, now + outcome_timeout)],
             base_object: 0,
             eligible_object: None,
@@ -121,13 +121,13 @@
             next_config: None,
             warnings: Vec::new(),
             acks: BTreeMap::new(),
-            archived: false,
+            history_written: false,
             refusal: None,
             committed_version: None,
             committed_here: false,
             write_retry: RetryState::default(),
             sent_content: None,
-            last_sent: None,
+            last_sent_at: None,
         }
     }
 
@@ -159,17 +159,19 @@
     ) -> bool {
         let acked = |vm| {
             let ack: Option<&ReceivedAck> = self.acks.get(vm);
-            ack.is_some_and(|a| a.against.is_none() && since.is_none_or(|s| a.at >= s))
+            ack.is_some_and(|a| {
+                a.rejection_reason.is_none() && since.is_none_or(|s| a.received_at >= s)
+            })
         };
         // An empty list means that the VMs are not known, not that there are none.
         !vms.is_empty() && vms.iter().filter(|vm| *vm != me).all(acked)
     }
 
     /// Returns the VMs that reject it with their reasons.
-    pub(crate) fn objections(&self) -> Vec<Objection> {
+    pub(crate) fn rejections(&self) -> Vec<VmRejection> {
         let one = |(vm, ack): (&VmId, &ReceivedAck)| {
-            let reason = ack.against.clone()?;
-            Some(Objection {
+            let reason = ack.rejection_reason.clone()?;
+            Some(VmRejection {
                 vm: vm.clone(),
                 reason,
             })
@@ -194,11 +196,11 @@
     /// Records an acknowledgement; the first rejection of a VM is kept.
     pub(crate) fn note_ack(&mut self, now: Instant, from: &VmId, ack: Ack) {
         let seen = ReceivedAck {
-            at: now,
-            against: ack.against,
+            received_at: now,
+            rejection_reason: ack.against,
         };
         let old = self.acks.get(from);
-        if old.is_none_or(|a| a.against.is_none()) {
+        if old.is_none_or(|a| a.rejection_reason.is_none()) {
             self.acks.insert(from.clone(), seen);
         }
     }
--- a/crates/conf/src/record.rs
+++ b/crates/conf/src/record.rs
@@ -21,7 +21,7 @@
 const REASON_MAX_CHARS: usize = 200;
 
 /// The number of decided patches in the record, which are kept for resends.
-pub const DECIDED_MAX: usize = 128;
+pub const DECIDED_PATCHES_MAX: usize = 128;
 
 /// Returns the path of a replaced version.
 #[must_use]
@@ -51,7 +51,7 @@
     pub settled: Vec<DecidedPatch>,
     /// The patch that is being decided.
     #[serde(default)]
-    pub pending: Option<Pending>,
+    pub pending: Option<PendingPatch>,
 }
 
 impl Record {
@@ -98,11 +98,11 @@
     }
 
     /// Returns the record with its pending patch refused; unchanged if none is pending.
-    pub(crate) fn withdrawn(&self, reason: &str) -> Self {
+    pub(crate) fn with_pending_withdrawn(&self, reason: &str) -> Self {
         let mut next = self.clone();
         if let Some(p) = &self.pending {
             let reason = reason.chars().take(REASON_MAX_CHARS).collect();
-            next.record_decision(p.decided(None, Some(reason)));
+            next.record_decision(p.to_decided_patch(None, Some(reason)));
         }
         next
     }
@@ -117,7 +117,7 @@
     pub(crate) fn record_decision(&mut self, decided: DecidedPatch) {
         self.pending = None;
         self.settled.push(decided);
-        let extra = self.settled.len().saturating_sub(DECIDED_MAX);
+        let extra = self.settled.len().saturating_sub(DECIDED_PATCHES_MAX);
         self.settled.drain(..extra);
     }
 }
@@ -144,7 +144,7 @@
 /// A patch that is being decided.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Pending {
+pub struct PendingPatch {
     /// The patch.
     pub patch: Patch,
     /// The team that proposed it.
@@ -158,9 +158,9 @@
     pub nonce: u64,
 }
 
-impl Pending {
+impl PendingPatch {
     /// Returns the decision on it.
-    pub(crate) fn decided(
+    pub(crate) fn to_decided_patch(
         &self,
         version: Option<ConfVersion>,
         reason: Option<String>,
--- a/crates/conf/src/team.rs
+++ b/crates/conf/src/team.rs
@@ -13,7 +13,7 @@
 
 /// Returns the SHA-256 of a team's key in hexadecimal, as stored in the configuration.
 #[must_use]
-pub fn hash_key(key: &str) -> String {
+pub fn hash_team_key(key: &str) -> String {
     hex::encode(Sha256::digest(key.as_bytes()))
 }
 
@@ -26,9 +26,9 @@
 ///
 /// [`ErrorKind::Forbidden`], the same for an unknown team and a wrong key.
 pub fn authenticate<'a>(cfg: &'a Config, team: &str, key: &str) -> Result<&'a Team> {
-    let hash = hash_key(key);
+    let hash = hash_team_key(key);
     let known = cfg.teams.iter().find(|t| t.name.as_str() == team);
-    let wanted = known.map_or_else(|| hash_key(""), |t| t.key_sha256.clone());
+    let wanted = known.map_or_else(|| hash_team_key(""), |t| t.key_sha256.clone());
     let same = bool::from(hash.as_bytes().ct_eq(wanted.as_bytes()));
     match known {
         Some(t) if same => Ok(t),
@@ -40,7 +40,7 @@
 
 /// Returns the configuration with the hashes of keys redacted.
 #[must_use]
-pub fn redacted(cfg: &Config) -> Config {
+pub fn redact_keys(cfg: &Config) -> Config {
     let mut shown = cfg.clone();
     for t in &mut shown.teams {
         t.key_sha256 = REDACTED_KEY_HASH.to_owned();
@@ -53,7 +53,7 @@
 /// # Errors
 ///
 /// [`ErrorKind::Forbidden`] with the position of the first change that the team may not make.
-pub fn check_scope(cfg: &Config, team: &TeamName, patch: &Patch) -> Result<()> {
+pub fn check_team_permissions(cfg: &Config, team: &TeamName, patch: &Patch) -> Result<()> {
     let Some(t) = cfg.teams.iter().find(|t| t.name == *team) else {
         return Err(Error::new(
             ErrorKind::Forbidden,
@@ -66,12 +66,12 @@
         return Ok(());
     }
     for (i, change) in patch.changes.iter().enumerate() {
-        check_change(t, change).map_err(|e| e.at(format!("changes[{i}]")))?;
+        check_change_permission(t, change).map_err(|e| e.at(format!("changes[{i}]")))?;
     }
     Ok(())
 }
 
-fn check_change(team: &Team, change: &Change) -> Result<()> {
+fn check_change_permission(team: &Team, change: &Change) -> Result<()> {
     let front = match change {
         Change::PutFront(f) => &f.name,
         Change::RemoveFront(f)
--- a/crates/conf/src/writes.rs
+++ b/crates/conf/src/writes.rs
@@ -53,11 +53,11 @@
         match result {
             // A version is archived under its number and always with the same content, so a conflict
             // means that it is archived already.
-            WriteResult::Done(_) | WriteResult::Conflict if archive => p.archived = true,
+            WriteResult::Done(_) | WriteResult::Conflict if archive => p.history_written = true,
             WriteResult::Done(object) => {
                 let content = p.sent_content.take();
-                let _ = self.learn(cx, object, content.unwrap_or_default());
-                self.prune(cx);
+                let _ = self.apply_record_if_newer(cx, object, content.unwrap_or_default());
+                self.prune_history(cx);
             }
             // The conflicting write may be an earlier try of this one; reading the object shows it.
             WriteResult::Conflict => {
@@ -73,8 +73,12 @@
     }
 
     /// Deletes the version that is too old to be kept in the history.
-    fn prune(&mut self, cx: &mut Cx<'_>) {
-        let Some(latest) = self.latest.as_ref().filter(|r| r.record.pending.is_none()) else {
+    fn prune_history(&mut self, cx: &mut Cx<'_>) {
+        let Some(latest) = self
+            .latest_record
+            .as_ref()
+            .filter(|r| r.record.pending.is_none())
+        else {
             return;
         };
         if let Some(old) = latest.record.version.0.checked_sub(HISTORY_VERSIONS_MAX) {
--- a/crates/conf/tests/patches/first.rs
+++ b/crates/conf/tests/patches/first.rs
@@ -3,7 +3,7 @@
 use gs_conf::Bootstrap;
 use gs_conf::CURRENT_PATH;
 use gs_conf::authenticate;
-use gs_conf::hash_key;
+use gs_conf::hash_team_key;
 use gs_types::prelude::*;
 
 use crate::world::Platform;
@@ -12,7 +12,7 @@
 fn bootstrap() -> Option<Bootstrap> {
     Some(Bootstrap {
         team: "root".parse().expect("a name"),
-        key_sha256: hash_key("first-key"),
+        key_sha256: hash_team_key("first-key"),
     })
 }
 
--- a/crates/conf/tests/patches/races.rs
+++ b/crates/conf/tests/patches/races.rs
@@ -146,7 +146,7 @@
         w.vms[3]
             .manager
             .as_ref()
-            .is_some_and(|m| m.pending().is_some())
+            .is_some_and(|m| m.pending_patch_id().is_some())
     };
     while !prepared(&w) {
         w.run(1);
@@ -181,7 +181,7 @@
     while w.vms[0]
         .manager
         .as_ref()
-        .is_some_and(|m| m.pending().is_none())
+        .is_some_and(|m| m.pending_patch_id().is_none())
     {
         w.run(1);
     }
@@ -230,7 +230,7 @@
     while w.vms[0]
         .manager
         .as_ref()
-        .is_some_and(|m| m.pending().is_none())
+        .is_some_and(|m| m.pending_patch_id().is_none())
     {
         w.run(1);
     }
@@ -263,7 +263,7 @@
     while w.vms[0]
         .manager
         .as_ref()
-        .is_some_and(|m| m.pending().is_none())
+        .is_some_and(|m| m.pending_patch_id().is_none())
     {
         w.run(1);
     }
@@ -301,7 +301,7 @@
     assert_eq!((proposal.id.as_str(), proposal.state), ("a", "asking"));
     assert_eq!(proposal.acknowledged, [name(1), name(2)]);
     let shown = serde_json::to_string(&dump).expect("JSON");
-    assert!(!shown.contains(&gs_conf::hash_key("key")), "{shown}");
+    assert!(!shown.contains(&gs_conf::hash_team_key("key")), "{shown}");
 }
 
 /// A VM is not on the platform's list and partitioned while a patch is accepted. Its link is repaired
--- a/crates/conf/tests/patches/world/oracle.rs
+++ b/crates/conf/tests/patches/world/oracle.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
+use gs_conf::AffectedTarget;
 use gs_conf::CallId;
 use gs_conf::Patch;
 use gs_conf::PatchOutcome;
 use gs_conf::Record;
-use gs_conf::Touched;
 use gs_types::prelude::*;
 
 use super::Vm;
@@ -19,7 +19,7 @@
 pub struct Oracle {
     calls_made: u64,
     calls: BTreeMap<CallId, (usize, u64, PatchId)>,
-    affected: BTreeMap<PatchId, Vec<Touched>>,
+    affected: BTreeMap<PatchId, Vec<AffectedTarget>>,
     outcomes: BTreeMap<CallId, PatchOutcome>,
     /// The patch of each version, as written to the platform.
     versions: BTreeMap<ConfVersion, PatchId>,
--- a/crates/conf/tests/patches/world/platform.rs
+++ b/crates/conf/tests/patches/world/platform.rs
@@ -11,7 +11,7 @@
 use gs_conf::Record;
 use gs_conf::WriteId;
 use gs_conf::WriteResult;
-use gs_conf::hash_key;
+use gs_conf::hash_team_key;
 use gs_types::prelude::*;
 
 /// A call to the platform in transit.
@@ -67,7 +67,7 @@
     pub fn new(vms: usize) -> Self {
         let team = Team {
             name: "ops".parse().expect("a name"),
-            key_sha256: hash_key("key"),
+            key_sha256: hash_team_key("key"),
             fronts: Vec::new(),
             admin: true,
         };
--- a/crates/conf/tests/rules/changes.rs
+++ b/crates/conf/tests/rules/changes.rs
@@ -2,8 +2,8 @@
 
 use gs_conf::Change;
 use gs_conf::Record;
-use gs_conf::apply;
-use gs_conf::diff;
+use gs_conf::apply_patch;
+use gs_conf::diff_configs;
 use gs_types::prelude::*;
 use rstest::rstest;
 
@@ -20,7 +20,7 @@
 #[test]
 fn a_patch_creates_the_next_version_under_its_id() {
     let changes = vec![Change::PutFront(front("new", &["quote"]))];
-    let next = apply(&config(), &patch(changes)).expect("applies");
+    let next = apply_patch(&config(), &patch(changes)).expect("applies");
     assert_eq!(next.version, ConfVersion(8));
     assert_eq!(next.patch.as_ref().map(PatchId::as_str), Some("p-8"));
     assert_eq!(next.fronts.len(), 3);
@@ -30,7 +30,7 @@
 fn a_patch_against_another_version_is_a_conflict() {
     let mut outdated = patch(vec![Change::RemoveFront(archive())]);
     outdated.against = ConfVersion(6);
-    let e = apply(&config(), &outdated).expect_err("outdated");
+    let e = apply_patch(&config(), &outdated).expect_err("outdated");
     assert_eq!(e.kind(), ErrorKind::Conflict);
     assert!(
         e.to_string()
@@ -52,7 +52,7 @@
 #[case::team(Change::RemoveTeam("none".parse().expect("a name")))]
 fn a_change_to_an_undeclared_target_is_named(#[case] change: Change) {
     let changes = vec![Change::RemoveFront(archive()), change];
-    let e = apply(&config(), &patch(changes)).expect_err("not declared");
+    let e = apply_patch(&config(), &patch(changes)).expect_err("not declared");
     assert_eq!(
         (e.kind(), e.step()),
         (ErrorKind::BadInput, Some("changes[1]"))
@@ -70,8 +70,11 @@
     to.fronts[0].lookups.remove(1);
     to.fronts.remove(1);
     to.fronts.push(front("new", &[]));
-    assert_eq!(apply(&from, &patch(diff(&from, &to))), Ok(to.clone()));
-    assert_eq!(diff(&to, &to), []);
+    assert_eq!(
+        apply_patch(&from, &patch(diff_configs(&from, &to))),
+        Ok(to.clone())
+    );
+    assert_eq!(diff_configs(&to, &to), []);
 }
 
 #[test]
--- a/crates/conf/tests/rules/samples.rs
+++ b/crates/conf/tests/rules/samples.rs
@@ -4,7 +4,7 @@
 
 use gs_conf::Change;
 use gs_conf::Patch;
-use gs_conf::hash_key;
+use gs_conf::hash_team_key;
 use gs_types::prelude::*;
 
 pub fn lookup(name: &str) -> Lookup {
@@ -29,7 +29,7 @@
 pub fn team(name: &str, admin: bool, fronts: &[&str]) -> Team {
     Team {
         name: name.parse().expect("a name"),
-        key_sha256: hash_key(&format!("key-of-{name}")),
+        key_sha256: hash_team_key(&format!("key-of-{name}")),
         fronts: fronts.iter().map(|f| f.parse().expect("a name")).collect(),
         admin,
     }
--- a/crates/conf/tests/rules/teams.rs
+++ b/crates/conf/tests/rules/teams.rs
@@ -2,8 +2,8 @@
 
 use gs_conf::Change;
 use gs_conf::authenticate;
-use gs_conf::check_scope;
-use gs_conf::redacted;
+use gs_conf::check_team_permissions;
+use gs_conf::redact_keys;
 use gs_types::prelude::*;
 use rstest::rstest;
 
@@ -54,7 +54,7 @@
 fn a_team_may_change_only_its_own_fronts(#[case] change: Change, #[case] allowed: bool) {
     let p = patch(vec![change]);
     let quill = "quill".parse().expect("a name");
-    let result = check_scope(&config(), &quill, &p);
+    let result = check_team_permissions(&config(), &quill, &p);
     assert_eq!(
         result.map_err(|e| e.kind()),
         match allowed {
@@ -63,20 +63,20 @@
         }
     );
     let ops = "ops".parse().expect("a name");
-    assert_eq!(check_scope(&config(), &ops, &p), Ok(()));
+    assert_eq!(check_team_permissions(&config(), &ops, &p), Ok(()));
 }
 
 #[test]
 fn a_removed_team_may_change_nothing() {
     let removed = "removed".parse().expect("a name");
     let p = patch(vec![Change::PutFront(front("archive", &[]))]);
-    let e = check_scope(&config(), &removed, &p).expect_err("removed");
+    let e = check_team_permissions(&config(), &removed, &p).expect_err("removed");
     assert_eq!(e.kind(), ErrorKind::Forbidden);
 }
 
 #[test]
 fn hashes_of_keys_are_not_shown() {
-    let shown = format!("{:?}", redacted(&config()));
+    let shown = format!("{:?}", redact_keys(&config()));
     for t in config().teams {
         assert!(!shown.contains(&t.key_sha256));
     }
--- a/crates/node/src/dumps.rs
+++ b/crates/node/src/dumps.rs
@@ -111,7 +111,7 @@
             "ready": self.is_ready(),
             "leaving": self.state.is_leaving(),
             "config": config,
-            "in_force": lock(&self.config_manager).fleet(now),
+            "in_force": lock(&self.config_manager).vm_config_statuses(now),
             "in_doubt": lock(&self.config_manager).in_doubt_targets(now),
             "platform_away_for": self.unreachable_for(),
             "vms": vms,
--- a/crates/node/src/operator_api.rs
+++ b/crates/node/src/operator_api.rs
@@ -15,7 +15,7 @@
 use gs_conf::HISTORY_PREFIX;
 use gs_conf::Patch;
 use gs_conf::PatchOutcome;
-use gs_conf::VmStatus;
+use gs_conf::VmConfigStatus;
 use gs_conf::history_path;
 use gs_store::Platform;
 use gs_types::prelude::*;
@@ -94,8 +94,8 @@
         Ok(all)
     }
 
-    fn fleet(&self) -> Vec<VmStatus> {
-        lock(&self.config_manager).fleet(self.clock.now())
+    fn fleet(&self) -> Vec<VmConfigStatus> {
+        lock(&self.config_manager).vm_config_statuses(self.clock.now())
     }
 
     fn status(&self) -> Value {
--- a/src/commands/patch_file.rs
+++ b/src/commands/patch_file.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use gs_conf::Change;
+use gs_conf::ConfigProblem;
 use gs_conf::Patch;
-use gs_conf::Problem;
 use gs_types::prelude::*;
 use serde::de::DeserializeOwned;
 
@@ -25,7 +25,7 @@
         None => minimal_config(&patch)?,
     };
     let (_, warnings) = gs_conf::check_patch(&config, &patch, None)?;
-    let describe = |w: Problem| format!("{}: {}; {}", w.place, w.text, w.hint);
+    let describe = |w: ConfigProblem| format!("{}: {}; {}", w.place, w.text, w.hint);
     Ok(warnings.into_iter().map(describe).collect())
 }
 
