--- a/crates/http/src/backend/part_reply.rs
+++ b/crates/http/src/backend/part_reply.rs
@@ -38,7 +38,8 @@
     match exchange(conn, req, body_bytes_max).await {
         Ok(reply) => parse_reply(&reply, d),
         Err(ExchangeError::TooLarge) => (PartReply::Garbled, false),
-        // `Event::Sent` was reported for this attempt already, so it counts as one that may have been executed.
+        // `Event::Sent` was reported for this attempt already, so it counts as one that may have been executed. This
+        // includes a connection that the server closed while it was idle.
         Err(ExchangeError::NotSent | ExchangeError::Broken(_)) => (PartReply::Broken, false),
     }
 }
@@ -74,7 +75,9 @@
     })
 }
 
-/// Parses an error reply.
+/// Parses a reply whose status is not 200.
+///
+/// Returns `Failed` without `x-not-run: 1`, and `NotSent` with it if `x-reason` is missing or not known.
 fn parse_refusal(h: &HeaderMap) -> PartReply {
     if header_text(h, "x-not-run") != Some("1") {
         return PartReply::Failed;
--- a/crates/limit/src/adaptive.rs
+++ b/crates/limit/src/adaptive.rs
@@ -45,10 +45,10 @@
 /// How long overload is reported after it was last observed.
 const OVERLOAD_HOLD: Duration = Duration::from_millis(500);
 
-/// The shortest time after which a rejected caller is asked to retry.
+/// The shortest time after which a rejected caller may retry.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(100);
 
-/// The longest time after which a rejected caller is asked to retry.
+/// The longest time after which a rejected caller may retry.
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(5);
 
 /// Admits lookups that are expected to end by their deadline.
--- a/crates/limit/src/admission.rs
+++ b/crates/limit/src/admission.rs
@@ -26,7 +26,8 @@
 /// Whether a lookup is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// The lookup starts at all its shards.
+    /// The lookup may start; the engine may still refuse it, make its claim first or start it with a
+    /// canary at one shard.
     Admit,
     /// No part of the lookup starts; a retry is useful after this time.
     Refuse(Duration),
--- a/crates/limit/src/fixed.rs
+++ b/crates/limit/src/fixed.rs
@@ -9,7 +9,7 @@
 use crate::admission::LookupEnd;
 use crate::dump::AdmissionDump;
 
-/// The time after which a rejected caller is asked to retry.
+/// The time after which a rejected caller may retry.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Admits every lookup below a fixed limit, regardless of deadlines, urgency and queues.
--- a/crates/node/src/engine_client.rs
+++ b/crates/node/src/engine_client.rs
@@ -95,7 +95,8 @@
 }
 
 impl EngineClient {
-    /// Returns whether the current configuration declares a lookup.
+    /// Returns whether the current configuration declares a lookup; used only for the labels of its
+    /// metrics.
     fn is_declared(&self, front: &FrontName, lookup: &LookupName) -> bool {
         let config_manager = lock(&self.config_manager);
         config_manager
--- a/crates/once/src/message.rs
+++ b/crates/once/src/message.rs
@@ -11,19 +11,20 @@
 /// A message about claims between two VMs. Messages may be lost, delayed or duplicated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Forwards a claim request, to be written in one batch with the receiver's requests.
+    /// Requests the receiver to make a claim on behalf of the sender, in one batch with the receiver's
+    /// own claims.
     Make {
         /// Number of this message among those of the sender's incarnation. The receiver ignores a
         /// number that is not larger than the last, so that a duplicated message cannot restore a
         /// request that was dropped.
         number: u64,
-        /// The request, made on behalf of the sender.
+        /// The claim request.
         #[serde(rename = "ask")]
         request: ClaimRequest,
         /// How long the sender waits for the answer.
         budget: Duration,
     },
-    /// Returns the result of a forwarded request.
+    /// Returns whether the claim of a forwarded request was made.
     Made(ClaimRequestId, ClaimResult),
 }
 
--- a/crates/query/src/action.rs
+++ b/crates/query/src/action.rs
@@ -21,14 +21,14 @@
     Cancel(AttemptId),
     /// Request the claim of an at-most-once lookup; answered by [`crate::Event::Claim`].
     Claim(LookupClaim),
-    /// Send the final response of this lookup to its caller, immediately; emitted at most once per
-    /// lookup.
+    /// Send the outcome of this lookup, an answer or a refusal, to its caller, immediately; emitted at
+    /// most once per lookup.
     Answer(LookupSeq, Outcome),
     /// Send [`crate::Event::Tick`] after this time at the latest; replaces the previous request.
     Wake(Duration),
     /// Keep the given number of connections to a server open and ready.
     Warm(ServerName, Connections),
-    /// Send a notice to every peer VM.
+    /// Send a notice to every peer VM, whose engine gets it as [`crate::Event::Sign`].
     Spread(Notice),
 }
 
@@ -69,7 +69,8 @@
     pub budget: Duration,
 }
 
-/// A drain or quarantine that VMs announce to each other.
+/// A drain or quarantine that VMs announce to each other: sent with [`Action::Spread`], received as
+/// [`crate::Event::Sign`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Notice {
--- a/crates/query/src/arrival.rs
+++ b/crates/query/src/arrival.rs
@@ -58,6 +58,8 @@
         let answer_by = lk.answer_by;
         self.arm(&mut lk, answer_by);
         if lk.is_once() {
+            // Has an effect only on a suspect: no other lookup with its fingerprint is admitted
+            // while this one waits for its claim.
             self.crash_suspects.assign_canary(now, lk.fingerprint, seq);
             self.request_claim(now, &lk, out);
         } else {
@@ -160,6 +162,9 @@
     }
 
     /// Refuses a lookup that needs every shard while one has no replica or none that responds.
+    ///
+    /// A shard without a replica counts only if the readiness of the pinned snapshot is
+    /// [`Readiness::Incomplete`]: no other snapshot has replicas for all shards then.
     fn check_shards_reachable(
         &self,
         now: Instant,
@@ -211,6 +216,7 @@
             return Err(Refusal::new(RefusalReason::TooLate, Some(RETRY_AFTER)));
         }
         let request = self.admission_request(now, lk);
+        // The policies have this limit too; it applies here whatever a policy decides.
         let full = request.in_flight >= self.options.lookups_max as usize;
         let retry = match self.admission.admit(now, &request) {
             AdmissionDecision::Admit if !full => return Ok(()),
@@ -267,7 +273,8 @@
     }
 }
 
-/// Checks that a request has the keys that its declaration requires.
+/// Refuses a request without the keys that its declaration requires, and any request for an
+/// at-most-once lookup that queries every shard.
 fn check_request(decl: &Lookup, req: &LookupRequest) -> Result<(), Refused> {
     let bad = Err(Refusal::new(RefusalReason::BadRequest, None));
     let once = decl.promise == Promise::AtMostOnce;
--- a/crates/query/src/attempt.rs
+++ b/crates/query/src/attempt.rs
@@ -22,7 +22,7 @@
 )]
 #[strum(serialize_all = "kebab-case")]
 pub enum AttemptState {
-    /// Dispatched to the I/O driver (shell); no byte has been sent.
+    /// Dispatched: passed to the I/O driver (shell), which has not reported it as sent.
     Handed,
     /// The first byte may have been sent, so the server may execute it.
     Sent,
@@ -81,11 +81,12 @@
 pub(crate) enum Cause {
     /// The initial attempt at its shard.
     First,
-    /// A second attempt in parallel with a slow one.
+    /// Made in parallel with a slow attempt; earlier ones at the shard may have failed.
     Hedge,
     /// Follows an attempt that failed and may have been executed.
     Retry,
-    /// Follows an attempt that was not executed.
+    /// Follows an attempt that was not executed, or resumes a shard after a canary succeeded; the
+    /// shard's earlier attempts may then have been executed, and broke or were cancelled.
     Resend,
 }
 
@@ -97,7 +98,7 @@
     pub(crate) state: AttemptState,
     pub(crate) cause: Cause,
     pub(crate) dispatched_at: Instant,
-    /// When its first byte was sent; kept while the attempt is stopping.
+    /// When it was reported as sent, just before its first byte; kept while the attempt is stopping.
     pub(crate) sent_at: Option<Instant>,
     /// Whether its connection broke; the server is not queried again for this shard of the lookup.
     pub(crate) broken: bool,
--- a/crates/query/src/canary.rs
+++ b/crates/query/src/canary.rs
@@ -18,8 +18,8 @@
 /// The maximum time to wait for attempts in flight to end before a suspect's canary is sent.
 const QUIESCE_MAX: Duration = Duration::from_millis(50);
 
-/// The maximum time for which a failed part of a proven lookup waits for the results of other
-/// parts.
+/// The maximum time for which a failed part waits for the results of other parts, if the lookup's
+/// fingerprint succeeded earlier.
 const RETRY_HOLD_MAX: Duration = Duration::from_millis(10);
 
 /// The possible damage of a canary at a shard, the least first.
@@ -34,7 +34,8 @@
 }
 
 impl Core {
-    /// Sends the lookup to a single server.
+    /// Tries the held shards in turn until an attempt at one of them is dispatched or queued: the
+    /// canary. If there is none, the lookup ends or restarts.
     pub(crate) fn begin_canary(
         &mut self,
         now: Instant,
@@ -97,12 +98,13 @@
         }
     }
 
-    /// Postpones the retry of a failed part of a proven lookup until another part arrives or
-    /// [`RETRY_HOLD_MAX`] has passed.
+    /// Postpones the retry of a failed part until another part arrives or [`RETRY_HOLD_MAX`] has
+    /// passed.
     ///
-    /// A lookup that succeeded a minute ago may crash servers now, if their index or program
-    /// changed. Its other parts then break at the same moment, and an immediate retry would crash
-    /// the shard's next replica.
+    /// Called for a lookup of which no part has arrived but whose fingerprint succeeded earlier. A
+    /// lookup that succeeded a minute ago may crash servers now, if their index or program changed.
+    /// Its other parts then break at the same moment, and an immediate retry would crash the shard's
+    /// next replica.
     pub(crate) fn hold_failed_part(
         &mut self,
         now: Instant,
--- a/crates/query/src/connection_losses.rs
+++ b/crates/query/src/connection_losses.rs
@@ -14,12 +14,13 @@
 /// Handles a poisoned lookup that is submitted twice: its first fan-out, through another VM,
 /// crashes a server of every shard, and the caller's retry may arrive here before that VM's notice.
 /// The crash also closes this VM's idle connections, as early as the other VM learns of it, so
-/// servers lost together are the earliest indication.
+/// connections to several servers lost together are the earliest indication.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionLosses(SmallVec<[(ServerName, Instant); 4]>);
 
 impl ConnectionLosses {
-    /// Records the loss of a server; returns `true` if another was lost at the same time.
+    /// Records the loss of a connection to a server; returns `true` if one to another server was lost
+    /// at the same time.
     pub(crate) fn note_loss(&mut self, now: Instant, server: ServerName) -> bool {
         self.0
             .retain(|(_, at)| now.saturating_duration_since(*at) <= SIMULTANEOUS_LOSS_WINDOW);
--- a/crates/query/src/core.rs
+++ b/crates/query/src/core.rs
@@ -87,6 +87,7 @@
     pub(crate) servers: Servers,
     pub(crate) replica: Box<dyn ReplicaPolicy>,
     pub(crate) admission: Box<dyn AdmissionPolicy>,
+    /// The tokens for hedges and retries of all lookups.
     pub(crate) budget: ExtraBudget,
     pub(crate) wait_queues: WaitQueues,
     pub(crate) orphans: BTreeMap<AttemptKey, Orphan>,
--- a/crates/query/src/event.rs
+++ b/crates/query/src/event.rs
@@ -20,7 +20,8 @@
     Group(Arc<GroupMap>),
     /// A report from a server's health and load endpoint; only a hint, because it may be out of date.
     Report(ServerReport),
-    /// A drain or quarantine notice, from a peer or from the platform's list.
+    /// A drain or quarantine notice, from a peer (the peer's [`crate::Action::Spread`]) or from the
+    /// platform's list.
     Sign(Notice, NoticeSource),
     /// The number of connections this VM may hold open to each server from now on.
     Shares(Vec<(ServerName, Connections)>),
@@ -37,7 +38,8 @@
     Gone(LookupSeq),
     /// A connection to a server opened (`true`) or closed (`false`).
     Connection(ServerName, bool),
-    /// A server closed a connection that this process would have kept, or stopped responding on it.
+    /// A connection was lost: its server closed it although this process would have kept it, or
+    /// stopped responding on it. The server itself does not count as lost by this.
     Lost(ServerName),
     /// A timer requested by [`crate::Action::Wake`] expired.
     Tick,
@@ -98,8 +100,14 @@
         holds: SmallVec<[SnapshotId; 4]>,
     },
     /// No byte was sent: no connection was available in time, or the attempt was cancelled first.
+    ///
+    /// Also stands for a server's reply that the attempt was not executed, if the reason that it
+    /// gives is not known. [`Event::Sent`] precedes such a reply, so the attempt counts as one that
+    /// may have been executed.
     NotSent,
-    /// The connection broke after the first byte was sent; the server may have crashed on it.
+    /// The connection broke after [`Event::Sent`] was reported; the server may have crashed on the
+    /// attempt. An idle connection that the server had closed before the first byte was sent is
+    /// reported in the same way.
     Broken,
     /// The reply was malformed, truncated or carried another attempt's id.
     Garbled,
--- a/crates/query/src/finish.rs
+++ b/crates/query/src/finish.rs
@@ -49,7 +49,10 @@
         }
     }
 
-    /// Ends the lookup with the parts that have arrived.
+    /// Ends the lookup: answers with the parts that have arrived, or refuses it if its promise needs
+    /// more of them.
+    ///
+    /// An urgent lookup needs at least one part, any other lookup all of them.
     pub(crate) fn finish_with_parts(
         &mut self,
         now: Instant,
--- a/crates/query/src/lib.rs
+++ b/crates/query/src/lib.rs
@@ -1,4 +1,5 @@
-//! The query engine: runs every lookup of a process over the shards of its group.
+//! The query engine of `gentiansill serve`: runs every lookup of a process over the shards of its
+//! group.
 //!
 //! The engine is a pure state machine: it takes [`Event`]s and the current time, returns
 //! [`Action`]s, and has no I/O and no random source of its own. A process, a replayed trace and a
--- a/crates/query/src/lifecycle.rs
+++ b/crates/query/src/lifecycle.rs
@@ -38,7 +38,8 @@
         self.fan_out(now, lk, out);
     }
 
-    /// Starts every shard that is held.
+    /// Starts or resumes every shard that is held; stops as soon as the missing shards rule out an
+    /// answer.
     pub(crate) fn fan_out(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
         lk.phase = Phase::Running;
         for pos in 0..lk.shards.len() {
@@ -88,7 +89,10 @@
         }
     }
 
-    /// Retries or abandons a shard that has no attempt in flight any more.
+    /// Retries or abandons a shard after an attempt at it failed.
+    ///
+    /// Only records the reason while another attempt is live, or if the shard is not
+    /// [`ShardState::Running`].
     pub(crate) fn retry_or_abandon(
         &mut self,
         now: Instant,
@@ -153,10 +157,11 @@
         self.check_end(now, lk, out);
     }
 
-    /// Restarts the lookup on another snapshot, if time and budget allow.
+    /// Restarts the lookup on another snapshot, if enough time is left until its deadline and the
+    /// budget for extra attempts has the tokens; returns whether it did.
     ///
     /// A repartition drops old snapshots while lookups are pinned to them. Parts of two snapshots
-    /// must never mix, so all parts are discarded; they count as retries.
+    /// must never mix, so all parts are discarded; they count as retries, at one token each.
     pub(crate) fn restart(
         &mut self,
         now: Instant,
--- a/crates/query/src/lookup.rs
+++ b/crates/query/src/lookup.rs
@@ -119,11 +119,13 @@
     pub(crate) hits: u64,
     /// Dispatched attempts that were not reported as not executed.
     pub(crate) may_have_run: u32,
-    /// Whether the first byte of an attempt was sent.
+    /// Whether an attempt was reported as sent, or got a reply. An at-most-once lookup is then never
+    /// retried, even if the server shed it without executing it.
     pub(crate) was_sent: bool,
     /// Whether its claim was granted.
     pub(crate) was_granted: bool,
-    /// Whether a server executed it without crashing.
+    /// Whether a server executed this lookup itself, not only an earlier one with its fingerprint,
+    /// without crashing.
     pub(crate) is_proven: bool,
     pub(crate) is_congested: bool,
     pub(crate) extra_attempts: u32,
--- a/crates/query/src/options.rs
+++ b/crates/query/src/options.rs
@@ -38,9 +38,11 @@
 pub struct EngineOptions {
     /// The set of policies.
     pub policy: PolicyName,
-    /// The maximum number of lookups in flight; further arrivals are refused.
+    /// The maximum number of lookups in flight; further arrivals are refused. The admission policy
+    /// applies it first, and may refuse arrivals below it.
     pub lookups_max: u32,
-    /// The maximum number of attempts at one shard of one lookup, hedges included.
+    /// The maximum number of attempts at one shard of one lookup, hedges included; attempts that were
+    /// never sent do not count.
     pub tries_max: u16,
     /// Extra attempts (hedges and retries together) earned by each initial attempt.
     pub extra_ratio: f64,
--- a/crates/query/src/orphan.rs
+++ b/crates/query/src/orphan.rs
@@ -12,7 +12,7 @@
 use crate::server_reply::ReplyContext;
 
 impl Core {
-    /// Records that the first byte of an orphaned attempt was sent.
+    /// Records that the first byte of an orphaned attempt is about to be sent.
     pub(crate) fn on_orphan_sent(&mut self, id: &AttemptId) {
         if let Some(o) = self.orphans.get_mut(&(id.lookup, id.shard, id.attempt)) {
             o.is_sent = true;
--- a/crates/query/src/placement.rs
+++ b/crates/query/src/placement.rs
@@ -67,6 +67,10 @@
 
 impl Core {
     /// Chooses a server for an attempt at the shard at `pos`.
+    ///
+    /// Replicas that were not tried yet come before those at which an attempt failed. Among either, a
+    /// free replica is chosen; without one, the attempt waits for the busy and paused ones; an
+    /// ejected replica is chosen only if there are no others.
     pub(crate) fn choose_server(
         &mut self,
         now: Instant,
--- a/crates/query/src/queue.rs
+++ b/crates/query/src/queue.rs
@@ -77,7 +77,8 @@
         self.dispatch(now, lk, pos, server, cause, out);
     }
 
-    /// Removes a shard from the queues in which it waits.
+    /// Removes a waiting shard from its queues and sets it to [`ShardState::Held`]; does nothing for
+    /// other shards.
     pub(crate) fn dequeue(&mut self, lk: &mut ActiveLookup, pos: usize) {
         if lk.shards[pos].state != ShardState::Waiting {
             return;
--- a/crates/query/src/reply.rs
+++ b/crates/query/src/reply.rs
@@ -20,7 +20,7 @@
 use crate::server_reply::ReplyContext;
 
 impl Core {
-    /// Records that the first byte of an attempt of a lookup in flight was sent.
+    /// Records that the first byte of an attempt of a lookup in flight is about to be sent.
     pub(crate) fn on_sent(&mut self, now: Instant, lk: &mut ActiveLookup, id: &AttemptId) {
         let Some((pos, n)) = find_attempt(lk, id) else {
             self.on_orphan_sent(id);
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Resumes everything that was held back under suspicion.
+    /// Starts the fan-out that waited for a canary, and retries the failed parts that were held.
     fn resume(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
         if lk.is_done {
             return;
--- a/crates/query/src/timers.rs
+++ b/crates/query/src/timers.rs
@@ -22,11 +22,12 @@
 const RECHECK_INTERVAL: Duration = Duration::from_millis(2);
 
 /// The divisor of a lookup's time budget that gives the time after which an attempt without a reply
-/// counts as lost; most of the budget is then left for another.
+/// counts as lost; most of the time budget is then left for another attempt.
 const LOSS_TIMEOUT_DIVISOR: u32 = 4;
 
 impl Core {
-    /// Returns the time after an attempt's dispatch at which it is hedged or timed out; `None` for never.
+    /// Returns the time after an attempt's dispatch at which it is hedged, or timed out under the
+    /// baseline policy; `None` for never.
     pub(crate) fn check_delay(&self, lk: &ActiveLookup, server: ServerIdx) -> Option<Duration> {
         if lk.is_once() {
             return None;
@@ -74,7 +75,8 @@
         self.arm(lk, next);
     }
 
-    /// Ends a lookup at its deadline with the parts that have arrived.
+    /// Ends a lookup at its deadline: answers it with the parts that have arrived, or refuses it if its
+    /// promise needs more.
     fn on_deadline(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
         if lk.phase == Phase::Claiming {
             // The claim may have been made, or an earlier submission under the key may have been
@@ -96,7 +98,8 @@
     }
 
     /// Records that a server did not reply to an attempt, if the attempt had at least the time after
-    /// which it counts as lost.
+    /// which it counts as lost. The server is then lost too, unless it replied to another attempt
+    /// since.
     pub(crate) fn note_unanswered(
         &mut self,
         now: Instant,
@@ -109,7 +112,8 @@
         }
     }
 
-    /// Hedges or times out slow attempts, and sets the time of the next check.
+    /// Hedges slow attempts, or times them out under the baseline policy, and sets the time of the
+    /// next check.
     fn check_attempts(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
         let mut next = lk.answer_by;
         for pos in 0..lk.shards.len() {
@@ -138,11 +142,11 @@
         self.arm(lk, next);
     }
 
-    /// Makes an attempt in parallel with a slow one, or times the slow one out and retries it;
-    /// returns `false` if neither could be done.
+    /// Makes an attempt in parallel with a slow one; returns `false` if that is not possible now.
+    /// Under the baseline policy, times the slow one out and retries it instead.
     ///
-    /// A hedge of an attempt that counts as lost may use the budget reserved for retries: otherwise
-    /// an unresponsive server would cost its shard while another replica is idle.
+    /// `is_lost` says that the slow attempt counts as lost. Its hedge may use the tokens reserved for
+    /// retries: otherwise an unresponsive server would cost its shard while another replica is idle.
     fn hedge_or_time_out(
         &mut self,
         now: Instant,
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,4 +1,5 @@
-//! Relays opaque requests on routes to one server of a service, or to one server of each shard.
+//! Relays opaque requests on routes to one server of a service, or to one server of each shard, for
+//! `gentiansill relay`.
 //!
 //! [`Relay`] is a state machine without I/O: it processes [`Event`]s and returns [`Action`]s, and
 //! the current time is passed in. Each policy has its own module:
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,4 +1,7 @@
-//! The state of backend servers as seen by this VM, and the choice of a replica for an attempt.
+//! Chooses the replicas that the lookups of `gentiansill serve` are sent to.
+//!
+//! Holds the state of backend servers as seen by this VM. The routes of `gentiansill relay` are a
+//! different thing, in the crate `gs_relay`.
 //!
 //! [`Servers`] keeps one view per backend server; [`GroupView`] keeps the snapshots of a group and
 //! determines which of them every shard can answer from; a [`ReplicaPolicy`] chooses among the
--- a/crates/route/src/lost.rs
+++ b/crates/route/src/lost.rs
@@ -1,5 +1,8 @@
 //! Detection of lost servers: those that stopped replying at all.
 //!
+//! A server is lost if an attempt at it got no reply in its time and no reply to any other attempt
+//! arrived since that one was dispatched. A lost connection alone does not make its server lost.
+//!
 //! When a data centre is partitioned, each lookup that needs a shard on the other side would otherwise
 //! wait until its deadline for servers that cannot answer.
 
@@ -22,8 +25,8 @@
         }
     }
 
-    /// Records that an attempt that began at `begun` was abandoned at its deadline; its server is lost if
-    /// no reply at all arrived from it since.
+    /// Records that an attempt dispatched at `begun` got no reply in its time; its server is lost if no
+    /// reply to any attempt arrived from it since.
     pub fn note_unanswered(&mut self, now: Instant, idx: ServerIdx, begun: Instant) {
         let view = &mut self.list[idx.index()];
         if view.last_contact.is_some_and(|at| at >= begun) {
--- a/crates/route/src/server.rs
+++ b/crates/route/src/server.rs
@@ -21,7 +21,8 @@
 /// How an attempt at a server failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Its connection broke after the first byte was sent.
+    /// Its connection broke after the attempt was reported as sent, which happens just before the
+    /// first byte; a connection that was closed while idle counts too.
     Broken,
     /// It was unreachable.
     Unreached,
--- a/crates/route/src/state.rs
+++ b/crates/route/src/state.rs
@@ -21,7 +21,7 @@
     Serving,
     /// In slow start after a start or an absence; its share grows gradually.
     Warming,
-    /// Ejected after several consecutive failures.
+    /// Ejected after several consecutive failures; written as `set-aside`.
     SetAside,
     /// Its ejection time is over; one attempt at a time shows whether it is back.
     Probing,
--- a/crates/types/src/answer.rs
+++ b/crates/types/src/answer.rs
@@ -158,9 +158,12 @@
     AlreadyClaimed,
     /// The idempotency key is older than the claim window, or was minted in the future.
     KeyExpired,
-    /// The claim could not be made or read because the platform is unreachable.
+    /// The claim could not be made or read because the platform is unreachable, or was not decided by
+    /// the lookup's deadline.
     ClaimsAway,
-    /// The attempt at an at-most-once lookup failed after it was sent.
+    /// An at-most-once lookup ended without its part and no other reason applies, for example
+    /// because its attempt failed after it was sent; or the outcome of any lookup was lost inside
+    /// the VM.
     Failed,
     /// This VM is leaving; the caller can retry on another VM.
     Leaving,
--- a/crates/types/src/model.rs
+++ b/crates/types/src/model.rs
@@ -79,7 +79,7 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Scope {
-    /// Every shard of the snapshot.
+    /// Every shard of the snapshot; not allowed for an at-most-once lookup.
     Scatter,
     /// Only the shard that holds the lookup's key.
     Keyed,
@@ -107,7 +107,8 @@
     Urgent,
     /// A page that covers every shard, or a refusal that lists the missing ones.
     Complete,
-    /// Executed at most once for an idempotency key; never hedged, and never retried once sent.
+    /// Executed at most once for an idempotency key; never hedged, and never retried once sent. For
+    /// keyed lookups only, because one claim can cover one attempt only.
     AtMostOnce,
 }
 
