--- a/crates/member/src/action.rs
+++ b/crates/member/src/action.rs
@@ -9,8 +9,8 @@
 use serde::Serialize;
 
 use crate::heartbeat::Heartbeat;
+use crate::membership_view::MembershipView;
 use crate::seat_table::Epoch;
-use crate::view::View;
 
 /// One output of [`crate::Membership`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -30,7 +30,7 @@
         shares: Vec<(ServerName, Connections)>,
     },
     /// The view changed.
-    View(Arc<View>),
+    View(Arc<MembershipView>),
     /// Read the object [`crate::SeatTable::PATH`]; answered by [`crate::Event::TableRead`].
     ReadTable,
     /// Write the object [`crate::SeatTable::PATH`]; answered by [`crate::Event::TableWrote`].
--- a/crates/member/src/dissemination.rs
+++ b/crates/member/src/dissemination.rs
@@ -8,9 +8,9 @@
 use rand::seq::SliceRandom;
 
 use crate::heartbeat::Rumour;
+use crate::membership_view::rendezvous_hash;
 use crate::peer_table::PeerTable;
 use crate::seat_table::Epoch;
-use crate::view::rank;
 use crate::vm_state::VmState;
 
 /// How many VMs each heartbeat reports in turn, whether or not their state changed, so that the
@@ -60,7 +60,7 @@
         let mut all: Vec<VmId> = self.peers.keys().cloned().collect();
         if all.len() > self.cfg.neighbours_max {
             let me = self.cfg.me.vm.as_str();
-            all.sort_by_cached_key(|vm| std::cmp::Reverse(rank(me, vm).0));
+            all.sort_by_cached_key(|vm| std::cmp::Reverse(rendezvous_hash(me, vm).0));
             all.truncate(self.cfg.neighbours_max);
         }
         self.neighbours = all;
@@ -92,7 +92,7 @@
     pub(crate) fn next_rumours(&mut self, lowered_epoch: impl Fn(&VmId) -> Epoch) -> Vec<Rumour> {
         let mut vms = self
             .rumour_queue
-            .take(self.cfg.rumours_max, self.peers.len() + 1);
+            .take_next(self.cfg.rumours_max, self.peers.len() + 1);
         for _ in 0..DIGEST_VMS.min(self.peers.len()) {
             let next = self.next_digest_vm();
             match next {
@@ -101,7 +101,7 @@
             }
         }
         vms.iter()
-            .filter_map(|vm| self.rumour_of(vm, lowered_epoch(vm)))
+            .filter_map(|vm| self.rumour_about(vm, lowered_epoch(vm)))
             .collect()
     }
 
@@ -115,13 +115,13 @@
         self.digest_cursor.clone()
     }
 
-    fn rumour_of(&self, vm: &VmId, lowered: Epoch) -> Option<Rumour> {
+    fn rumour_about(&self, vm: &VmId, lowered: Epoch) -> Option<Rumour> {
         if *vm == self.cfg.me.vm {
             return Some(Rumour {
                 vm: vm.clone(),
                 incarnation: self.cfg.incarnation,
                 refutations: self.refutations,
-                state: self.my_state(),
+                state: self.own_vm_state(),
                 lowered,
             });
         }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -6,16 +6,17 @@
 //! heartbeats of other VMs, and the seat table, a platform object that is changed by conditional
 //! writes only.
 //!
-//! The list and the heartbeats make the [`View`]. No decision that must be safe depends on it: it
-//! selects which VMs to send to, and which VM has a duty such as writing a bucket of claims. The
-//! seat table alone decides how many connections each VM may hold to a backend server (see
-//! [`SeatTable`] for why the sum can never exceed the server's limit).
+//! The list and the heartbeats make the [`MembershipView`]. No decision that must be safe depends
+//! on it: it selects which VMs to send to, and which VM has a duty such as writing a bucket of
+//! claims. The seat table alone decides how many connections each VM may hold to a backend server
+//! (see [`SeatTable`] for why the sum can never exceed the server's limit).
 
 mod action;
 mod dissemination;
 mod event;
 mod heartbeat;
 mod membership;
+mod membership_view;
 mod peer;
 mod peer_table;
 mod rumour_queue;
@@ -24,7 +25,6 @@
 mod seat_table;
 mod settings;
 mod table_keeper;
-mod view;
 mod vm_state;
 
 pub use gs_types::vm::VmEntry;
@@ -35,8 +35,10 @@
 pub use heartbeat::Rumour;
 pub use heartbeat::TableEpochs;
 pub use membership::Membership;
+pub use membership_view::MembershipView;
+pub use membership_view::VmView;
 pub use seat_share::ServerLimit;
-pub use seat_share::seat_share;
+pub use seat_share::connections_for_seat;
 pub use seat_table::Epoch;
 pub use seat_table::Seat;
 pub use seat_table::SeatHolder;
@@ -44,8 +46,6 @@
 pub use seat_table::SeatLayout;
 pub use seat_table::SeatTable;
 pub use settings::MemberSettings;
-pub use view::View;
-pub use view::ViewVm;
 pub use vm_state::VmChart;
 pub use vm_state::VmEvent;
 pub use vm_state::VmState;
--- a/crates/member/src/membership.rs
+++ b/crates/member/src/membership.rs
@@ -12,6 +12,7 @@
 use crate::action::Action;
 use crate::event::Event;
 use crate::heartbeat::Heartbeat;
+use crate::membership_view::MembershipView;
 use crate::peer_table::PeerTable;
 use crate::seat_share::ServerLimit;
 use crate::seat_state::SeatState;
@@ -19,7 +20,6 @@
 use crate::settings::MemberSettings;
 use crate::table_keeper::PlatformCall;
 use crate::table_keeper::TableKeeper;
-use crate::view::View;
 use crate::vm_state;
 
 /// The most VMs notified at once of a change that cannot wait for the next round of heartbeats.
@@ -33,14 +33,14 @@
     seat: SeatState,
     table_keeper: TableKeeper,
     servers: Vec<ServerLimit>,
-    view: Arc<View>,
+    view: Arc<MembershipView>,
     /// The peers of the last [`Action::Peers`].
-    addresses: Vec<(VmId, SocketAddr)>,
+    published_addresses: Vec<(VmId, SocketAddr)>,
     /// The content of the last [`Action::Shares`].
-    shares: Option<(crate::Epoch, Vec<(ServerName, Connections)>)>,
+    published_shares: Option<(crate::Epoch, Vec<(ServerName, Connections)>)>,
     /// Whether an input of the shares changed since they were last computed.
-    shares_stale: bool,
-    next_round: Option<Instant>,
+    shares_outdated: bool,
+    next_round_at: Option<Instant>,
 }
 
 impl Membership {
@@ -58,10 +58,10 @@
             seat: SeatState::new(cfg.me.vm.clone(), cfg.incarnation),
             table_keeper: TableKeeper::new(cfg.clone()),
             servers: Vec::new(),
-            addresses: Vec::new(),
-            shares: None,
-            shares_stale: false,
-            next_round: None,
+            published_addresses: Vec::new(),
+            published_shares: None,
+            shares_outdated: false,
+            next_round_at: None,
             cfg,
         })
     }
@@ -77,35 +77,35 @@
             } => self.on_heartbeat(now, &from, incarnation, heartbeat, out),
             Event::Servers(servers) => {
                 self.servers = servers;
-                self.shares_stale = true;
+                self.shares_outdated = true;
             }
             Event::TableRead(result) => self.on_table_read(now, result, out),
             Event::TableWrote(result) => self.on_table_written(now, result, out),
-            Event::Lowered(epoch) => self.on_lowered(epoch, out),
+            Event::Lowered(epoch) => self.on_connections_lowered(epoch, out),
             Event::Leave => self.on_leave(out),
             Event::Released => {
-                self.seat.release();
-                self.shares_stale = true;
+                self.seat.release_seat();
+                self.shares_outdated = true;
             }
             Event::Tick => {}
         }
-        self.start_round(now, out);
+        self.start_heartbeat_round(now, out);
         self.publish_view(out);
         let leaving = self.peers.is_leaving();
         if self.table_keeper.is_read_due(now, leaving, &self.seat) {
-            self.table_keeper.call = PlatformCall::Read;
+            self.table_keeper.call_in_flight = PlatformCall::Read;
             out.push(Action::ReadTable);
         }
-        if std::mem::take(&mut self.shares_stale) {
+        if std::mem::take(&mut self.shares_outdated) {
             self.publish_shares(out);
         }
-        let next = self.next_round.unwrap_or(now);
+        let next = self.next_round_at.unwrap_or(now);
         out.push(Action::Wake(next.saturating_duration_since(now)));
     }
 
     /// Returns the view of the last [`Action::View`].
     #[must_use]
-    pub fn view(&self) -> &Arc<View> {
+    pub fn view(&self) -> &Arc<MembershipView> {
         &self.view
     }
 
@@ -124,7 +124,7 @@
     fn on_list(&mut self, now: Instant, list: &[VmEntry]) {
         let me = &self.cfg.me.vm;
         if list.iter().any(|e| e.vm == *me && e.leaving) && !self.peers.is_leaving() {
-            self.peers.leave();
+            self.peers.mark_leaving();
         }
         self.peers.on_list(now, list);
         self.table_keeper.on_list(now, list, &self.seat);
@@ -141,11 +141,14 @@
         let entry = heartbeat.entry.as_deref();
         self.peers
             .note_alive(now, from, incarnation, entry, heartbeat.leaving);
-        self.peers.note_known(from, heartbeat.knows_receiver);
-        self.shares_stale |= self.seat.note_lowered(from, heartbeat.table_epochs.lowered);
+        self.peers
+            .note_knows_this_vm(from, heartbeat.knows_receiver);
+        self.shares_outdated |= self
+            .seat
+            .note_peer_lowered(from, heartbeat.table_epochs.lowered);
         for r in &heartbeat.rumours {
             self.peers.on_rumour(now, r);
-            self.shares_stale |= self.seat.note_lowered(&r.vm, r.lowered);
+            self.shares_outdated |= self.seat.note_peer_lowered(&r.vm, r.lowered);
         }
         if let Some((version, content)) = heartbeat.table {
             self.adopt_table(version, &content);
@@ -157,11 +160,11 @@
     }
 
     /// Starts a round of heartbeats if one is due.
-    fn start_round(&mut self, now: Instant, out: &mut Vec<Action>) {
-        if self.next_round.is_some_and(|t| now < t) {
+    fn start_heartbeat_round(&mut self, now: Instant, out: &mut Vec<Action>) {
+        if self.next_round_at.is_some_and(|t| now < t) {
             return;
         }
-        self.next_round = Some(now + self.cfg.heartbeat_interval);
+        self.next_round_at = Some(now + self.cfg.heartbeat_interval);
         self.peers.expire_silent_peers(now);
         for vm in self.peers.choose_probes(now) {
             self.send_heartbeat(&vm, true, false, out);
@@ -186,7 +189,7 @@
         let me = &self.cfg.me.vm;
         let rumours = self.peers.next_rumours(|vm| match vm == me {
             true => table_epochs.lowered,
-            false => seat.lowered_epoch(vm),
+            false => seat.lowered_epoch_of(vm),
         });
         let heartbeat = Heartbeat {
             wants_answer,
@@ -195,14 +198,14 @@
             entry: (!has_contact || !known_there).then(|| Box::new(self.cfg.me.clone())),
             table_epochs,
             rumours,
-            table: table.then(|| self.encoded_table()).flatten(),
+            table: table.then(|| self.encode_table()).flatten(),
         };
         out.push(Action::Send(to.clone(), heartbeat));
     }
 
-    fn encoded_table(&self) -> Option<(u64, Vec<u8>)> {
+    fn encode_table(&self) -> Option<(u64, Vec<u8>)> {
         let content = self.seat.table()?.encode().ok()?;
-        Some((self.seat.version(), content))
+        Some((self.seat.table_version(), content))
     }
 
     /// Sends heartbeats to some live neighbours at once, with the seat table if `table` is set.
@@ -214,7 +217,7 @@
 
     fn adopt_table(&mut self, version: u64, content: &[u8]) {
         match SeatTable::decode(content) {
-            Ok(table) => self.shares_stale |= self.seat.adopt(version, table),
+            Ok(table) => self.shares_outdated |= self.seat.adopt(version, table),
             Err(e) => log::warn!("event=seat-table-refused version={version} error=\"{e}\""),
         }
     }
@@ -225,12 +228,12 @@
         result: Result<Option<Stored>, StoreError>,
         out: &mut Vec<Action>,
     ) {
-        if matches!(self.table_keeper.call, PlatformCall::Read) {
-            self.table_keeper.call = PlatformCall::None;
+        if matches!(self.table_keeper.call_in_flight, PlatformCall::Read) {
+            self.table_keeper.call_in_flight = PlatformCall::None;
         }
         match result {
             Ok(stored) => {
-                self.table_keeper.note_check(now);
+                self.table_keeper.note_table_read(now);
                 let if_version = stored.as_ref().map_or(0, |s| s.version);
                 if let Some(s) = stored {
                     self.adopt_table(s.version, &s.content);
@@ -243,8 +246,8 @@
 
     /// Writes the next table, if the one read is the newest known and needs a change.
     fn write_next_table(&mut self, now: Instant, if_version: u64, out: &mut Vec<Action>) {
-        let newest = if_version == self.seat.version();
-        if !newest || !matches!(self.table_keeper.call, PlatformCall::None) {
+        let newest = if_version == self.seat.table_version();
+        if !newest || !matches!(self.table_keeper.call_in_flight, PlatformCall::None) {
             return;
         }
         let next = self.table_keeper.next_table(now, &self.peers, &self.seat);
@@ -258,7 +261,7 @@
         if moves {
             self.seat.block_seat();
         }
-        self.table_keeper.call = PlatformCall::Write(table);
+        self.table_keeper.call_in_flight = PlatformCall::Write(table);
         out.push(Action::WriteTable {
             if_version,
             content,
@@ -271,14 +274,14 @@
         result: Result<u64, StoreError>,
         out: &mut Vec<Action>,
     ) {
-        let call = std::mem::replace(&mut self.table_keeper.call, PlatformCall::None);
+        let call = std::mem::replace(&mut self.table_keeper.call_in_flight, PlatformCall::None);
         match (result, call) {
             (Ok(version), PlatformCall::Write(table)) => {
-                self.shares_stale |= self.seat.adopt(version, table);
+                self.shares_outdated |= self.seat.adopt(version, table);
                 self.notify_live_neighbours(true, out);
             }
             (Err(StoreError::Conflict), _) => {
-                self.table_keeper.call = PlatformCall::Read;
+                self.table_keeper.call_in_flight = PlatformCall::Read;
                 out.push(Action::ReadTable);
             }
             // A write with an unknown result may have taken effect or may still do so. The next
@@ -293,42 +296,42 @@
         self.table_keeper.back_off(now, time);
     }
 
-    fn on_lowered(&mut self, epoch: crate::Epoch, out: &mut Vec<Action>) {
+    fn on_connections_lowered(&mut self, epoch: crate::Epoch, out: &mut Vec<Action>) {
         let before = self.seat.table_epochs().lowered;
-        self.seat.lower_to(epoch);
+        self.seat.note_own_lowered(epoch);
         if self.seat.table_epochs().lowered > before {
-            self.shares_stale = true;
+            self.shares_outdated = true;
             self.notify_live_neighbours(false, out);
         }
     }
 
     fn on_leave(&mut self, out: &mut Vec<Action>) {
         if !self.peers.is_leaving() {
-            self.peers.leave();
+            self.peers.mark_leaving();
             self.notify_live_neighbours(false, out);
         }
     }
 
     fn publish_view(&mut self, out: &mut Vec<Action>) {
-        if !self.peers.take_changed() {
+        if !self.peers.take_view_changed() {
             return;
         }
         self.view = Arc::new(self.peers.view());
-        self.table_keeper.on_duty = self.view.holds(SeatTable::PATH);
+        self.table_keeper.has_duty = self.view.has_duty(SeatTable::PATH);
         out.push(Action::View(Arc::clone(&self.view)));
         let addresses = self.peers.neighbour_addresses();
-        if addresses != self.addresses {
-            self.addresses = addresses;
-            out.push(Action::Peers(self.addresses.clone()));
+        if addresses != self.published_addresses {
+            self.published_addresses = addresses;
+            out.push(Action::Peers(self.published_addresses.clone()));
         }
     }
 
     fn publish_shares(&mut self, out: &mut Vec<Action>) {
         let epoch = self.seat.table_epochs().read;
-        let shares = self.seat.shares(&self.servers);
+        let shares = self.seat.allowed_connections(&self.servers);
         let current = Some((epoch, shares.clone()));
-        if current != self.shares {
-            self.shares = current;
+        if current != self.published_shares {
+            self.published_shares = current;
             out.push(Action::Shares { epoch, shares });
         }
     }
--- a/crates/member/src/peer.rs
+++ b/crates/member/src/peer.rs
@@ -46,7 +46,7 @@
     }
 
     /// Applies an event to the state; returns whether the state changed.
-    pub(crate) fn apply(&mut self, now: Instant, chart: &VmChart, event: VmEvent) -> bool {
+    pub(crate) fn apply_event(&mut self, now: Instant, chart: &VmChart, event: VmEvent) -> bool {
         let Some(next) = chart.next(self.state, event) else {
             return false;
         };
@@ -80,7 +80,8 @@
         self.last_contact = Some(now);
         self.unanswered_since = None;
         self.unlisted_since = None;
-        self.note_incarnation(now, chart, incarnation) | self.apply(now, chart, VmEvent::Heard)
+        self.note_incarnation(now, chart, incarnation)
+            | self.apply_event(now, chart, VmEvent::Heard)
     }
 
     /// Records that this incarnation exists; returns whether it was not known before.
@@ -97,7 +98,7 @@
         self.incarnation = Some(incarnation);
         self.refutations = 0;
         if restarted {
-            self.apply(now, chart, VmEvent::Restarted);
+            self.apply_event(now, chart, VmEvent::Restarted);
         }
         true
     }
--- a/crates/member/src/peer_table.rs
+++ b/crates/member/src/peer_table.rs
@@ -10,11 +10,11 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::heartbeat::Rumour;
+use crate::membership_view::MembershipView;
+use crate::membership_view::VmView;
 use crate::peer::Peer;
 use crate::rumour_queue::RumourQueue;
 use crate::settings::MemberSettings;
-use crate::view::View;
-use crate::view::ViewVm;
 use crate::vm_state::VmChart;
 use crate::vm_state::VmEvent;
 use crate::vm_state::VmState;
@@ -38,8 +38,8 @@
     /// How often this incarnation has refuted a suspicion of itself.
     pub(crate) refutations: u32,
     pub(crate) leaving: bool,
-    /// Whether the view changed since [`Self::take_changed`] was last called.
-    pub(crate) changed: bool,
+    /// Whether the view changed since [`Self::take_view_changed`] was last called.
+    pub(crate) view_changed: bool,
 }
 
 impl PeerTable {
@@ -55,7 +55,7 @@
             digest_cursor: None,
             refutations: 0,
             leaving: false,
-            changed: true,
+            view_changed: true,
         }
     }
 
@@ -68,23 +68,23 @@
     }
 
     /// Returns whether the view changed since the last call of this function.
-    pub(crate) fn take_changed(&mut self) -> bool {
-        std::mem::take(&mut self.changed)
+    pub(crate) fn take_view_changed(&mut self) -> bool {
+        std::mem::take(&mut self.view_changed)
     }
 
     /// Marks this VM as leaving.
-    pub(crate) fn leave(&mut self) {
+    pub(crate) fn mark_leaving(&mut self) {
         self.leaving = true;
-        self.changed = true;
+        self.view_changed = true;
         self.rumour_queue.add(&self.cfg.me.vm);
     }
 
     /// Applies the platform's list. A VM that has been missing from it for
-    /// `MemberSettings::gone_after` without contact is removed.
+    /// `MemberSettings::removal_delay` without contact is removed.
     pub(crate) fn on_list(&mut self, now: Instant, list: &[VmEntry]) {
         for entry in list {
             if entry.vm != self.cfg.me.vm {
-                self.note_listed(now, entry);
+                self.apply_list_entry(now, entry);
             }
         }
         let listed = |vm: &VmId| list.iter().any(|e| e.vm == *vm);
@@ -95,38 +95,40 @@
                 continue;
             }
             let since = *peer.unlisted_since.get_or_insert(now);
-            if now.duration_since(since) >= self.cfg.gone_after {
-                peer.apply(now, &self.chart, VmEvent::Unlisted);
+            if now.duration_since(since) >= self.cfg.removal_delay {
+                peer.apply_event(now, &self.chart, VmEvent::Unlisted);
                 removed.push(vm.clone());
             }
         }
         for vm in removed {
             self.peers.remove(&vm);
-            self.changed = true;
+            self.view_changed = true;
         }
-        if self.neighbours.len() != self.peers.len().min(self.cfg.neighbours_max) || self.changed {
+        if self.neighbours.len() != self.peers.len().min(self.cfg.neighbours_max)
+            || self.view_changed
+        {
             self.choose_neighbours();
         }
     }
 
-    fn note_listed(&mut self, now: Instant, entry: &VmEntry) {
+    fn apply_list_entry(&mut self, now: Instant, entry: &VmEntry) {
         let new_peer = || Peer::new(now, entry.clone(), self.chart.initial());
         if !self.peers.contains_key(&entry.vm) {
             self.peers.insert(entry.vm.clone(), new_peer());
-            self.changed = true;
+            self.view_changed = true;
         }
         let Some(peer) = self.peers.get_mut(&entry.vm) else {
             return;
         };
         // The list says that a VM is leaving, but not which incarnation. A new incarnation would get
         // a new entry in the list, and a heartbeat of a newer incarnation overrides the list.
-        if entry.leaving && peer.apply(now, &self.chart, VmEvent::Leaving) {
+        if entry.leaving && peer.apply_event(now, &self.chart, VmEvent::Leaving) {
             self.rumour_queue.add(&entry.vm);
-            self.changed = true;
+            self.view_changed = true;
         }
         if peer.entry != *entry {
             peer.entry = entry.clone();
-            self.changed = true;
+            self.view_changed = true;
         }
     }
 
@@ -151,15 +153,15 @@
             return;
         }
         let mut changed = peer.note_alive(now, &self.chart, incarnation);
-        changed |= leaving && peer.apply(now, &self.chart, VmEvent::Leaving);
+        changed |= leaving && peer.apply_event(now, &self.chart, VmEvent::Leaving);
         if changed {
-            self.changed = true;
+            self.view_changed = true;
             self.rumour_queue.add(from);
         }
     }
 
     /// Records whether a peer has received a heartbeat from this VM.
-    pub(crate) fn note_known(&mut self, from: &VmId, knows_this_vm: bool) {
+    pub(crate) fn note_knows_this_vm(&mut self, from: &VmId, knows_this_vm: bool) {
         if let Some(peer) = self.peers.get_mut(from) {
             peer.knows_this_vm = knows_this_vm;
         }
@@ -168,7 +170,7 @@
     /// Applies a rumour received from another VM.
     pub(crate) fn on_rumour(&mut self, now: Instant, r: &Rumour) {
         if r.vm == self.cfg.me.vm {
-            self.refute(r);
+            self.refute_suspicion(r);
             return;
         }
         let Some(peer) = self.peers.get_mut(&r.vm) else {
@@ -192,15 +194,15 @@
             }
             _ => None,
         };
-        let state_changed = event.is_some_and(|e| peer.apply(now, &self.chart, e));
+        let state_changed = event.is_some_and(|e| peer.apply_event(now, &self.chart, e));
         if state_changed || restarted {
-            self.changed = true;
+            self.view_changed = true;
             self.rumour_queue.add(&r.vm);
         }
     }
 
     /// Refutes a suspicion of this incarnation.
-    fn refute(&mut self, r: &Rumour) {
+    fn refute_suspicion(&mut self, r: &Rumour) {
         let suspected = matches!(r.state, VmState::Suspect | VmState::Unreachable);
         if suspected && r.incarnation == self.cfg.incarnation && r.refutations >= self.refutations {
             self.refutations = r.refutations.saturating_add(1);
@@ -212,30 +214,30 @@
     /// too long as unreachable.
     pub(crate) fn expire_silent_peers(&mut self, now: Instant) {
         let suspect_after = self.cfg.suspect_after;
-        let lapse_total = suspect_after + self.cfg.lapse_after;
+        let lapse_total = suspect_after + self.cfg.unreachable_after;
         for (vm, p) in &mut self.peers {
             let before = p.state;
             if p.unanswered_for(now, suspect_after) {
-                p.apply(now, &self.chart, VmEvent::Silent);
+                p.apply_event(now, &self.chart, VmEvent::Silent);
             }
             let in_state = now.duration_since(p.state_since);
             let lapsed = match p.state {
-                VmState::Suspect => in_state >= self.cfg.lapse_after,
+                VmState::Suspect => in_state >= self.cfg.unreachable_after,
                 VmState::Listed => p.unanswered_for(now, lapse_total),
                 _ => false,
             };
             if lapsed {
-                p.apply(now, &self.chart, VmEvent::Lapsed);
+                p.apply_event(now, &self.chart, VmEvent::Lapsed);
             }
             if p.state != before {
-                self.changed = true;
+                self.view_changed = true;
                 self.rumour_queue.add(vm);
             }
         }
     }
 
     /// Returns the state of this VM.
-    pub(crate) fn my_state(&self) -> VmState {
+    pub(crate) fn own_vm_state(&self) -> VmState {
         match self.leaving {
             true => VmState::Leaving,
             false => VmState::Alive,
@@ -243,15 +245,15 @@
     }
 
     /// Returns the view, which includes this VM.
-    pub(crate) fn view(&self) -> View {
-        let mut vms: Vec<ViewVm> = self.peers.values().map(view_of).collect();
-        vms.push(ViewVm {
+    pub(crate) fn view(&self) -> MembershipView {
+        let mut vms: Vec<VmView> = self.peers.values().map(vm_view).collect();
+        vms.push(VmView {
             entry: self.cfg.me.clone(),
             incarnation: Some(self.cfg.incarnation),
-            state: self.my_state(),
+            state: self.own_vm_state(),
         });
         vms.sort_by(|a, b| a.entry.vm.cmp(&b.entry.vm));
-        View {
+        MembershipView {
             me: self.cfg.me.vm.clone(),
             vms,
         }
@@ -264,8 +266,8 @@
     }
 }
 
-fn view_of(p: &Peer) -> ViewVm {
-    ViewVm {
+fn vm_view(p: &Peer) -> VmView {
+    VmView {
         entry: p.entry.clone(),
         incarnation: p.incarnation,
         state: p.state,
--- a/crates/member/src/rumour_queue.rs
+++ b/crates/member/src/rumour_queue.rs
@@ -23,7 +23,7 @@
     ///
     /// The cost of a heartbeat does not depend on the number of VMs, and a change most likely
     /// reaches all VMs after a number of heartbeats that grows with the logarithm of their number.
-    pub(crate) fn take(&mut self, max: usize, vms: usize) -> Vec<VmId> {
+    pub(crate) fn take_next(&mut self, max: usize, vms: usize) -> Vec<VmId> {
         let sends_wanted = RETRANSMIT_FACTOR * (usize::BITS - vms.leading_zeros());
         let mut all: Vec<_> = self
             .times_sent
--- a/crates/member/src/seat_share.rs
+++ b/crates/member/src/seat_share.rs
@@ -28,15 +28,15 @@
 /// remainder goes to different VMs for different servers. A larger limit never gives a seat less,
 /// so VMs that know different limits stay within the larger one.
 #[must_use]
-pub fn seat_share(limit: &ServerLimit, seats: &[Seat], seat: SeatId) -> Connections {
+pub fn connections_for_seat(limit: &ServerLimit, seats: &[Seat], seat: SeatId) -> Connections {
     let Some(me) = seats.iter().find(|s| s.id == seat) else {
         return Connections(0);
     };
     let server = xxh3_64(limit.server.as_str().as_bytes());
-    let mine = rank(limit, server, me);
+    let mine = seat_rank(limit, server, me);
     let before = seats
         .iter()
-        .filter(|s| rank(limit, server, s) < mine)
+        .filter(|s| seat_rank(limit, server, s) < mine)
         .count();
     let full = seats.iter().filter(|s| s.data_centre.is_some()).count();
     let all = seats.len();
@@ -54,18 +54,18 @@
 
 /// Returns the rank of a seat for a server: seats of the server's data centre come first, spare
 /// seats last.
-fn rank(limit: &ServerLimit, server: u64, s: &Seat) -> (u8, u64, SeatId) {
+fn seat_rank(limit: &ServerLimit, server: u64, s: &Seat) -> (u8, u64, SeatId) {
     let group = match &s.data_centre {
         Some(dc) if *dc == limit.data_centre => 0,
         Some(_) => 1,
         None => 2,
     };
-    (group, mix(server ^ u64::from(s.id.0)), s.id)
+    (group, mix_bits(server ^ u64::from(s.id.0)), s.id)
 }
 
 /// Mixes the bits of a number with the finaliser of SplitMix64. Hashing bytes for every seat and
 /// server took most of the time needed to adopt a large table.
-fn mix(x: u64) -> u64 {
+fn mix_bits(x: u64) -> u64 {
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
--- a/crates/member/src/seat_table.rs
+++ b/crates/member/src/seat_table.rs
@@ -10,7 +10,7 @@
 use smallvec::smallvec;
 
 /// The version of the object's format, its first byte.
-const FORMAT: u8 = 1;
+const FORMAT_VERSION: u8 = 1;
 
 /// The most seats in a layout, so that the table's object stays far below a megabyte.
 const SEATS_MAX: usize = 4096;
@@ -20,7 +20,7 @@
 
 /// The number of seats in a layout per vacant seat that is kept for new VMs, in addition to a first
 /// vacant seat that is always kept.
-const SEATS_PER_SPARE: usize = 16;
+const SEATS_PER_SPARE_SEAT: usize = 16;
 
 /// The number of a version of the seat table; each write increases it by one.
 #[derive(
@@ -89,8 +89,8 @@
 /// The VMs that may hold connections: a layout of seats, and the holders of those not vacant.
 ///
 /// Every VM computes from the table alone how many connections each seat stands for
-/// ([`crate::seat_share()`]); for one layout these add up to the server's limit. The sum over all
-/// *existing* processes stays within the limit because:
+/// ([`crate::connections_for_seat()`]); for one layout these add up to the server's limit. The sum
+/// over all *existing* processes stays within the limit because:
 ///
 /// 1. A seat has one holder. It is vacated by its holder once that holds no connections, or when
 ///    the platform has removed the holder; so two existing processes never hold the same seat.
@@ -136,7 +136,7 @@
         for dc in data_centres {
             table.add_seat(Some(dc.clone()));
         }
-        table.add_spares();
+        table.add_spare_seats();
         table
     }
 
@@ -149,16 +149,16 @@
     pub fn decode(content: &[u8]) -> Result<Self> {
         let (format, rest) = content
             .split_first()
-            .ok_or_else(|| bad_input("the seat table is empty"))?;
-        if *format != FORMAT {
+            .ok_or_else(|| invalid_table("the seat table is empty"))?;
+        if *format != FORMAT_VERSION {
             return Err(Error::new(
                 ErrorKind::Version,
-                format!("the seat table has format version {format}, expected {FORMAT}"),
+                format!("the seat table has format version {format}, expected {FORMAT_VERSION}"),
             )
             .at("read seat table"));
         }
-        let table: Self = postcard::from_bytes(rest).map_err(|e| bad_input(&e.to_string()))?;
-        table.check()?;
+        let table: Self = postcard::from_bytes(rest).map_err(|e| invalid_table(&e.to_string()))?;
+        table.check_consistency()?;
         Ok(table)
     }
 
@@ -168,7 +168,7 @@
     ///
     /// [`ErrorKind::BadInput`] if it does not encode.
     pub fn encode(&self) -> Result<Vec<u8>> {
-        postcard::to_extend(self, vec![FORMAT]).map_err(|e| bad_input(&e.to_string()))
+        postcard::to_extend(self, vec![FORMAT_VERSION]).map_err(|e| invalid_table(&e.to_string()))
     }
 
     /// Returns the seats of the current layout.
@@ -191,7 +191,7 @@
 
     /// Assigns a seat to a VM or its new incarnation: the seat that it holds; else a vacant one,
     /// preferably one that can be used at once and is of its own data centre; else a new one.
-    pub(crate) fn assign(&mut self, vm: &VmId, incarnation: Incarnation, dc: &DataCentre) {
+    pub(crate) fn assign_seat(&mut self, vm: &VmId, incarnation: Incarnation, dc: &DataCentre) {
         if let Some(h) = self.holders.iter_mut().find(|h| h.vm == *vm) {
             h.incarnation = incarnation;
             h.since = Epoch::default();
@@ -216,7 +216,7 @@
     }
 
     /// Returns whether some vacant seat is in all layouts, so that a new VM may use it at once.
-    pub(crate) fn has_usable_vacancy(&self) -> bool {
+    pub(crate) fn has_usable_vacant_seat(&self) -> bool {
         self.vacant_seats().any(|s| self.is_in_all_layouts(s.id))
     }
 
@@ -226,7 +226,7 @@
     }
 
     /// Vacates a VM's seat.
-    pub(crate) fn vacate(&mut self, vm: &VmId) {
+    pub(crate) fn vacate_seat_of(&mut self, vm: &VmId) {
         self.holders.retain(|h| h.vm != *vm);
     }
 
@@ -247,15 +247,15 @@
     }
 
     /// Adds spare seats until there are enough vacant seats for new VMs.
-    pub(crate) fn add_spares(&mut self) {
-        let want = 1 + self.seats().len() / SEATS_PER_SPARE;
+    pub(crate) fn add_spare_seats(&mut self) {
+        let want = 1 + self.seats().len() / SEATS_PER_SPARE_SEAT;
         while self.vacant_seats().count() < want && self.seats().len() < SEATS_MAX {
             self.add_seat(None);
         }
     }
 
     /// Removes layouts that no VM can use any more; `oldest` is the oldest epoch in use.
-    pub(crate) fn prune(&mut self, oldest: Epoch) {
+    pub(crate) fn remove_unused_layouts(&mut self, oldest: Epoch) {
         while self.layouts.get(1).is_some_and(|s| s.since <= oldest) {
             self.layouts.remove(0);
         }
@@ -295,23 +295,25 @@
         id
     }
 
-    fn check(&self) -> Result<()> {
+    fn check_consistency(&self) -> Result<()> {
         let mut seats: Vec<_> = self.holders.iter().map(|h| h.seat).collect();
         seats.sort_unstable();
         seats.dedup();
         if seats.len() != self.holders.len() {
-            return Err(bad_input("a seat of the seat table is held twice"));
+            return Err(invalid_table("a seat of the seat table is held twice"));
         }
         if self.layouts.is_empty() || self.layouts.len() > LAYOUTS_MAX {
-            return Err(bad_input("the seat table has no layout or too many"));
+            return Err(invalid_table("the seat table has no layout or too many"));
         }
         if self.layouts.iter().any(|s| s.seats.len() > SEATS_MAX) {
-            return Err(bad_input("a layout of the seat table has too many seats"));
+            return Err(invalid_table(
+                "a layout of the seat table has too many seats",
+            ));
         }
         Ok(())
     }
 }
 
-fn bad_input(text: &str) -> Error {
+fn invalid_table(text: &str) -> Error {
     Error::new(ErrorKind::BadInput, text).at("read seat table")
 }
--- a/crates/member/src/settings.rs
+++ b/crates/member/src/settings.rs
@@ -29,11 +29,11 @@
     /// How long a VM may be suspected, without a heartbeat of it or a rumour that refutes the
     /// suspicion, before it counts as unreachable.
     #[builder(default = Duration::from_secs(2))]
-    pub lapse_after: Duration,
+    pub unreachable_after: Duration,
     /// How long a VM may be missing from the platform's list, without contact to this VM, before it
     /// is removed from the view. Must be longer than the list can lag behind a VM's start.
     #[builder(default = Duration::from_secs(60))]
-    pub gone_after: Duration,
+    pub removal_delay: Duration,
     /// The most rumours in a heartbeat.
     #[builder(default = 16)]
     pub rumours_max: usize,
@@ -46,5 +46,5 @@
     /// How long a vacant seat stays in the table before it is removed, so that the replacement of a
     /// VM finds one.
     #[builder(default = Duration::from_secs(120))]
-    pub shrink_after: Duration,
+    pub vacant_seat_retention: Duration,
 }
--- a/crates/member/src/table_keeper.rs
+++ b/crates/member/src/table_keeper.rs
@@ -26,17 +26,17 @@
 #[derive(Debug)]
 pub(crate) struct TableKeeper {
     cfg: MemberSettings,
-    pub(crate) call: PlatformCall,
+    pub(crate) call_in_flight: PlatformCall,
     /// Whether this VM has the duty to maintain the table, according to its own view.
-    pub(crate) on_duty: bool,
+    pub(crate) has_duty: bool,
     /// No call to the platform is made before this time.
     backoff_until: Option<Instant>,
     /// When the table was last read.
-    last_check: Option<Instant>,
+    last_table_read: Option<Instant>,
     /// The data centres of listed VMs; `None` before the first list.
-    listed: Option<BTreeMap<VmId, DataCentre>>,
+    listed_vms: Option<BTreeMap<VmId, DataCentre>>,
     /// When the last list was received.
-    listed_at: Option<Instant>,
+    list_received_at: Option<Instant>,
     /// Since when every list has been without the holder of a seat.
     unlisted_since: BTreeMap<VmId, Instant>,
     /// Since when each vacant seat has been vacant, as seen by this VM.
@@ -47,12 +47,12 @@
     pub(crate) fn new(cfg: MemberSettings) -> Self {
         Self {
             cfg,
-            call: PlatformCall::None,
-            on_duty: false,
+            call_in_flight: PlatformCall::None,
+            has_duty: false,
             backoff_until: None,
-            last_check: None,
-            listed: None,
-            listed_at: None,
+            last_table_read: None,
+            listed_vms: None,
+            list_received_at: None,
             unlisted_since: BTreeMap::new(),
             vacant_since: BTreeMap::new(),
         }
@@ -78,8 +78,8 @@
                 )
             })
             .collect();
-        self.listed = Some(listed);
-        self.listed_at = Some(now);
+        self.listed_vms = Some(listed);
+        self.list_received_at = Some(now);
     }
 
     /// Makes no calls to the platform for this time, after one has failed.
@@ -89,23 +89,23 @@
 
     /// Returns whether the table has to be read now.
     pub(crate) fn is_read_due(&self, now: Instant, leaving: bool, seat: &SeatState) -> bool {
-        let idle = matches!(self.call, PlatformCall::None);
+        let idle = matches!(self.call_in_flight, PlatformCall::None);
         let backing_off = self.backoff_until.is_some_and(|t| now < t);
-        if !idle || backing_off || self.listed.is_none() {
+        if !idle || backing_off || self.listed_vms.is_none() {
             return false;
         }
         let is_recent = |t| now.duration_since(t) < self.cfg.table_check_interval;
-        let duty_due = self.on_duty && !self.last_check.is_some_and(is_recent);
-        let unseated = !seat.is_seated() && !leaving;
+        let duty_due = self.has_duty && !self.last_table_read.is_some_and(is_recent);
+        let unseated = !seat.has_seat() && !leaving;
         let can_move =
-            seat.is_seat_pending() && seat.table().is_some_and(SeatTable::has_usable_vacancy);
-        let must_vacate = seat.is_released() && self.holds_seat(seat.table());
+            seat.is_seat_pending() && seat.table().is_some_and(SeatTable::has_usable_vacant_seat);
+        let must_vacate = seat.is_seat_released() && self.may_hold_seat(seat.table());
         duty_due || unseated || can_move || must_vacate
     }
 
     /// Records that the table was read.
-    pub(crate) fn note_check(&mut self, now: Instant) {
-        self.last_check = Some(now);
+    pub(crate) fn note_table_read(&mut self, now: Instant) {
+        self.last_table_read = Some(now);
         self.backoff_until = None;
     }
 
@@ -119,44 +119,44 @@
         let before = seat.table().cloned().unwrap_or_default();
         let mut table = match seat.table() {
             Some(t) => t.clone(),
-            None if seat.is_released() => return None,
-            None => SeatTable::initial(self.listed.as_ref()?.values()),
+            None if seat.is_seat_released() => return None,
+            None => SeatTable::initial(self.listed_vms.as_ref()?.values()),
         };
-        if seat.is_released() {
-            table.vacate(&self.cfg.me.vm);
+        if seat.is_seat_released() {
+            table.vacate_seat_of(&self.cfg.me.vm);
         } else {
             // Only a VM that would write anyway prunes: if every VM did that on reading a change,
             // their writes would conflict.
-            if self.on_duty || !seat.is_seated() {
-                table.prune(seat.oldest_epoch());
+            if self.has_duty || !seat.has_seat() {
+                table.remove_unused_layouts(seat.oldest_epoch_in_use());
             }
-            if seat.is_seat_pending() && table.has_usable_vacancy() {
-                table.vacate(&self.cfg.me.vm);
-                self.take_seat(&mut table);
-            } else if !seat.is_seated() && !peers.is_leaving() {
-                self.take_seat(&mut table);
+            if seat.is_seat_pending() && table.has_usable_vacant_seat() {
+                table.vacate_seat_of(&self.cfg.me.vm);
+                self.assign_own_seat(&mut table);
+            } else if !seat.has_seat() && !peers.is_leaving() {
+                self.assign_own_seat(&mut table);
             }
-            if self.on_duty {
-                self.maintain(now, &mut table, peers);
+            if self.has_duty {
+                self.maintain_table(now, &mut table, peers);
             }
         }
         (table != before).then(|| table.with_next_epoch(&before))
     }
 
     /// Assigns a seat to this VM, unless that takes a new seat and no layout may be added.
-    fn take_seat(&self, table: &mut SeatTable) {
+    fn assign_own_seat(&self, table: &mut SeatTable) {
         let me = &self.cfg.me;
         let own = table.seat_of(&me.vm).is_some();
         let full = table.vacant_seats().next().is_none() && table.layouts.len() >= LAYOUTS_MAX;
         if own || !full {
-            table.assign(&me.vm, self.cfg.incarnation, &me.data_centre);
+            table.assign_seat(&me.vm, self.cfg.incarnation, &me.data_centre);
         }
     }
 
     /// Carries out the duty: vacates the seats of removed VMs, and changes the layout where needed.
-    fn maintain(&mut self, now: Instant, table: &mut SeatTable, peers: &PeerTable) {
-        let at = self.listed_at.unwrap_or(now);
-        let limit = self.cfg.gone_after;
+    fn maintain_table(&mut self, now: Instant, table: &mut SeatTable, peers: &PeerTable) {
+        let at = self.list_received_at.unwrap_or(now);
+        let limit = self.cfg.removal_delay;
         let in_contact = |vm: &VmId| {
             peers
                 .peer(vm)
@@ -164,19 +164,19 @@
         };
         for (vm, since) in &self.unlisted_since {
             if at.duration_since(*since) >= limit && !in_contact(vm) {
-                table.vacate(vm);
+                table.vacate_seat_of(vm);
             }
         }
-        self.note_vacant(now, table);
+        self.update_vacant_since(now, table);
         if table.layouts.len() < LAYOUTS_MAX {
             self.update_data_centres(table, peers);
             self.remove_unused_seats(now, table);
-            table.add_spares();
+            table.add_spare_seats();
         }
     }
 
     /// Records since when each vacant seat has been vacant.
-    fn note_vacant(&mut self, now: Instant, table: &SeatTable) {
+    fn update_vacant_since(&mut self, now: Instant, table: &SeatTable) {
         let since = |id: SeatId| self.vacant_since.get(&id).copied().unwrap_or(now);
         self.vacant_since = table.vacant_seats().map(|s| (s.id, since(s.id))).collect();
     }
@@ -194,11 +194,11 @@
         }
     }
 
-    /// Removes full seats that have been vacant for `MemberSettings::shrink_after`.
+    /// Removes full seats that have been vacant for `MemberSettings::vacant_seat_retention`.
     fn remove_unused_seats(&self, now: Instant, table: &mut SeatTable) {
         let old = |id: &SeatId| {
             let since = self.vacant_since.get(id);
-            since.is_some_and(|t| now.duration_since(*t) >= self.cfg.shrink_after)
+            since.is_some_and(|t| now.duration_since(*t) >= self.cfg.vacant_seat_retention)
         };
         let full: Vec<_> = table
             .vacant_seats()
@@ -210,7 +210,7 @@
         }
     }
 
-    fn holds_seat(&self, table: Option<&SeatTable>) -> bool {
+    fn may_hold_seat(&self, table: Option<&SeatTable>) -> bool {
         // A seat of an earlier incarnation counts as well: that process has ended, and no other VM
         // vacates its seat as long as this VM is listed. If no table is known, there may be a seat.
         table.is_none_or(|t| t.seat_of(&self.cfg.me.vm).is_some())
--- a/crates/member/tests/member/fuzz.rs
+++ b/crates/member/tests/member/fuzz.rs
@@ -145,7 +145,10 @@
         heal(&mut w);
         let live: Vec<_> = w.processes.values().filter(|p| !p.released).collect();
         let n = u32::try_from(live.len()).expect("few");
-        assert!(live.iter().all(|p| p.m.view().live().count() == live.len()));
+        assert!(
+            live.iter()
+                .all(|p| p.m.view().live_vms().count() == live.len())
+        );
         assert!(vms.len() >= live.len());
         for s in w.servers.iter().filter(|_| n > 0) {
             // A spare seat stands for half as many connections as a full one, and stays vacant.
--- a/crates/member/tests/member/gossip.rs
+++ b/crates/member/tests/member/gossip.rs
@@ -25,7 +25,7 @@
 fn every_vm_sees_every_other_alive() {
     let w = fleet(9);
     for by in 0..9 {
-        assert_eq!(w.processes[&by].m.view().live().count(), 9);
+        assert_eq!(w.processes[&by].m.view().live_vms().count(), 9);
     }
 }
 
@@ -45,14 +45,14 @@
 #[test]
 fn a_leaving_vm_holds_no_duty_within_two_seconds() {
     let mut w = fleet(9);
-    let holder = w.processes[&0].m.view().holder("claims/3").cloned();
+    let holder = w.processes[&0].m.view().duty_holder("claims/3").cloned();
     let i = (0..9).find(|i| Some(vm(*i)) == holder).expect("a holder");
     w.leave(i);
     w.run(Duration::from_secs(2));
     for by in (0..9).filter(|by| *by != i) {
         assert_eq!(state(&w, i, by), Some(VmState::Leaving));
         assert_ne!(
-            w.processes[&by].m.view().holder("claims/3").cloned(),
+            w.processes[&by].m.view().duty_holder("claims/3").cloned(),
             holder
         );
     }
@@ -61,7 +61,7 @@
 #[test]
 fn every_vm_agrees_on_the_holder_of_a_duty() {
     let w = fleet(9);
-    let holder = |by: u8| w.processes[&by].m.view().holder("relay").cloned();
+    let holder = |by: u8| w.processes[&by].m.view().duty_holder("relay").cloned();
     assert!((1..9).all(|by| holder(by) == holder(0)));
 }
 
--- a/crates/member/tests/member/shares.rs
+++ b/crates/member/tests/member/shares.rs
@@ -7,7 +7,7 @@
 use crate::world::server;
 use gs_member::Seat;
 use gs_member::SeatId;
-use gs_member::seat_share;
+use gs_member::connections_for_seat;
 use gs_types::prelude::*;
 use rstest::rstest;
 
@@ -27,7 +27,7 @@
 fn a_limit_is_distributed_completely(#[case] limit: u32, #[case] expected: Vec<u32>) {
     let seats = seats(9, 1);
     let s = server("s", limit);
-    let share = |seat: &Seat| seat_share(&s, &seats, seat.id).0;
+    let share = |seat: &Seat| connections_for_seat(&s, &seats, seat.id).0;
     let mut got: Vec<u32> = seats[..9].iter().map(share).collect();
     got.sort_unstable();
     got.push(share(&seats[9]));
@@ -41,7 +41,7 @@
     let s = server("s", 13);
     let two: Vec<_> = seats
         .iter()
-        .filter(|x| seat_share(&s, &seats, x.id) == Connections(2))
+        .filter(|x| connections_for_seat(&s, &seats, x.id) == Connections(2))
         .filter_map(|x| x.data_centre.as_ref().map(|d| d.to_string()))
         .collect();
     assert_eq!(two, ["dc-1", "dc-1", "dc-1"]);
@@ -52,8 +52,8 @@
     let seats = seats(9, 2);
     for limit in 0..200 {
         for x in &seats {
-            let less = seat_share(&server("s", limit), &seats, x.id);
-            let more = seat_share(&server("s", limit + 1), &seats, x.id);
+            let less = connections_for_seat(&server("s", limit), &seats, x.id);
+            let more = connections_for_seat(&server("s", limit + 1), &seats, x.id);
             assert!(less <= more, "seat {:?} at limit {limit}", x.id);
         }
     }
--- a/crates/member/tests/member/world.rs
+++ b/crates/member/tests/member/world.rs
@@ -18,7 +18,7 @@
 
 const STEP: Duration = Duration::from_millis(50);
 const LIST_INTERVAL: Duration = Duration::from_secs(1);
-/// The longest lag of the list, well below `gone_after`.
+/// The longest lag of the list, well below `removal_delay`.
 const LIST_LAG_MAX: Duration = Duration::from_secs(4);
 const INBOX_MAX: usize = 64;
 
@@ -128,8 +128,8 @@
             .me(entry(i))
             .incarnation(Incarnation(self.incarnations))
             .seed(self.incarnations)
-            .gone_after(Duration::from_secs(10))
-            .shrink_after(Duration::from_secs(15))
+            .removal_delay(Duration::from_secs(10))
+            .vacant_seat_retention(Duration::from_secs(15))
             .build();
         let mut p = Process {
             m: Membership::new(cfg).expect("valid definition"),
--- a/crates/node/src/membership_shell.rs
+++ b/crates/node/src/membership_shell.rs
@@ -7,8 +7,8 @@
 use gs_member::Action;
 use gs_member::Event;
 use gs_member::Membership;
+use gs_member::MembershipView;
 use gs_member::SeatTable;
-use gs_member::View;
 use gs_mesh::Mesh;
 use gs_types::prelude::*;
 
@@ -84,10 +84,10 @@
 
 impl MembershipShell {
     /// Publishes a new view of the VMs.
-    fn on_view(&self, view: Arc<View>) {
+    fn on_view(&self, view: Arc<MembershipView>) {
         log::info!(
             "event=view live={} known={}",
-            view.live().count(),
+            view.live_vms().count(),
             view.vms.len()
         );
         self.feeds
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -130,7 +130,7 @@
         ];
         let open: u32 = pool.open.iter().map(|(_, n)| n).sum();
         let view = dumps.state.view();
-        let live = view.map_or(0, |v| v.live().count());
+        let live = view.map_or(0, |v| v.live_vms().count());
         let version = lock(&dumps.config_manager)
             .config()
             .map_or(0, |c| c.version.0);
--- a/crates/node/src/shared_state.rs
+++ b/crates/node/src/shared_state.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::Ordering;
 
 use gs_actor::lock;
-use gs_member::View;
+use gs_member::MembershipView;
 use gs_types::prelude::*;
 
 /// State that one component of the process writes and others read.
@@ -18,7 +18,7 @@
     /// The paths of shard maps whose objects were read; the platform's listing bounds their number.
     groups_read: Mutex<BTreeSet<String>>,
     servers: Mutex<BTreeMap<ServerName, Arc<ServerDecl>>>,
-    view: Mutex<Option<Arc<View>>>,
+    view: Mutex<Option<Arc<MembershipView>>>,
     has_loaded_groups: AtomicBool,
     has_received_shares: AtomicBool,
     is_leaving: AtomicBool,
@@ -93,12 +93,12 @@
     }
 
     /// Sets the current view of the VMs.
-    pub(crate) fn set_view(&self, view: Arc<View>) {
+    pub(crate) fn set_view(&self, view: Arc<MembershipView>) {
         *lock(&self.view) = Some(view);
     }
 
     /// Returns the current view of the VMs; `None` before the first.
-    pub(crate) fn view(&self) -> Option<Arc<View>> {
+    pub(crate) fn view(&self) -> Option<Arc<MembershipView>> {
         lock(&self.view).clone()
     }
 
--- a/crates/once/examples/claims.rs
+++ b/crates/once/examples/claims.rs
@@ -17,10 +17,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use gs_member::View;
-use gs_member::ViewVm;
+use gs_member::MembershipView;
 use gs_member::VmEntry;
 use gs_member::VmState;
+use gs_member::VmView;
 use gs_once::Action;
 use gs_once::Event;
 use gs_once::Once;
@@ -61,9 +61,9 @@
     format!("entry-{i}").parse().expect("a name")
 }
 
-fn view(me: usize) -> Arc<View> {
+fn view(me: usize) -> Arc<MembershipView> {
     let addr = "127.0.0.1:1".parse().expect("an address");
-    let one = |i| ViewVm {
+    let one = |i| VmView {
         entry: VmEntry {
             vm: vm(i),
             data_centre: "dc".parse().expect("a name"),
@@ -76,7 +76,7 @@
         incarnation: None,
         state: VmState::Alive,
     };
-    Arc::new(View {
+    Arc::new(MembershipView {
         me: vm(me),
         vms: (0..VMS).map(one).collect(),
     })
--- a/crates/once/src/event.rs
+++ b/crates/once/src/event.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use gs_member::View;
+use gs_member::MembershipView;
 use gs_query::LookupClaim;
 use gs_types::prelude::*;
 use serde::Deserialize;
@@ -41,7 +41,7 @@
     /// An authenticated message from another VM.
     Peer(VmId, Message),
     /// The view of this VM changed.
-    Members(Arc<View>),
+    Members(Arc<MembershipView>),
     /// The timer set by [`crate::Action::Wake`] has expired.
     Tick,
 }
--- a/crates/once/src/forwarding.rs
+++ b/crates/once/src/forwarding.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gs_member::View;
+use gs_member::MembershipView;
 use gs_types::prelude::*;
 
 use crate::action::Action;
@@ -21,7 +21,7 @@
 
 impl Once {
     /// Applies a newer view.
-    pub(crate) fn on_view(&mut self, view: Arc<View>) {
+    pub(crate) fn on_view(&mut self, view: Arc<MembershipView>) {
         if self.last_forwards.len() > SENDERS_MAX {
             let is_in_view = |vm: &VmId| view.vms.iter().any(|v| v.entry.vm == *vm);
             self.last_forwards.retain(|vm, _| is_in_view(vm));
--- a/crates/once/src/once.rs
+++ b/crates/once/src/once.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use gs_member::View;
+use gs_member::MembershipView;
 use gs_query::ClaimDecision;
 use gs_query::LookupClaim;
 use gs_types::prelude::*;
@@ -67,7 +67,7 @@
 pub struct Once {
     pub(crate) cfg: OnceSettings,
     pub(crate) counts: Counts,
-    pub(crate) view: Option<Arc<View>>,
+    pub(crate) view: Option<Arc<MembershipView>>,
     pub(crate) claim_requests: ClaimRequests,
     /// The known claims, by window and bucket.
     pub(crate) claim_logs: BTreeMap<(Window, u16), ClaimLog>,
@@ -167,7 +167,7 @@
         let writer = self
             .view
             .as_ref()
-            .and_then(|v| v.holder(&writer_duty(bucket)));
+            .and_then(|v| v.duty_holder(&writer_duty(bucket)));
         match writer.cloned() {
             Some(writer) if writer != self.cfg.vm => {
                 self.forward(cx, writer, request, wanted.budget)
--- a/crates/once/src/retention.rs
+++ b/crates/once/src/retention.rs
@@ -20,7 +20,10 @@
 impl Once {
     /// Requests a read of the watermark if this VM has the duty to raise it and a check is due.
     pub(crate) fn check_watermark(&mut self, cx: &mut Cx<'_>) {
-        let holds = self.view.as_ref().is_some_and(|v| v.holds(WATERMARK_PATH));
+        let holds = self
+            .view
+            .as_ref()
+            .is_some_and(|v| v.has_duty(WATERMARK_PATH));
         let is_recent = |t| cx.now.saturating_duration_since(t) < WATERMARK_CHECK_INTERVAL;
         if holds && !self.watermark.last_check.is_some_and(is_recent) {
             self.watermark.last_check = Some(cx.now);
@@ -64,7 +67,10 @@
     /// retention margin, which allows for VMs whose clocks are behind. If the watermark is there
     /// already, removes the claims below it.
     fn raise_watermark(&mut self, cx: &mut Cx<'_>) {
-        let holds = self.view.as_ref().is_some_and(|v| v.holds(WATERMARK_PATH));
+        let holds = self
+            .view
+            .as_ref()
+            .is_some_and(|v| v.has_duty(WATERMARK_PATH));
         if !holds || self.watermark.writing.is_some() {
             return;
         }
--- a/crates/once/tests/once/world.rs
+++ b/crates/once/tests/once/world.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use gs_member::View;
-use gs_member::ViewVm;
+use gs_member::MembershipView;
 use gs_member::VmEntry;
 use gs_member::VmState;
+use gs_member::VmView;
 use gs_once::Action;
 use gs_once::ClaimRequestId;
 use gs_once::Event;
@@ -95,9 +95,9 @@
     format!("entry-{i}").parse().expect("a name")
 }
 
-fn view(me: u8, all: &[u8]) -> Arc<View> {
+fn view(me: u8, all: &[u8]) -> Arc<MembershipView> {
     let addr = "127.0.0.1:1".parse().expect("an address");
-    let one = |i: &u8| ViewVm {
+    let one = |i: &u8| VmView {
         entry: VmEntry {
             vm: vm(*i),
             data_centre: "dc".parse().expect("a name"),
@@ -110,7 +110,7 @@
         incarnation: None,
         state: VmState::Alive,
     };
-    Arc::new(View {
+    Arc::new(MembershipView {
         me: vm(me),
         vms: all.iter().map(one).collect(),
     })
