--- a/crates/node/src/dumps.rs
+++ b/crates/node/src/dumps.rs
@@ -14,7 +14,7 @@
 use gs_http::ServerState;
 use gs_member::Membership;
 use gs_mesh::Mesh;
-use gs_once::Once;
+use gs_once::IdempotencyClaims;
 use gs_query::Engine;
 use gs_store::Platform;
 use gs_types::prelude::*;
@@ -39,7 +39,7 @@
     pub(crate) engine: Shared<Engine>,
     pub(crate) config_manager: Shared<ConfigManager>,
     pub(crate) membership: Shared<Membership>,
-    pub(crate) once: Shared<Once>,
+    pub(crate) once: Shared<IdempotencyClaims>,
     pub(crate) pool: Arc<ConnectionPools>,
     pub(crate) callers: Arc<ServerState>,
     pub(crate) state: Arc<SharedState>,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,8 @@
 //! The process of a VM that serves lookups: connects the state machines to sockets, the mesh and the platform.
 //!
 //! Each state machine ([`gs_query::Engine`], [`gs_conf::ConfigManager`], [`gs_member::Membership`],
-//! [`gs_once::Once`]) runs in one `xtra` actor. This crate performs their actions and returns the
-//! results to them as events; it contains no policy of its own.
+//! [`gs_once::IdempotencyClaims`]) runs in one `xtra` actor. This crate performs their actions and
+//! returns the results to them as events; it contains no policy of its own.
 //!
 //! [`serve()`] runs a process from its settings to its graceful shutdown.
 
--- a/crates/node/src/once_shell.rs
+++ b/crates/node/src/once_shell.rs
@@ -5,7 +5,7 @@
 use gs_clock::unix_seconds;
 use gs_once::Action;
 use gs_once::Event;
-use gs_once::Once;
+use gs_once::IdempotencyClaims;
 
 use crate::feeds::Feeds;
 use crate::message::Message;
@@ -18,12 +18,12 @@
 use gs_actor::Machine;
 use gs_actor::Shell;
 
-impl Machine<OnceShell> for Once {
+impl Machine<OnceShell> for IdempotencyClaims {
     type Event = Event;
     type Action = Action;
 
     fn on(&mut self, at: EventTime<'_>, ev: Event, out: &mut Vec<Action>) {
-        Once::on(self, at.now, unix_seconds(at.clock), ev, out);
+        IdempotencyClaims::on(self, at.now, unix_seconds(at.clock), ev, out);
     }
 
     fn tick_event() -> Event {
@@ -38,7 +38,7 @@
     pub(crate) peer_sender: PeerSender,
 }
 
-impl Shell<Once> for OnceShell {
+impl Shell<IdempotencyClaims> for OnceShell {
     fn perform(&mut self, action: Action, feed: &Feed<Event>) -> Option<Duration> {
         let feed = feed.clone();
         match action {
--- a/crates/node/src/options.rs
+++ b/crates/node/src/options.rs
@@ -13,7 +13,7 @@
 use gs_mesh::Mesh;
 use gs_mesh::MeshSettings;
 use gs_mesh::NngMesh;
-use gs_once::OnceSettings;
+use gs_once::ClaimSettings;
 use gs_query::Engine;
 use gs_query::EngineOptions;
 use gs_query::PolicyName;
@@ -171,12 +171,12 @@
     }
 
     /// Returns the settings of the claims.
-    pub(crate) fn once_settings(&self) -> OnceSettings {
-        OnceSettings::builder()
+    pub(crate) fn once_settings(&self) -> ClaimSettings {
+        ClaimSettings::builder()
             .vm(self.settings.vm.name.clone())
             .incarnation(self.incarnation)
             .claim_window(self.settings.claims.window)
-            .skew(self.settings.claims.skew)
+            .clock_skew_max(self.settings.claims.skew)
             .build()
     }
 
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -14,7 +14,7 @@
 use gs_http::listen;
 use gs_member::Membership;
 use gs_mesh::Mesh;
-use gs_once::Once;
+use gs_once::IdempotencyClaims;
 use gs_query::Engine;
 use gs_store::Platform;
 use gs_types::prelude::*;
@@ -90,7 +90,7 @@
     engine: Shared<Engine>,
     config_manager: Shared<ConfigManager>,
     membership: Shared<Membership>,
-    once: Shared<Once>,
+    once: Shared<IdempotencyClaims>,
 }
 
 /// The actors of the state machines, before they start.
@@ -98,7 +98,7 @@
     engine: UnstartedActor<Engine, EngineShell>,
     config_manager: UnstartedActor<ConfigManager, ConfigManagerShell>,
     membership: UnstartedActor<Membership, MembershipShell>,
-    once: UnstartedActor<Once, OnceShell>,
+    once: UnstartedActor<IdempotencyClaims, OnceShell>,
 }
 
 impl Process {
@@ -328,7 +328,7 @@
             engine: shared(start.new_engine()?),
             config_manager: shared(start.new_config_manager()?),
             membership: shared(Membership::new(start.membership_settings())?),
-            once: shared(Once::new(start.once_settings())?),
+            once: shared(IdempotencyClaims::new(start.once_settings())?),
         })
     }
 }
--- a/crates/once/examples/claims.rs
+++ b/crates/once/examples/claims.rs
@@ -22,9 +22,9 @@
 use gs_member::VmState;
 use gs_member::VmView;
 use gs_once::Action;
+use gs_once::ClaimSettings;
 use gs_once::Event;
-use gs_once::Once;
-use gs_once::OnceSettings;
+use gs_once::IdempotencyClaims;
 use gs_query::ClaimDecision;
 use gs_query::LookupClaim;
 use gs_types::prelude::*;
@@ -42,7 +42,7 @@
 struct World {
     started: Instant,
     now: Duration,
-    vms: Vec<Once>,
+    vms: Vec<IdempotencyClaims>,
     schedule: BinaryHeap<ScheduledEvent>,
     events: BTreeMap<u64, Event>,
     wakes: Vec<Duration>,
@@ -93,13 +93,13 @@
         let write_interval = Duration::from_millis(setting("GATHER_MS", 15));
         let buckets = u16::try_from(setting("BUCKETS", 2)).expect("few buckets");
         let one = |i| {
-            let cfg = OnceSettings::builder()
+            let cfg = ClaimSettings::builder()
                 .vm(vm(i))
                 .incarnation(Incarnation(1_800_000_000_000))
                 .write_interval(write_interval)
                 .buckets(buckets)
                 .build();
-            Once::new(cfg).expect("valid definition")
+            IdempotencyClaims::new(cfg).expect("valid definition")
         };
         let mut w = Self {
             started: Instant::now(),
@@ -254,7 +254,7 @@
         let n = w.latencies.len();
         let ms = |d: Duration| d.as_secs_f64() * 1e3;
         let at = |q: f64| ms(w.latencies[((n - 1) as f64 * q) as usize]);
-        let counts: Vec<_> = w.vms.iter().map(Once::counts).collect();
+        let counts: Vec<_> = w.vms.iter().map(IdempotencyClaims::counts).collect();
         let stored: usize = w.objects.values().map(|s| s.content.len()).sum();
         let each = |total: u64| total as f64 / n as f64;
         println!(
--- a/crates/once/src/action.rs
+++ b/crates/once/src/action.rs
@@ -9,7 +9,7 @@
 
 use crate::message::Message;
 
-/// One output of [`crate::Once`].
+/// One output of [`crate::IdempotencyClaims`].
 ///
 /// The driver makes each call to the platform once, and does not retry it by itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/once/src/claim_calls.rs
+++ b/crates/once/src/claim_calls.rs
@@ -7,11 +7,11 @@
 use crate::claim::ClaimRequestId;
 use crate::claim::ClaimState;
 use crate::claim::KeyHash;
-use crate::claim_log::Call;
 use crate::claim_log::ClaimLog;
 use crate::claim_log::ExistingEntry;
-use crate::once::Cx;
-use crate::once::Once;
+use crate::claim_log::PlatformCall;
+use crate::idempotency_claims::Cx;
+use crate::idempotency_claims::IdempotencyClaims;
 use crate::segment::Segment;
 use crate::segment::SegmentPath;
 use crate::segment::Window;
@@ -20,13 +20,13 @@
 const CACHED_ENTRIES_MAX: usize = 200_000;
 
 /// The key of a claim log: its window and bucket.
-type LogKey = (Window, u16);
+type ClaimLogKey = (Window, u16);
 
-impl Once {
+impl IdempotencyClaims {
     /// Starts all calls that are due, unless in backoff.
     pub(crate) fn start_calls(&mut self, cx: &mut Cx<'_>) {
         if !self.is_backing_off(cx.now) {
-            let keys: Vec<LogKey> = self.claim_logs.keys().copied().collect();
+            let keys: Vec<ClaimLogKey> = self.claim_logs.keys().copied().collect();
             for key in keys {
                 self.start_call(cx, key);
             }
@@ -35,25 +35,27 @@
         self.evict_idle_logs();
     }
 
-    fn start_call(&mut self, cx: &mut Cx<'_>, key: LogKey) {
+    fn start_call(&mut self, cx: &mut Cx<'_>, key: ClaimLogKey) {
         let Some(claim_log) = self.claim_logs.get_mut(&key) else {
             return;
         };
         let requests = &self.claim_requests;
-        claim_log.queue.retain(|id| requests.find(id).is_some());
         claim_log
-            .unverified
-            .retain(|id| requests.find(id).is_some());
-        if !claim_log.unverified.is_empty() && claim_log.verification_round.is_none() {
-            claim_log.verification_round = Some(self.watermark.request_read());
+            .queued_requests
+            .retain(|id| requests.get(id).is_some());
+        claim_log
+            .unverified_requests
+            .retain(|id| requests.get(id).is_some());
+        if !claim_log.unverified_requests.is_empty() && claim_log.verifying_read_number.is_none() {
+            claim_log.verifying_read_number = Some(self.watermark.request_read());
         }
-        if claim_log.call != Call::None || claim_log.queue.is_empty() {
+        if claim_log.call_in_flight != PlatformCall::None || claim_log.queued_requests.is_empty() {
             return;
         }
-        if !claim_log.is_loaded() {
-            claim_log.call = Call::Read;
+        if !claim_log.has_read_all_segments() {
+            claim_log.call_in_flight = PlatformCall::Read;
             self.counts.reads += 1;
-            let path = claim_log.path().to_string();
+            let path = claim_log.tail_path().to_string();
             cx.out.push(Action::Read { path });
         } else if claim_log.next_write_at.is_none_or(|t| cx.now >= t) {
             self.write_batch(cx, key);
@@ -61,19 +63,19 @@
     }
 
     /// Writes the queued requests of a bucket and window in one batch.
-    fn write_batch(&mut self, cx: &mut Cx<'_>, key: LogKey) {
+    fn write_batch(&mut self, cx: &mut Cx<'_>, key: ClaimLogKey) {
         let Some(claim_log) = self.claim_logs.get_mut(&key) else {
             return;
         };
         let requests = &self.claim_requests;
-        let (existing, segment) = claim_log.gather_batch(self.cfg.claims_per_segment, |id| {
-            requests.find(id).map(|p| &p.request)
+        let (existing, segment) = claim_log.prepare_write(self.cfg.claims_per_segment, |id| {
+            requests.get(id).map(|p| &p.request)
         });
-        let batch = match &claim_log.call {
-            Call::Write { batch, .. } => batch.clone(),
+        let batch = match &claim_log.call_in_flight {
+            PlatformCall::Write { batch, .. } => batch.clone(),
             _ => Vec::new(),
         };
-        let (path, if_version) = (claim_log.path().to_string(), claim_log.version());
+        let (path, if_version) = (claim_log.tail_path().to_string(), claim_log.tail_version());
         if let Some(content) = segment.and_then(|p| p.encode().ok()) {
             claim_log.next_write_at = Some(cx.now + self.cfg.write_interval);
             self.counts.writes += 1;
@@ -104,10 +106,10 @@
             self.on_removal_read(cx, result);
             return;
         }
-        let Some((key, claim_log)) = self.log_with_call(path, |c| *c == Call::Read) else {
+        let Some((key, claim_log)) = self.log_with_call(path, |c| *c == PlatformCall::Read) else {
             return;
         };
-        claim_log.call = Call::None;
+        claim_log.call_in_flight = PlatformCall::None;
         let read = match result {
             Ok(None) => Some((0, Segment::default())),
             Ok(Some(s)) => decode_segment(path, &s).map(|segment| (s.version, segment)),
@@ -119,7 +121,7 @@
         };
         let full = self.cfg.claims_per_segment;
         if let Some(claim_log) = self.claim_logs.get_mut(&key) {
-            claim_log.on_read(version, segment, full);
+            claim_log.on_tail_read(version, segment, full);
         }
         self.resolve_lost_writes(cx, key);
     }
@@ -131,17 +133,19 @@
         result: Result<u64, StoreError>,
     ) {
         let full = self.cfg.claims_per_segment;
-        let Some((key, claim_log)) = self.log_with_call(path, |c| matches!(c, Call::Write { .. }))
+        let Some((key, claim_log)) =
+            self.log_with_call(path, |c| matches!(c, PlatformCall::Write { .. }))
         else {
             return;
         };
-        let Call::Write { batch, segment } = std::mem::replace(&mut claim_log.call, Call::None)
+        let PlatformCall::Write { batch, segment } =
+            std::mem::replace(&mut claim_log.call_in_flight, PlatformCall::None)
         else {
             return;
         };
         match result {
             Ok(version) => {
-                claim_log.on_written(version, segment, full);
+                claim_log.on_tail_written(version, segment, full);
                 for id in &batch {
                     self.on_entry_found(cx, key, id);
                 }
@@ -149,83 +153,83 @@
             }
             Err(StoreError::Lost) => {
                 claim_log.note_unresolved_write(batch.clone());
-                self.requeue(cx, &batch, ClaimEvent::Lose);
+                self.requeue_batch(cx, &batch, ClaimEvent::Lose);
             }
             Err(StoreError::Conflict) => {
-                claim_log.mark_outdated();
-                self.requeue(cx, &batch, ClaimEvent::Miss);
+                claim_log.mark_tail_outdated();
+                self.requeue_batch(cx, &batch, ClaimEvent::Miss);
             }
             Err(StoreError::NotDone) => {
-                self.requeue(cx, &batch, ClaimEvent::Miss);
+                self.requeue_batch(cx, &batch, ClaimEvent::Miss);
                 self.back_off(cx);
             }
         }
     }
 
     /// Queues the requests of a failed write again.
-    fn requeue(&mut self, cx: &mut Cx<'_>, batch: &[ClaimRequestId], event: ClaimEvent) {
+    fn requeue_batch(&mut self, cx: &mut Cx<'_>, batch: &[ClaimRequestId], event: ClaimEvent) {
         for id in batch {
-            let state = self.claim_requests.find(id).map(|p| p.state);
+            let state = self.claim_requests.get(id).map(|p| p.state);
             if matches!(state, Some(ClaimState::Writing | ClaimState::Rewriting)) {
                 self.apply_event(cx, id, event);
             }
             if event == ClaimEvent::Miss {
-                self.rule_out(cx, id);
+                self.apply_miss_if_ruled_out(cx, id);
             }
             self.enqueue(cx, id);
         }
     }
 
     /// Resolves writes with an unknown result, now that the version of the last segment is known.
-    fn resolve_lost_writes(&mut self, cx: &mut Cx<'_>, key: LogKey) {
+    fn resolve_lost_writes(&mut self, cx: &mut Cx<'_>, key: ClaimLogKey) {
         let Some(claim_log) = self.claim_logs.get_mut(&key) else {
             return;
         };
         for id in claim_log.resolve_writes() {
-            let claimed = self.claim_requests.find(&id).map(|p| p.request.key);
-            let holder = claimed.and_then(|k| self.holder(key, k));
+            let claimed = self.claim_requests.get(&id).map(|p| p.request.key);
+            let holder = claimed.and_then(|k| self.claimant(key, k));
             if holder == Some(&id) {
                 self.on_entry_found(cx, key, &id);
             } else {
-                self.rule_out(cx, &id);
+                self.apply_miss_if_ruled_out(cx, &id);
             }
         }
     }
 
     /// Records that no entry can be written for a request any more, unless an unresolved write or
     /// the VM that it was forwarded to may still write one.
-    pub(crate) fn rule_out(&mut self, cx: &mut Cx<'_>, id: &ClaimRequestId) {
-        let Some(p) = self.claim_requests.find(id) else {
+    pub(crate) fn apply_miss_if_ruled_out(&mut self, cx: &mut Cx<'_>, id: &ClaimRequestId) {
+        let Some(p) = self.claim_requests.get(id) else {
             return;
         };
-        let key = (p.request.window, self.bucket(p.request.key));
+        let key = (p.request.window, self.bucket_of(p.request.key));
         let claim_log = self.claim_logs.get(&key);
         let unresolved = claim_log.is_some_and(|s| s.is_unresolved(id));
-        if !unresolved && !p.forward_open {
+        if !unresolved && !p.forward_may_write {
             self.apply_event(cx, id, ClaimEvent::Miss);
         }
     }
 
     /// Grants a request whose entry was found, or defers the grant until the watermark was seen
     /// below its window.
-    fn on_entry_found(&mut self, cx: &mut Cx<'_>, key: LogKey, id: &ClaimRequestId) {
+    fn on_entry_found(&mut self, cx: &mut Cx<'_>, key: ClaimLogKey, id: &ClaimRequestId) {
         let Some(claim_log) = self.claim_logs.get_mut(&key) else {
             return;
         };
-        if claim_log.verified {
+        if claim_log.window_verified {
             self.grant(cx, id);
-        } else if self.claim_requests.find(id).is_some() {
-            claim_log.unverified.insert(id.clone());
+        } else if self.claim_requests.get(id).is_some() {
+            claim_log.unverified_requests.insert(id.clone());
         }
     }
 
     /// Grants a request whose entry is stored, unless its key has become too old in the meantime,
     /// as after a process pause: other VMs may have reported to the caller that it is expired.
     pub(crate) fn grant(&mut self, cx: &mut Cx<'_>, id: &ClaimRequestId) {
-        let Some(p) = self.claim_requests.find(id) else {
+        let Some(p) = self.claim_requests.get(id) else {
             return;
         };
-        let is_expired = p.forwarded_by.is_none() && self.is_too_old(cx.wall, p.minted);
+        let is_expired = p.forwarded_by.is_none() && self.is_key_too_old(cx.wall, p.minted);
         let event = match is_expired {
             true => ClaimEvent::GiveUp,
             false => ClaimEvent::Stand,
@@ -235,12 +239,12 @@
 
     /// Grants the deferred requests that the watermark read of this number verifies.
     pub(crate) fn verify_logs(&mut self, cx: &mut Cx<'_>, round: u64) {
-        let due = |s: &&mut ClaimLog| s.verification_round.is_some_and(|r| r <= round);
+        let due = |s: &&mut ClaimLog| s.verifying_read_number.is_some_and(|r| r <= round);
         let mut ids = Vec::new();
         for claim_log in self.claim_logs.values_mut().filter(due) {
-            claim_log.verification_round = None;
-            claim_log.verified = true;
-            ids.extend(std::mem::take(&mut claim_log.unverified));
+            claim_log.verifying_read_number = None;
+            claim_log.window_verified = true;
+            ids.extend(std::mem::take(&mut claim_log.unverified_requests));
         }
         for id in ids {
             self.grant(cx, &id);
@@ -249,9 +253,9 @@
 
     /// Ends all requests and drops all claim logs at or below the watermark.
     pub(crate) fn expire_closed_windows(&mut self, cx: &mut Cx<'_>) {
-        let closed = self.watermark.known.closed;
+        let closed = self.watermark.last_known.closed;
         let below = |id: &&ClaimRequestId| {
-            let window = self.claim_requests.find(id).map(|p| p.request.window);
+            let window = self.claim_requests.get(id).map(|p| p.request.window);
             window.is_some_and(|w| w <= closed)
         };
         let ids: Vec<_> = self.claim_requests.ids().filter(below).cloned().collect();
@@ -274,20 +278,21 @@
         }
     }
 
-    fn holder(&self, key: LogKey, claimed: KeyHash) -> Option<&ClaimRequestId> {
-        self.claim_logs.get(&key)?.holder(claimed)
+    fn claimant(&self, key: ClaimLogKey, claimed: KeyHash) -> Option<&ClaimRequestId> {
+        self.claim_logs.get(&key)?.claimant(claimed)
     }
 
     /// Returns the claim log whose call in flight is about this object and of the wanted kind.
     fn log_with_call(
         &mut self,
         path: &str,
-        is_wanted: impl Fn(&Call) -> bool,
-    ) -> Option<(LogKey, &mut ClaimLog)> {
+        is_wanted: impl Fn(&PlatformCall) -> bool,
+    ) -> Option<(ClaimLogKey, &mut ClaimLog)> {
         let path: SegmentPath = path.parse().ok()?;
         let key = (path.window, path.bucket);
         let claim_log = self.claim_logs.get_mut(&key)?;
-        (claim_log.path() == path && is_wanted(&claim_log.call)).then_some((key, claim_log))
+        (claim_log.tail_path() == path && is_wanted(&claim_log.call_in_flight))
+            .then_some((key, claim_log))
     }
 }
 
--- a/crates/once/src/claim_requests.rs
+++ b/crates/once/src/claim_requests.rs
@@ -23,7 +23,7 @@
     /// The VM that forwarded the request and awaits the result; `None` for this VM's own requests.
     pub(crate) forwarded_by: Option<VmId>,
     /// Whether the VM that it was forwarded to may still write an entry for it.
-    pub(crate) forward_open: bool,
+    pub(crate) forward_may_write: bool,
     deadline: Instant,
     /// Until when this VM waits for the bucket's writer.
     forwarded_until: Option<Instant>,
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub(crate) struct ClaimRequests {
     chart: ClaimChart,
-    map: BTreeMap<ClaimRequestId, PendingClaim>,
+    requests: BTreeMap<ClaimRequestId, PendingClaim>,
     timers: BTreeSet<(Instant, ClaimRequestId)>,
 }
 
@@ -41,21 +41,21 @@
     pub(crate) fn new(chart: ClaimChart) -> Self {
         Self {
             chart,
-            map: BTreeMap::new(),
+            requests: BTreeMap::new(),
             timers: BTreeSet::new(),
         }
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.map.len()
+        self.requests.len()
     }
 
-    pub(crate) fn find(&self, id: &ClaimRequestId) -> Option<&PendingClaim> {
-        self.map.get(id)
+    pub(crate) fn get(&self, id: &ClaimRequestId) -> Option<&PendingClaim> {
+        self.requests.get(id)
     }
 
     pub(crate) fn ids(&self) -> impl Iterator<Item = &ClaimRequestId> {
-        self.map.keys()
+        self.requests.keys()
     }
 
     pub(crate) fn add(
@@ -72,39 +72,43 @@
             state: self.chart.initial(),
             minted,
             forwarded_by,
-            forward_open: false,
+            forward_may_write: false,
             deadline,
             forwarded_until: None,
         };
-        self.map.insert(id, pending);
+        self.requests.insert(id, pending);
     }
 
     /// Records that a request was forwarded to the bucket's writer.
     pub(crate) fn note_forwarded(&mut self, id: &ClaimRequestId, until: Instant) {
-        self.apply(id, ClaimEvent::Forward);
-        if let Some(p) = self.map.get_mut(id) {
-            p.forward_open = true;
+        self.apply_event(id, ClaimEvent::Forward);
+        if let Some(p) = self.requests.get_mut(id) {
+            p.forward_may_write = true;
             p.forwarded_until = Some(until);
             self.timers.insert((until, id.clone()));
         }
     }
 
     /// Records that the bucket's writer will not write an entry for a request.
-    pub(crate) fn close_forward(&mut self, id: &ClaimRequestId) {
-        if let Some(p) = self.map.get_mut(id) {
-            p.forward_open = false;
+    pub(crate) fn note_forward_dropped(&mut self, id: &ClaimRequestId) {
+        if let Some(p) = self.requests.get_mut(id) {
+            p.forward_may_write = false;
         }
     }
 
     /// Applies an event to a request. Removes and returns the request if its new state is final.
-    pub(crate) fn apply(&mut self, id: &ClaimRequestId, event: ClaimEvent) -> Option<PendingClaim> {
-        let p = self.map.get_mut(id)?;
+    pub(crate) fn apply_event(
+        &mut self,
+        id: &ClaimRequestId,
+        event: ClaimEvent,
+    ) -> Option<PendingClaim> {
+        let p = self.requests.get_mut(id)?;
         let next = self.chart.next(p.state, event)?;
         p.state = next;
         if !self.chart.is_final(next) {
             return None;
         }
-        let p = self.map.remove(id)?;
+        let p = self.requests.remove(id)?;
         self.timers.remove(&(p.deadline, id.clone()));
         if let Some(t) = p.forwarded_until {
             self.timers.remove(&(t, id.clone()));
@@ -113,10 +117,10 @@
     }
 
     /// Removes the next expired timer; returns its request, and whether the deadline has passed.
-    pub(crate) fn pop_expired(&mut self, now: Instant) -> Option<(ClaimRequestId, bool)> {
+    pub(crate) fn pop_expired_timer(&mut self, now: Instant) -> Option<(ClaimRequestId, bool)> {
         let (at, id) = self.timers.first().filter(|(at, _)| *at <= now)?.clone();
         self.timers.remove(&(at, id.clone()));
-        let deadline_passed = self.map.get(&id).is_some_and(|p| p.deadline <= now);
+        let deadline_passed = self.requests.get(&id).is_some_and(|p| p.deadline <= now);
         Some((id, deadline_passed))
     }
 
--- a/crates/once/src/event.rs
+++ b/crates/once/src/event.rs
@@ -10,7 +10,7 @@
 
 use crate::message::Message;
 
-/// One input of [`crate::Once`].
+/// One input of [`crate::IdempotencyClaims`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
--- a/crates/once/src/forwarding.rs
+++ b/crates/once/src/forwarding.rs
@@ -11,27 +11,27 @@
 use crate::claim::ClaimRequest;
 use crate::claim::ClaimRequestId;
 use crate::claim::ClaimState;
+use crate::idempotency_claims::Cx;
+use crate::idempotency_claims::IdempotencyClaims;
 use crate::message::ClaimResult;
 use crate::message::Message;
-use crate::once::Cx;
-use crate::once::Once;
 
 /// The number of senders above which those that are not in the view are forgotten.
-const SENDERS_MAX: usize = 10_000;
+const TRACKED_SENDERS_MAX: usize = 10_000;
 
-impl Once {
+impl IdempotencyClaims {
     /// Applies a newer view.
     pub(crate) fn on_view(&mut self, view: Arc<MembershipView>) {
-        if self.last_forwards.len() > SENDERS_MAX {
+        if self.last_forward_numbers.len() > TRACKED_SENDERS_MAX {
             let is_in_view = |vm: &VmId| view.vms.iter().any(|v| v.entry.vm == *vm);
-            self.last_forwards.retain(|vm, _| is_in_view(vm));
+            self.last_forward_numbers.retain(|vm, _| is_in_view(vm));
         }
         self.view = Some(view);
     }
 
     /// Forwards a request to the bucket's writer. This is only an optimisation: more requests share
     /// a write there.
-    pub(crate) fn forward(
+    pub(crate) fn forward_request(
         &mut self,
         cx: &mut Cx<'_>,
         writer: VmId,
@@ -58,10 +58,10 @@
                 budget,
             } => {
                 if request.id.vm == *from && self.is_newer_forward(&request.id, number) {
-                    self.on_make(cx, from, request, budget);
+                    self.on_forwarded_request(cx, from, request, budget);
                 }
             }
-            Message::Made(id, result) => self.on_made(cx, &id, result),
+            Message::Made(id, result) => self.on_forward_result(cx, &id, result),
         }
     }
 
@@ -71,15 +71,21 @@
     /// `Dropped`, and whose caller was informed that nothing would be executed.
     fn is_newer_forward(&mut self, id: &ClaimRequestId, number: u64) -> bool {
         let this = (id.incarnation, number);
-        let last = self.last_forwards.entry(id.vm.clone()).or_default();
+        let last = self.last_forward_numbers.entry(id.vm.clone()).or_default();
         let is_newer = this > *last;
         *last = this.max(*last);
         is_newer
     }
 
-    fn on_make(&mut self, cx: &mut Cx<'_>, from: &VmId, request: ClaimRequest, budget: Duration) {
+    fn on_forwarded_request(
+        &mut self,
+        cx: &mut Cx<'_>,
+        from: &VmId,
+        request: ClaimRequest,
+        budget: Duration,
+    ) {
         let id = request.id.clone();
-        let closed = request.window <= self.watermark.known.closed;
+        let closed = request.window <= self.watermark.last_known.closed;
         if closed || self.claim_requests.len() >= self.cfg.claim_requests_max {
             let dropped = Message::Made(id, ClaimResult::Dropped);
             cx.out.push(Action::Send(from.clone(), dropped));
@@ -91,8 +97,8 @@
         self.enqueue(cx, &id);
     }
 
-    fn on_made(&mut self, cx: &mut Cx<'_>, id: &ClaimRequestId, result: ClaimResult) {
-        let Some(p) = self.claim_requests.find(id).filter(|p| p.forward_open) else {
+    fn on_forward_result(&mut self, cx: &mut Cx<'_>, id: &ClaimRequestId, result: ClaimResult) {
+        let Some(p) = self.claim_requests.get(id).filter(|p| p.forward_may_write) else {
             return;
         };
         let state = p.state;
@@ -106,9 +112,9 @@
                 self.enqueue(cx, id);
             }
             ClaimResult::Dropped => {
-                self.claim_requests.close_forward(id);
+                self.claim_requests.note_forward_dropped(id);
                 if matches!(state, ClaimState::Forwarded | ClaimState::Exposed) {
-                    self.rule_out(cx, id);
+                    self.apply_miss_if_ruled_out(cx, id);
                     self.enqueue(cx, id);
                 }
             }
--- a/crates/once/src/once.rs
+++ b/crates/once/src/idempotency_claims.rs
@@ -26,7 +26,7 @@
 use crate::message::ClaimResult;
 use crate::message::Message;
 use crate::segment::Window;
-use crate::settings::OnceSettings;
+use crate::settings::ClaimSettings;
 use crate::watermark::WATERMARK_PATH;
 use crate::watermark::WatermarkTracker;
 
@@ -35,7 +35,7 @@
 
 /// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct ClaimCounts {
     /// Reads requested from the platform.
     pub reads: u64,
     /// Writes requested from the platform.
@@ -64,9 +64,9 @@
 
 /// The state machine of the claims; see the crate's documentation.
 #[derive(Debug)]
-pub struct Once {
-    pub(crate) cfg: OnceSettings,
-    pub(crate) counts: Counts,
+pub struct IdempotencyClaims {
+    pub(crate) cfg: ClaimSettings,
+    pub(crate) counts: ClaimCounts,
     pub(crate) view: Option<Arc<MembershipView>>,
     pub(crate) claim_requests: ClaimRequests,
     /// The known claims, by window and bucket.
@@ -77,17 +77,17 @@
     /// The number of requests forwarded, which numbers the messages.
     pub(crate) forwards_sent: u64,
     /// The incarnation and number of the last forwarded request accepted from each VM.
-    pub(crate) last_forwards: BTreeMap<VmId, (Incarnation, u64)>,
+    pub(crate) last_forward_numbers: BTreeMap<VmId, (Incarnation, u64)>,
 }
 
-impl Once {
+impl IdempotencyClaims {
     /// Creates the state machine without any known claims.
     ///
     /// # Errors
     ///
     /// [`ErrorKind::BadInput`] if the built-in state machine definition is invalid, or if the
     /// number of buckets is 0.
-    pub fn new(cfg: OnceSettings) -> Result<Self> {
+    pub fn new(cfg: ClaimSettings) -> Result<Self> {
         if cfg.buckets == 0 {
             return Err(
                 Error::new(ErrorKind::BadInput, "the number of claim buckets is 0")
@@ -95,14 +95,14 @@
             );
         }
         Ok(Self {
-            counts: Counts::default(),
+            counts: ClaimCounts::default(),
             view: None,
             claim_requests: ClaimRequests::new(claim::chart()?),
             claim_logs: BTreeMap::new(),
             watermark: WatermarkTracker::default(),
             backoff_until: None,
             forwards_sent: 0,
-            last_forwards: BTreeMap::new(),
+            last_forward_numbers: BTreeMap::new(),
             cfg,
         })
     }
@@ -126,7 +126,7 @@
             Event::Members(view) => self.on_view(view),
             Event::Tick => {}
         }
-        self.run_timers(cx);
+        self.run_expired_timers(cx);
         self.check_watermark(cx);
         self.start_calls(cx);
         self.request_wake(cx);
@@ -134,13 +134,13 @@
 
     /// Returns the counters.
     #[must_use]
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> ClaimCounts {
         self.counts
     }
 
     /// Returns the number of requests that await a decision here, including those of other VMs.
     #[must_use]
-    pub fn pending(&self) -> usize {
+    pub fn pending_requests(&self) -> usize {
         self.claim_requests.len()
     }
 
@@ -153,7 +153,7 @@
                 seq: wanted.seq,
             },
             key: KeyHash::of(&wanted.key),
-            window: Window::at(minted),
+            window: Window::containing(minted),
             fingerprint: wanted.fingerprint,
         };
         let id = request.id.clone();
@@ -161,16 +161,16 @@
             self.send_decision(cx, id.seq, decision);
             return;
         }
-        let bucket = self.bucket(request.key);
+        let bucket = self.bucket_of(request.key);
         self.claim_requests
             .add(request.clone(), minted, None, cx.now + wanted.budget);
         let writer = self
             .view
             .as_ref()
-            .and_then(|v| v.duty_holder(&writer_duty(bucket)));
+            .and_then(|v| v.duty_holder(&writer_duty_name(bucket)));
         match writer.cloned() {
             Some(writer) if writer != self.cfg.vm => {
-                self.forward(cx, writer, request, wanted.budget)
+                self.forward_request(cx, writer, request, wanted.budget)
             }
             _ => self.enqueue(cx, &id),
         }
@@ -183,30 +183,32 @@
         request: &ClaimRequest,
         minted: u64,
     ) -> Option<ClaimDecision> {
-        if request.window <= self.watermark.known.closed {
+        if request.window <= self.watermark.last_known.closed {
             return Some(ClaimDecision::Expired);
         }
         // Only the watermark shows that a key is permanently expired. If only the clock says so,
         // the request is refused: the clock may be wrong, and a key that was minted in the future
         // may be claimed later.
-        if self.is_too_old(cx.wall, minted) || minted > cx.wall + self.cfg.skew.as_secs() {
+        if self.is_key_too_old(cx.wall, minted)
+            || minted > cx.wall + self.cfg.clock_skew_max.as_secs()
+        {
             self.watermark.request_read();
             return Some(ClaimDecision::Refused);
         }
         let claim_log = self
             .claim_logs
-            .get(&(request.window, self.bucket(request.key)));
-        if claim_log.is_some_and(|s| s.holder(request.key).is_some()) {
+            .get(&(request.window, self.bucket_of(request.key)));
+        if claim_log.is_some_and(|s| s.claimant(request.key).is_some()) {
             return Some(ClaimDecision::Taken);
         }
         (self.claim_requests.len() >= self.cfg.claim_requests_max).then_some(ClaimDecision::Refused)
     }
 
-    pub(crate) fn is_too_old(&self, wall: u64, minted: u64) -> bool {
+    pub(crate) fn is_key_too_old(&self, wall: u64, minted: u64) -> bool {
         wall.saturating_sub(minted) > self.cfg.claim_window.as_secs()
     }
 
-    pub(crate) fn bucket(&self, key: KeyHash) -> u16 {
+    pub(crate) fn bucket_of(&self, key: KeyHash) -> u16 {
         let n = key.0 % u128::from(self.cfg.buckets);
         u16::try_from(n).unwrap_or_default()
     }
@@ -214,10 +216,10 @@
     /// Queues a request for the next write of its bucket and window. During the backoff after a
     /// platform failure, a request that no call was made for is refused at once instead.
     pub(crate) fn enqueue(&mut self, cx: &mut Cx<'_>, id: &ClaimRequestId) {
-        let Some(p) = self.claim_requests.find(id) else {
+        let Some(p) = self.claim_requests.get(id) else {
             return;
         };
-        let key = (p.request.window, self.bucket(p.request.key));
+        let key = (p.request.window, self.bucket_of(p.request.key));
         if p.state == ClaimState::Queued && self.is_backing_off(cx.now) {
             self.apply_event(cx, id, ClaimEvent::GiveUp);
             return;
@@ -226,8 +228,8 @@
             .claim_logs
             .entry(key)
             .or_insert_with(|| ClaimLog::new(key.0, key.1));
-        if !claim_log.queue.contains(id) {
-            claim_log.queue.push_back(id.clone());
+        if !claim_log.queued_requests.contains(id) {
+            claim_log.queued_requests.push_back(id.clone());
         }
     }
 
@@ -238,9 +240,9 @@
     /// Starts the backoff after a platform failure. Requests that no call was made for are refused
     /// at once, as they could not be decided in time and no write for them can take effect.
     pub(crate) fn back_off(&mut self, cx: &mut Cx<'_>) {
-        self.backoff_until = Some(cx.now + self.cfg.backoff);
+        self.backoff_until = Some(cx.now + self.cfg.platform_backoff);
         let queued = |id: &&ClaimRequestId| {
-            let state = self.claim_requests.find(id).map(|p| p.state);
+            let state = self.claim_requests.get(id).map(|p| p.state);
             state == Some(ClaimState::Queued)
         };
         let queued: Vec<_> = self.claim_requests.ids().filter(queued).cloned().collect();
@@ -251,7 +253,7 @@
 
     /// Applies an event to a request, and sends the outcome if its new state is final.
     pub(crate) fn apply_event(&mut self, cx: &mut Cx<'_>, id: &ClaimRequestId, event: ClaimEvent) {
-        if let Some(p) = self.claim_requests.apply(id, event) {
+        if let Some(p) = self.claim_requests.apply_event(id, event) {
             self.send_outcome(cx, p);
         }
     }
@@ -260,10 +262,10 @@
     fn send_outcome(&mut self, cx: &mut Cx<'_>, p: PendingClaim) {
         match p.forwarded_by {
             Some(vm) => {
-                let message = Message::Made(p.request.id, result_of(p.state));
+                let message = Message::Made(p.request.id, result_from_state(p.state));
                 cx.out.push(Action::Send(vm, message));
             }
-            None => self.send_decision(cx, p.request.id.seq, decision_of(p.state)),
+            None => self.send_decision(cx, p.request.id.seq, decision_from_state(p.state)),
         }
     }
 
@@ -279,9 +281,9 @@
         cx.out.push(Action::Decision(seq, decision));
     }
 
-    fn run_timers(&mut self, cx: &mut Cx<'_>) {
-        while let Some((id, deadline_passed)) = self.claim_requests.pop_expired(cx.now) {
-            let state = self.claim_requests.find(&id).map(|p| p.state);
+    fn run_expired_timers(&mut self, cx: &mut Cx<'_>) {
+        while let Some((id, deadline_passed)) = self.claim_requests.pop_expired_timer(cx.now) {
+            let state = self.claim_requests.get(&id).map(|p| p.state);
             if deadline_passed {
                 self.apply_event(cx, &id, ClaimEvent::GiveUp);
             } else if state == Some(ClaimState::Forwarded) {
@@ -305,11 +307,11 @@
 }
 
 /// Returns the name of the duty to write a bucket's claims, which selects the VM that writes them.
-fn writer_duty(bucket: u16) -> String {
+fn writer_duty_name(bucket: u16) -> String {
     format!("claims/{bucket}")
 }
 
-fn decision_of(state: ClaimState) -> ClaimDecision {
+fn decision_from_state(state: ClaimState) -> ClaimDecision {
     match state {
         ClaimState::Granted => ClaimDecision::Granted,
         ClaimState::Taken => ClaimDecision::Taken,
@@ -319,7 +321,7 @@
     }
 }
 
-fn result_of(state: ClaimState) -> ClaimResult {
+fn result_from_state(state: ClaimState) -> ClaimResult {
     match state {
         ClaimState::Granted => ClaimResult::Yours,
         ClaimState::Taken => ClaimResult::Taken,
--- a/crates/once/src/retention.rs
+++ b/crates/once/src/retention.rs
@@ -6,8 +6,8 @@
 use gs_types::prelude::*;
 
 use crate::action::Action;
-use crate::once::Cx;
-use crate::once::Once;
+use crate::idempotency_claims::Cx;
+use crate::idempotency_claims::IdempotencyClaims;
 use crate::segment;
 use crate::segment::SegmentPath;
 use crate::segment::Window;
@@ -17,7 +17,7 @@
 /// Time between two reads of the watermark by the VM that has the duty to raise it.
 const WATERMARK_CHECK_INTERVAL: Duration = Duration::from_secs(30);
 
-impl Once {
+impl IdempotencyClaims {
     /// Requests a read of the watermark if this VM has the duty to raise it and a check is due.
     pub(crate) fn check_watermark(&mut self, cx: &mut Cx<'_>) {
         let holds = self
@@ -47,12 +47,14 @@
         let round = self.watermark.end_read();
         let read = match result {
             Ok(None) => Some((0, ExpiryWatermark::default())),
-            Ok(Some(s)) => segment::decode(&s.content).ok().map(|f| (s.version, f)),
+            Ok(Some(s)) => segment::decode_object(&s.content)
+                .ok()
+                .map(|f| (s.version, f)),
             Err(_) => None,
         };
         let Some((version, watermark)) = read else {
             for claim_log in self.claim_logs.values_mut() {
-                claim_log.verification_round = None;
+                claim_log.verifying_read_number = None;
             }
             self.back_off(cx);
             return;
@@ -71,15 +73,15 @@
             .view
             .as_ref()
             .is_some_and(|v| v.has_duty(WATERMARK_PATH));
-        if !holds || self.watermark.writing.is_some() {
+        if !holds || self.watermark.write_in_flight.is_some() {
             return;
         }
         let retention = (self.cfg.claim_window + self.cfg.retention_margin).as_secs();
-        let oldest = Window::at(cx.wall.saturating_sub(retention));
+        let oldest = Window::containing(cx.wall.saturating_sub(retention));
         let target = Window(oldest.0.saturating_sub(1));
-        let known = self.watermark.known;
+        let known = self.watermark.last_known;
         if target > known.closed {
-            let removed = match self.watermark.version {
+            let removed = match self.watermark.object_version {
                 0 => target,
                 _ => known.removed,
             };
@@ -90,7 +92,7 @@
                     removed,
                 },
             );
-        } else if known.removed < known.closed && self.watermark.removing.is_none() {
+        } else if known.removed < known.closed && self.watermark.segment_being_removed.is_none() {
             let window = Window(known.removed.0 + 1);
             self.start_removal(
                 cx,
@@ -104,14 +106,14 @@
     }
 
     fn write_watermark(&mut self, cx: &mut Cx<'_>, watermark: ExpiryWatermark) {
-        let Ok(content) = segment::encode(&watermark) else {
+        let Ok(content) = segment::encode_object(&watermark) else {
             return;
         };
-        self.watermark.writing = Some(watermark);
+        self.watermark.write_in_flight = Some(watermark);
         self.counts.writes += 1;
         cx.out.push(Action::Write {
             path: WATERMARK_PATH.to_owned(),
-            if_version: self.watermark.version,
+            if_version: self.watermark.object_version,
             content,
         });
     }
@@ -121,7 +123,7 @@
         cx: &mut Cx<'_>,
         result: Result<u64, StoreError>,
     ) {
-        let Some(watermark) = self.watermark.writing.take() else {
+        let Some(watermark) = self.watermark.write_in_flight.take() else {
             return;
         };
         // After any other result, the next check reads the watermark first.
@@ -135,13 +137,13 @@
     /// Returns whether the object at this path is being removed.
     pub(crate) fn is_being_removed(&self, path: &str) -> bool {
         self.watermark
-            .removing
+            .segment_being_removed
             .is_some_and(|p| p.to_string() == path)
     }
 
     /// Starts the removal of a claim object by reading its version.
     fn start_removal(&mut self, cx: &mut Cx<'_>, next: SegmentPath) {
-        self.watermark.removing = Some(next);
+        self.watermark.segment_being_removed = Some(next);
         self.counts.reads += 1;
         let path = next.to_string();
         cx.out.push(Action::Read { path });
@@ -152,7 +154,7 @@
         cx: &mut Cx<'_>,
         result: Result<Option<Stored>, StoreError>,
     ) {
-        let Some(at) = self.watermark.removing else {
+        let Some(at) = self.watermark.segment_being_removed else {
             return;
         };
         match result {
@@ -161,7 +163,7 @@
                 if_version: s.version,
             }),
             Ok(None) => self.continue_removal(cx, at),
-            Err(_) => self.watermark.removing = None,
+            Err(_) => self.watermark.segment_being_removed = None,
         }
     }
 
@@ -173,7 +175,7 @@
             true => (Window(at.window.0 + 1), 0),
             false => (at.window, at.bucket + 1),
         };
-        let closed = self.watermark.known.closed;
+        let closed = self.watermark.last_known.closed;
         if window <= closed {
             self.start_removal(
                 cx,
@@ -185,8 +187,8 @@
             );
             return;
         }
-        self.watermark.removing = None;
-        if self.watermark.writing.is_none() {
+        self.watermark.segment_being_removed = None;
+        if self.watermark.write_in_flight.is_none() {
             self.write_watermark(
                 cx,
                 ExpiryWatermark {
@@ -205,7 +207,7 @@
     ) {
         let Some(at) = self
             .watermark
-            .removing
+            .segment_being_removed
             .filter(|_| self.is_being_removed(path))
         else {
             return;
@@ -216,7 +218,7 @@
                 self.start_removal(cx, SegmentPath { segment, ..at });
             }
             Err(StoreError::Conflict) => self.start_removal(cx, at),
-            Err(_) => self.watermark.removing = None,
+            Err(_) => self.watermark.segment_being_removed = None,
         }
     }
 }
--- a/crates/once/src/segment.rs
+++ b/crates/once/src/segment.rs
@@ -12,7 +12,7 @@
 use crate::claim::KeyHash;
 
 /// The version of an object's format, its first byte.
-const FORMAT: u8 = 1;
+const FORMAT_VERSION: u8 = 1;
 
 /// The length of a window in seconds.
 pub(crate) const WINDOW_SECONDS: u64 = 60;
@@ -27,7 +27,7 @@
 impl Window {
     /// Returns the window of a time in seconds since the Unix epoch.
     #[must_use]
-    pub fn at(seconds: u64) -> Self {
+    pub fn containing(seconds: u64) -> Self {
         Self(seconds / WINDOW_SECONDS)
     }
 }
@@ -106,7 +106,7 @@
     /// [`ErrorKind::Version`] for another version of the format, [`ErrorKind::BadInput`] if the
     /// content does not decode.
     pub fn decode(content: &[u8]) -> Result<Self> {
-        decode(content)
+        decode_object(content)
     }
 
     /// Encodes the segment as its object's content.
@@ -115,27 +115,27 @@
     ///
     /// [`ErrorKind::BadInput`] if it does not encode.
     pub fn encode(&self) -> Result<Vec<u8>> {
-        encode(self)
+        encode_object(self)
     }
 }
 
 /// Decodes the content of any of this crate's objects.
-pub(crate) fn decode<T: DeserializeOwned>(content: &[u8]) -> Result<T> {
+pub(crate) fn decode_object<T: DeserializeOwned>(content: &[u8]) -> Result<T> {
     let bad = |kind, text: String| Err(Error::new(kind, text).at("read claims"));
     match content.split_first() {
-        Some((&FORMAT, rest)) => {
+        Some((&FORMAT_VERSION, rest)) => {
             postcard::from_bytes(rest).or_else(|e| bad(ErrorKind::BadInput, e.to_string()))
         }
         Some((other, _)) => bad(
             ErrorKind::Version,
-            format!("the object has format version {other}, expected {FORMAT}"),
+            format!("the object has format version {other}, expected {FORMAT_VERSION}"),
         ),
         None => bad(ErrorKind::BadInput, "the object is empty".to_owned()),
     }
 }
 
 /// Encodes the content of any of this crate's objects.
-pub(crate) fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>> {
-    postcard::to_extend(value, vec![FORMAT])
+pub(crate) fn encode_object<T: Serialize>(value: &T) -> Result<Vec<u8>> {
+    postcard::to_extend(value, vec![FORMAT_VERSION])
         .map_err(|e| Error::new(ErrorKind::BadInput, e.to_string()).at("write claims"))
 }
--- a/crates/once/src/settings.rs
+++ b/crates/once/src/settings.rs
@@ -4,9 +4,9 @@
 
 use gs_types::prelude::*;
 
-/// Settings of [`crate::Once`]; all VMs of a fleet should use the same values.
+/// Settings of [`crate::IdempotencyClaims`]; all VMs of a fleet should use the same values.
 #[derive(Clone, Debug, bon::Builder)]
-pub struct OnceSettings {
+pub struct ClaimSettings {
     /// The name of this VM.
     pub vm: VmId,
     /// The incarnation of this process.
@@ -20,7 +20,7 @@
     pub claim_window: Duration,
     /// How far a caller's clock may be ahead.
     #[builder(default = Duration::from_secs(60))]
-    pub skew: Duration,
+    pub clock_skew_max: Duration,
     /// How long claims are stored beyond the claim window before they are removed.
     #[builder(default = Duration::from_secs(10 * 60))]
     pub retention_margin: Duration,
@@ -33,7 +33,7 @@
     pub forward_timeout: Duration,
     /// How long the backoff after a failed call to the platform lasts.
     #[builder(default = Duration::from_millis(250))]
-    pub backoff: Duration,
+    pub platform_backoff: Duration,
     /// The number of claims at which a segment is full; bounds the size of an object.
     #[builder(default = 512)]
     pub claims_per_segment: usize,
--- a/crates/once/src/watermark.rs
+++ b/crates/once/src/watermark.rs
@@ -31,18 +31,18 @@
 /// The watermark as known here, its reads and writes, and the removal of the claims below it.
 #[derive(Debug, Default)]
 pub(crate) struct WatermarkTracker {
-    pub(crate) known: ExpiryWatermark,
+    pub(crate) last_known: ExpiryWatermark,
     /// The version of the watermark's object; 0 if it is not known to exist.
-    pub(crate) version: u64,
+    pub(crate) object_version: u64,
     /// The number of the last read started, which is the one in flight if any.
-    read_round: u64,
-    reading: bool,
+    last_read_number: u64,
+    read_in_flight: bool,
     /// The number of the latest read that was requested.
-    wanted_round: u64,
+    requested_read_number: u64,
     /// The watermark of the write in flight.
-    pub(crate) writing: Option<ExpiryWatermark>,
+    pub(crate) write_in_flight: Option<ExpiryWatermark>,
     /// The claim object that is being removed.
-    pub(crate) removing: Option<SegmentPath>,
+    pub(crate) segment_being_removed: Option<SegmentPath>,
     /// When this VM last requested a read because it has the duty to raise the watermark.
     pub(crate) last_check: Option<Instant>,
 }
@@ -50,30 +50,30 @@
 impl WatermarkTracker {
     /// Requests a read that starts no earlier than now, and returns its number.
     pub(crate) fn request_read(&mut self) -> u64 {
-        self.wanted_round = self.read_round + 1;
-        self.wanted_round
+        self.requested_read_number = self.last_read_number + 1;
+        self.requested_read_number
     }
 
     /// Starts a read if one is requested and none is in flight; returns whether it did.
     pub(crate) fn start_read(&mut self) -> bool {
-        let due = !self.reading && self.wanted_round > self.read_round;
+        let due = !self.read_in_flight && self.requested_read_number > self.last_read_number;
         if due {
-            self.reading = true;
-            self.read_round += 1;
+            self.read_in_flight = true;
+            self.last_read_number += 1;
         }
         due
     }
 
     /// Ends the read in flight, and returns its number.
     pub(crate) fn end_read(&mut self) -> u64 {
-        self.reading = false;
-        self.read_round
+        self.read_in_flight = false;
+        self.last_read_number
     }
 
     /// Applies a watermark that was read or written; the known one never decreases.
     pub(crate) fn apply(&mut self, version: u64, watermark: ExpiryWatermark) {
-        self.version = version;
-        self.known.closed = self.known.closed.max(watermark.closed);
-        self.known.removed = self.known.removed.max(watermark.removed);
+        self.object_version = version;
+        self.last_known.closed = self.last_known.closed.max(watermark.closed);
+        self.last_known.removed = self.last_known.removed.max(watermark.removed);
     }
 }
--- a/crates/once/tests/once/world.rs
+++ b/crates/once/tests/once/world.rs
@@ -14,11 +14,11 @@
 use gs_member::VmView;
 use gs_once::Action;
 use gs_once::ClaimRequestId;
+use gs_once::ClaimSettings;
 use gs_once::Event;
+use gs_once::IdempotencyClaims;
 use gs_once::KeyHash;
 use gs_once::Message;
-use gs_once::Once;
-use gs_once::OnceSettings;
 use gs_once::Segment;
 use gs_once::SegmentPath;
 use gs_once::WATERMARK_PATH;
@@ -55,7 +55,7 @@
 }
 
 pub struct Process {
-    pub once: Once,
+    pub once: IdempotencyClaims,
     pub paused: bool,
     /// How many seconds its clock is ahead.
     pub clock_ahead: i64,
@@ -145,16 +145,16 @@
 
     pub fn start(&mut self, i: u8) {
         self.incarnations += 1;
-        let cfg = OnceSettings::builder()
+        let cfg = ClaimSettings::builder()
             .vm(vm(i))
             .incarnation(Incarnation(self.incarnations))
             .claim_window(Duration::from_secs(120))
-            .skew(Duration::from_secs(10))
+            .clock_skew_max(Duration::from_secs(10))
             .retention_margin(Duration::from_secs(60))
             .claims_per_segment(self.claims_per_segment)
             .build();
         let p = Process {
-            once: Once::new(cfg).expect("valid definition"),
+            once: IdempotencyClaims::new(cfg).expect("valid definition"),
             paused: false,
             clock_ahead: 0,
             partitioned: false,
@@ -212,7 +212,7 @@
     /// Returns the path of the object that the first claim for a key is written to.
     pub fn object_of(&self, key: &str) -> String {
         let key: IdempotencyKey = key.parse().expect("a key");
-        let window = Window::at(key.minted()).0;
+        let window = Window::containing(key.minted()).0;
         format!("claims/{window}/{}/0", KeyHash::of(&key).0 % 2)
     }
 
