--- a/crates/once/src/claim_log.rs
+++ b/crates/once/src/claim_log.rs
@@ -184,16 +184,14 @@
     pub(crate) fn prepare_write<'a>(
         &mut self,
         max: usize,
-        find_request: impl Fn(&ClaimRequestId) -> Option<&'a ClaimRequest>,
+        find: impl Fn(&ClaimRequestId) -> Option<&'a ClaimRequest>,
     ) -> (Vec<ExistingEntry>, Option<Segment>) {
         let mut existing = Vec::new();
         let mut batch = Vec::new();
         let mut claims = self.tail_claims.clone();
         let mut later = VecDeque::new();
         while let Some(id) = self.queued_requests.pop_front() {
-            let Some(request) = find_request(&id) else {
-                continue;
-            };
+            let Some(request) = find(&id) else { continue };
             match self.entries.get(&request.key) {
                 Some(own) if *own == id => existing.push(ExistingEntry::Own(id)),
                 Some(_) => existing.push(ExistingEntry::Other(id)),
