--- a/crates/once/tests/once/world.rs
+++ b/crates/once/tests/once/world.rs
@@ -8,17 +8,17 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use gs_member::View;
-use gs_member::ViewVm;
+use gs_member::MembershipView;
 use gs_member::VmEntry;
 use gs_member::VmState;
+use gs_member::VmView;
 use gs_once::Action;
 use gs_once::ClaimRequestId;
+use gs_once::ClaimSettings;
 use gs_once::Event;
+use gs_once::IdempotencyClaims;
 use gs_once::KeyHash;
 use gs_once::Message;
-use gs_once::Once;
-use gs_once::OnceSettings;
 use gs_once::Segment;
 use gs_once::SegmentPath;
 use gs_once::WATERMARK_PATH;
@@ -55,7 +55,7 @@
 }
 
 pub struct Process {
-    pub once: Once,
+    pub once: IdempotencyClaims,
     pub paused: bool,
     /// How many seconds its clock is ahead.
     pub clock_ahead: i64,
@@ -95,9 +95,9 @@
     format!("entry-{i}").parse().expect("a name")
 }
 
-fn view(me: u8, all: &[u8]) -> Arc<View> {
+fn view(me: u8, all: &[u8]) -> Arc<MembershipView> {
     let addr = "127.0.0.1:1".parse().expect("an address");
-    let one = |i: &u8| ViewVm {
+    let one = |i: &u8| VmView {
         entry: VmEntry {
             vm: vm(*i),
             data_centre: "dc".parse().expect("a name"),
@@ -110,7 +110,7 @@
         incarnation: None,
         state: VmState::Alive,
     };
-    Arc::new(View {
+    Arc::new(MembershipView {
         me: vm(me),
         vms: all.iter().map(one).collect(),
     })
@@ -145,16 +145,16 @@
 
     pub fn start(&mut self, i: u8) {
         self.incarnations += 1;
-        let cfg = OnceSettings::builder()
+        let cfg = ClaimSettings::builder()
             .vm(vm(i))
             .incarnation(Incarnation(self.incarnations))
             .claim_window(Duration::from_secs(120))
-            .skew(Duration::from_secs(10))
+            .clock_skew_max(Duration::from_secs(10))
             .retention_margin(Duration::from_secs(60))
             .claims_per_segment(self.claims_per_segment)
             .build();
         let p = Process {
-            once: Once::new(cfg).expect("valid definition"),
+            once: IdempotencyClaims::new(cfg).expect("valid definition"),
             paused: false,
             clock_ahead: 0,
             partitioned: false,
@@ -212,7 +212,7 @@
     /// Returns the path of the object that the first claim for a key is written to.
     pub fn object_of(&self, key: &str) -> String {
         let key: IdempotencyKey = key.parse().expect("a key");
-        let window = Window::at(key.minted()).0;
+        let window = Window::containing(key.minted()).0;
         format!("claims/{window}/{}/0", KeyHash::of(&key).0 % 2)
     }
 
