--- a/crates/limit/src/adaptive.rs
+++ b/crates/limit/src/adaptive.rs
@@ -31,19 +31,19 @@
 const FILL_INCREASE: f64 = FILL_DECREASE / 25.0;
 
 /// The time without a rejection after which the fill starts to recover with time.
-const RECOVERY_DELAY: Duration = Duration::from_millis(500);
+const FILL_RECOVERY_DELAY: Duration = Duration::from_millis(500);
 
 /// How much the fill recovers per second without a rejection; one second restores all of it.
-const RECOVERY_PER_S: f64 = FILL_MAX - FILL_MIN;
+const FILL_RECOVERY_PER_S: f64 = FILL_MAX - FILL_MIN;
 
 /// Multiplies the fill for an urgent lookup, which can answer without its last parts.
-const URGENT_FACTOR: f64 = 1.25;
+const URGENT_FILL_FACTOR: f64 = 1.25;
 
 /// Multiplies the fill for the slowest part of a lookup that has no value without it.
 const LAST_PART_FACTOR: f64 = 2.0;
 
 /// How long overload is reported after it was last observed.
-const OVERLOAD_HOLD: Duration = Duration::from_millis(500);
+const OVERLOAD_REPORT_DURATION: Duration = Duration::from_millis(500);
 
 /// The shortest time after which a rejected caller is asked to retry.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(100);
@@ -94,7 +94,7 @@
         };
         let elapsed = now.saturating_duration_since(from);
         if !elapsed.is_zero() {
-            self.fill = (self.fill + elapsed.as_secs_f64() * RECOVERY_PER_S).min(FILL_MAX);
+            self.fill = (self.fill + elapsed.as_secs_f64() * FILL_RECOVERY_PER_S).min(FILL_MAX);
             self.recovers_from = Some(now);
         }
     }
@@ -103,9 +103,10 @@
     fn fits_deadline(&self, req: &AdmissionRequest) -> bool {
         let share = |fill: f64| req.budget.mul_f64(fill.min(1.0));
         match req.promise {
-            Promise::Urgent => req.typical <= share(self.fill * URGENT_FACTOR),
+            Promise::Urgent => req.mean_part_time <= share(self.fill * URGENT_FILL_FACTOR),
             Promise::Complete | Promise::AtMostOnce => {
-                req.typical <= share(self.fill) && req.worst <= share(self.fill * LAST_PART_FACTOR)
+                req.mean_part_time <= share(self.fill)
+                    && req.slowest_part_time <= share(self.fill * LAST_PART_FACTOR)
             }
         }
     }
@@ -120,15 +121,18 @@
             return AdmissionDecision::Admit;
         }
         self.overloaded_at = Some(now);
-        self.recovers_from = Some(now + RECOVERY_DELAY);
-        AdmissionDecision::Refuse(req.worst.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX))
+        self.recovers_from = Some(now + FILL_RECOVERY_DELAY);
+        AdmissionDecision::Refuse(
+            req.slowest_part_time
+                .clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX),
+        )
     }
 
     fn on_lookup_end(&mut self, now: Instant, end: &LookupEnd) {
-        if end.congested {
+        if end.was_congested {
             self.overloaded_at = Some(now);
         }
-        let step = if end.in_time {
+        let step = if end.was_in_time {
             FILL_INCREASE
         } else {
             -FILL_DECREASE
@@ -138,7 +142,7 @@
 
     fn is_overloaded(&self, now: Instant) -> bool {
         self.overloaded_at
-            .is_some_and(|at| now.saturating_duration_since(at) < OVERLOAD_HOLD)
+            .is_some_and(|at| now.saturating_duration_since(at) < OVERLOAD_REPORT_DURATION)
     }
 
     fn dump(&self, now: Instant) -> AdmissionDump {
--- a/crates/limit/src/admission.rs
+++ b/crates/limit/src/admission.rs
@@ -16,9 +16,9 @@
     /// The time left until its deadline.
     pub budget: Duration,
     /// The expected time of a part, including the wait for a connection, as a mean over its shards.
-    pub typical: Duration,
+    pub mean_part_time: Duration,
     /// The same for the part that is expected to arrive last.
-    pub worst: Duration,
+    pub slowest_part_time: Duration,
     /// Lookups in flight.
     pub in_flight: usize,
 }
@@ -36,9 +36,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LookupEnd {
     /// Whether it ended before its deadline.
-    pub in_time: bool,
+    pub was_in_time: bool,
     /// Whether a part was shed by a server, or still waited for a connection at the end.
-    pub congested: bool,
+    pub was_congested: bool,
 }
 
 /// Decides which lookups are admitted.
--- a/crates/limit/src/budget.rs
+++ b/crates/limit/src/budget.rs
@@ -12,8 +12,8 @@
 #[derive(Debug)]
 pub struct ExtraBudget {
     tokens: f64,
-    ratio: f64,
-    burst: f64,
+    tokens_per_attempt: f64,
+    tokens_max: f64,
     refill_per_s: f64,
     refilled_at: Option<Instant>,
 }
@@ -25,16 +25,16 @@
     pub fn new(ratio: f64, burst: u32, refill_per_s: f64) -> Self {
         Self {
             tokens: f64::from(burst) * RETRY_RESERVE_FRACTION,
-            ratio,
-            burst: f64::from(burst),
+            tokens_per_attempt: ratio,
+            tokens_max: f64::from(burst),
             refill_per_s,
             refilled_at: None,
         }
     }
 
     /// Adds the tokens earned by an initial attempt.
-    pub fn earn(&mut self) {
-        self.tokens = (self.tokens + self.ratio).min(self.burst);
+    pub fn on_initial_attempt(&mut self) {
+        self.tokens = (self.tokens + self.tokens_per_attempt).min(self.tokens_max);
     }
 
     /// Takes tokens for `count` retries; returns `false` and takes nothing if there are too few.
@@ -45,13 +45,13 @@
     /// Takes a token for a hedge; returns `false` and takes nothing if only the reserve for retries
     /// is left.
     pub fn take_hedge(&mut self, now: Instant) -> bool {
-        let reserve = self.burst * RETRY_RESERVE_FRACTION;
+        let reserve = self.tokens_max * RETRY_RESERVE_FRACTION;
         self.take(now, 1.0, reserve)
     }
 
     /// Returns tokens taken for attempts that were not made.
     pub fn give_back(&mut self, count: u32) {
-        self.tokens = (self.tokens + f64::from(count)).min(self.burst);
+        self.tokens = (self.tokens + f64::from(count)).min(self.tokens_max);
     }
 
     /// Returns the number of extra attempts that may be made now.
@@ -72,7 +72,7 @@
     fn refill(&mut self, now: Instant) {
         if let Some(refilled_at) = self.refilled_at {
             let passed = now.saturating_duration_since(refilled_at).as_secs_f64();
-            self.tokens = (self.tokens + passed * self.refill_per_s).min(self.burst);
+            self.tokens = (self.tokens + passed * self.refill_per_s).min(self.tokens_max);
         }
         self.refilled_at = Some(now);
     }
--- a/crates/limit/src/digest.rs
+++ b/crates/limit/src/digest.rs
@@ -6,10 +6,10 @@
 const BUCKETS_PER_DOUBLING: u32 = 8;
 
 /// Doublings covered, from 1 microsecond to about 4 seconds.
-const DOUBLINGS: u32 = 22;
+const LATENCY_DOUBLINGS: u32 = 22;
 
 /// The number of buckets; larger latencies are counted in the last one.
-const BUCKET_COUNT: usize = (BUCKETS_PER_DOUBLING * DOUBLINGS) as usize;
+const BUCKET_COUNT: usize = (BUCKETS_PER_DOUBLING * LATENCY_DOUBLINGS) as usize;
 
 /// The total weight of samples at which all counts are halved, so that old samples lose weight.
 const TOTAL_WEIGHT_MAX: u32 = 8192;
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct LatencyDigest {
     counts: Vec<u32>,
-    weight: u32,
+    total_weight: u32,
     quantile: f64,
     estimate: Option<Duration>,
     samples_until_refresh: u32,
@@ -36,7 +36,7 @@
     pub fn new(quantile: f64) -> Self {
         Self {
             counts: vec![0; BUCKET_COUNT],
-            weight: 0,
+            total_weight: 0,
             quantile,
             estimate: None,
             samples_until_refresh: REFRESH_SAMPLES_MIN,
@@ -46,15 +46,16 @@
     /// Records a sample.
     pub fn add(&mut self, sample: Duration) {
         self.counts[bucket_index(sample)] += 1;
-        self.weight += 1;
-        if self.weight >= TOTAL_WEIGHT_MAX {
+        self.total_weight += 1;
+        if self.total_weight >= TOTAL_WEIGHT_MAX {
             self.halve_counts();
         }
         self.samples_until_refresh -= 1;
         if self.samples_until_refresh == 0 {
             // With few samples each one moves the quantile far, so it is recomputed more often.
-            self.samples_until_refresh =
-                self.weight.clamp(REFRESH_SAMPLES_MIN, REFRESH_SAMPLES_MAX);
+            self.samples_until_refresh = self
+                .total_weight
+                .clamp(REFRESH_SAMPLES_MIN, REFRESH_SAMPLES_MAX);
             self.estimate = Some(self.compute_estimate());
         }
     }
@@ -69,11 +70,11 @@
         for c in &mut self.counts {
             *c /= 2;
         }
-        self.weight = self.counts.iter().sum();
+        self.total_weight = self.counts.iter().sum();
     }
 
     fn compute_estimate(&self) -> Duration {
-        let wanted = f64::from(self.weight) * self.quantile;
+        let wanted = f64::from(self.total_weight) * self.quantile;
         let mut seen = 0.0;
         for (at, count) in self.counts.iter().enumerate() {
             seen += f64::from(*count);
--- a/crates/limit/src/hedge.rs
+++ b/crates/limit/src/hedge.rs
@@ -12,16 +12,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Distance {
     /// The data centre of this VM.
-    Near,
+    SameDataCentre,
     /// Another data centre.
-    Far,
+    OtherDataCentre,
 }
 
 /// Decides after which time a part is hedged.
 pub trait HedgePolicy: Debug + Send {
     /// Records that a part arrived after this time, or that its attempt was cancelled unanswered
     /// after it, so that its latency is longer but unknown.
-    fn observe(&mut self, from: Distance, latency: Duration);
+    fn record_latency(&mut self, from: Distance, latency: Duration);
 
     /// Returns the time after which a part is hedged; `None` for never.
     fn delay(&self, from: Distance) -> Option<Duration>;
@@ -32,7 +32,7 @@
 pub struct NoHedge;
 
 impl HedgePolicy for NoHedge {
-    fn observe(&mut self, _: Distance, _: Duration) {}
+    fn record_latency(&mut self, _: Distance, _: Duration) {}
 
     fn delay(&self, _: Distance) -> Option<Duration> {
         None
@@ -42,34 +42,37 @@
 /// The default policy: hedges parts that are slower than a quantile of recent parts from the same
 /// [`Distance`].
 #[derive(Debug)]
-pub struct LearnedDelay {
-    near: LatencyDigest,
-    far: LatencyDigest,
+pub struct QuantileHedge {
+    same_data_centre: LatencyDigest,
+    other_data_centre: LatencyDigest,
 }
 
-impl LearnedDelay {
+impl QuantileHedge {
     /// Creates the policy that hedges above this quantile, between 0 and 1.
     #[must_use]
     pub fn new(quantile: f64) -> Self {
         Self {
-            near: LatencyDigest::new(quantile),
-            far: LatencyDigest::new(quantile),
+            same_data_centre: LatencyDigest::new(quantile),
+            other_data_centre: LatencyDigest::new(quantile),
         }
     }
 }
 
-impl HedgePolicy for LearnedDelay {
-    fn observe(&mut self, from: Distance, latency: Duration) {
+impl HedgePolicy for QuantileHedge {
+    fn record_latency(&mut self, from: Distance, latency: Duration) {
         match from {
-            Distance::Near => self.near.add(latency),
-            Distance::Far => self.far.add(latency),
+            Distance::SameDataCentre => self.same_data_centre.add(latency),
+            Distance::OtherDataCentre => self.other_data_centre.add(latency),
         }
     }
 
     fn delay(&self, from: Distance) -> Option<Duration> {
         let learned = match from {
-            Distance::Near => self.near.estimate().or(self.far.estimate()),
-            Distance::Far => self.far.estimate(),
+            Distance::SameDataCentre => self
+                .same_data_centre
+                .estimate()
+                .or(self.other_data_centre.estimate()),
+            Distance::OtherDataCentre => self.other_data_centre.estimate(),
         };
         learned.map(|d| d.max(HEDGE_DELAY_MIN))
     }
--- a/crates/limit/src/lib.rs
+++ b/crates/limit/src/lib.rs
@@ -23,5 +23,5 @@
 pub use fixed::FixedAdmission;
 pub use hedge::Distance;
 pub use hedge::HedgePolicy;
-pub use hedge::LearnedDelay;
 pub use hedge::NoHedge;
+pub use hedge::QuantileHedge;
--- a/crates/limit/tests/limits.rs
+++ b/crates/limit/tests/limits.rs
@@ -12,8 +12,8 @@
 use gs_limit::FixedAdmission;
 use gs_limit::HedgePolicy;
 use gs_limit::LatencyDigest;
-use gs_limit::LearnedDelay;
 use gs_limit::LookupEnd;
+use gs_limit::QuantileHedge;
 use gs_types::prelude::*;
 use rstest::rstest;
 
@@ -21,8 +21,8 @@
     AdmissionRequest {
         promise,
         budget: Duration::from_millis(100),
-        typical: Duration::from_millis(typical_ms),
-        worst: Duration::from_millis(worst_ms),
+        mean_part_time: Duration::from_millis(typical_ms),
+        slowest_part_time: Duration::from_millis(worst_ms),
         in_flight,
     }
 }
@@ -49,8 +49,8 @@
 
 fn lookup_end(in_time: bool) -> LookupEnd {
     LookupEnd {
-        in_time,
-        congested: !in_time,
+        was_in_time: in_time,
+        was_congested: !in_time,
     }
 }
 
@@ -144,7 +144,7 @@
     assert!(budget.take_retries(now, 5));
     assert!(!budget.take_retries(now, 1));
     for _ in 0..100 {
-        budget.earn();
+        budget.on_initial_attempt();
     }
     assert!(budget.take_retries(now, 2));
     assert!(!budget.take_retries(now, 1));
@@ -155,7 +155,7 @@
     let now = Instant::now();
     let mut budget = ExtraBudget::new(1.0, 10, 0.0);
     for _ in 0..10 {
-        budget.earn();
+        budget.on_initial_attempt();
     }
     let hedges = (0..10).filter(|_| budget.take_hedge(now)).count();
     assert_eq!(hedges, 5);
@@ -190,12 +190,12 @@
 /// hedge in its first ten seconds and would wait for every straggler.
 #[test]
 fn a_hedge_delay_is_learned_after_sixteen_parts() {
-    let mut hedge = LearnedDelay::new(0.975);
+    let mut hedge = QuantileHedge::new(0.975);
     for _ in 0..15 {
-        hedge.observe(Distance::Near, Duration::from_millis(8));
+        hedge.record_latency(Distance::SameDataCentre, Duration::from_millis(8));
     }
-    assert_eq!(hedge.delay(Distance::Near), None);
-    hedge.observe(Distance::Near, Duration::from_millis(8));
-    let learned = hedge.delay(Distance::Near).expect("a delay");
+    assert_eq!(hedge.delay(Distance::SameDataCentre), None);
+    hedge.record_latency(Distance::SameDataCentre, Duration::from_millis(8));
+    let learned = hedge.delay(Distance::SameDataCentre).expect("a delay");
     assert!(learned >= Duration::from_millis(8) && learned < Duration::from_millis(9));
 }
--- a/crates/query/src/arrival.rs
+++ b/crates/query/src/arrival.rs
@@ -239,8 +239,8 @@
         AdmissionRequest {
             promise: lk.decl.promise,
             budget: lk.answer_by.saturating_duration_since(now),
-            typical: micros(mean),
-            worst: micros(worst),
+            mean_part_time: micros(mean),
+            slowest_part_time: micros(worst),
             in_flight: self.in_flight,
         }
     }
--- a/crates/query/src/dump.rs
+++ b/crates/query/src/dump.rs
@@ -137,8 +137,8 @@
                 pinned: pin.as_ref().map(|p| p.snapshot.id),
                 shards: pin.as_ref().map_or(0, |p| p.snapshot.shards.len() as u32),
                 ready: pin.as_ref().map_or(0, |p| p.ready),
-                hedge_near_after: group.hedge.delay(Distance::Near),
-                hedge_far_after: group.hedge.delay(Distance::Far),
+                hedge_near_after: group.hedge.delay(Distance::SameDataCentre),
+                hedge_far_after: group.hedge.delay(Distance::OtherDataCentre),
             });
         }
         dumps
--- a/crates/query/src/finish.rs
+++ b/crates/query/src/finish.rs
@@ -151,8 +151,8 @@
         self.admission.on_lookup_end(
             now,
             &LookupEnd {
-                in_time: now < lk.answer_by,
-                congested: lk.is_congested || waited,
+                was_in_time: now < lk.answer_by,
+                was_congested: lk.is_congested || waited,
             },
         );
     }
--- a/crates/query/src/incomplete_log.rs
+++ b/crates/query/src/incomplete_log.rs
@@ -39,8 +39,8 @@
             lk.whole,
             lk.shards.len(),
             now.saturating_duration_since(lk.arrived).as_millis(),
-            hedge_delay(Distance::Near),
-            hedge_delay(Distance::Far),
+            hedge_delay(Distance::SameDataCentre),
+            hedge_delay(Distance::OtherDataCentre),
             self.budget.available(),
             missing.join("; "),
         );
--- a/crates/query/src/lifecycle.rs
+++ b/crates/query/src/lifecycle.rs
@@ -173,7 +173,12 @@
             return false;
         };
         let left = lk.answer_by.saturating_duration_since(now);
-        if left <= group.hedge.delay(Distance::Far).unwrap_or(Duration::ZERO) {
+        if left
+            <= group
+                .hedge
+                .delay(Distance::OtherDataCentre)
+                .unwrap_or(Duration::ZERO)
+        {
             return false;
         }
         if !self.budget.take_retries(now, lk.whole) {
@@ -222,11 +227,11 @@
             if mean.is_none_or(|mean| waited > mean) {
                 self.servers.record_latency(now, a.server, waited);
                 let distance = if self.servers.view(a.server).is_local() {
-                    Distance::Near
+                    Distance::SameDataCentre
                 } else {
-                    Distance::Far
+                    Distance::OtherDataCentre
                 };
-                self.groups[group].hedge.observe(distance, waited);
+                self.groups[group].hedge.record_latency(distance, waited);
             }
         }
     }
--- a/crates/query/src/placement.rs
+++ b/crates/query/src/placement.rs
@@ -227,7 +227,7 @@
             lk.extra_attempts += 1;
         }
         match cause {
-            Cause::First => self.budget.earn(),
+            Cause::First => self.budget.on_initial_attempt(),
             Cause::Hedge => self.counters.hedges += 1,
             Cause::Retry => self.counters.retries += 1,
             Cause::Resend => self.counters.resends += 1,
--- a/crates/query/src/policies.rs
+++ b/crates/query/src/policies.rs
@@ -4,8 +4,8 @@
 use gs_limit::AdmissionPolicy;
 use gs_limit::FixedAdmission;
 use gs_limit::HedgePolicy;
-use gs_limit::LearnedDelay;
 use gs_limit::NoHedge;
+use gs_limit::QuantileHedge;
 use gs_route::ObservedLatency;
 use gs_route::ReplicaPolicy;
 use gs_route::RoundRobin;
@@ -34,6 +34,6 @@
 pub(crate) fn build_hedge_policy(options: &EngineOptions) -> Box<dyn HedgePolicy> {
     match options.policy {
         PolicyName::Baseline => Box::new(NoHedge),
-        PolicyName::Chosen => Box::new(LearnedDelay::new(options.hedge_quantile)),
+        PolicyName::Chosen => Box::new(QuantileHedge::new(options.hedge_quantile)),
     }
 }
--- a/crates/query/src/reply.rs
+++ b/crates/query/src/reply.rs
@@ -100,7 +100,7 @@
         self.servers.record_latency(now, a.server, on_server);
         let total = now.saturating_duration_since(a.dispatched_at);
         let distance = self.distance(a.server);
-        self.groups[lk.group].hedge.observe(distance, total);
+        self.groups[lk.group].hedge.record_latency(distance, total);
     }
 
     /// Accepts a part if it is from the pinned snapshot and its shard has none yet.
--- a/crates/query/src/timers.rs
+++ b/crates/query/src/timers.rs
@@ -44,9 +44,9 @@
     /// Returns whether a server is in this or another data centre.
     pub(crate) fn distance(&self, server: ServerIdx) -> Distance {
         if self.servers.view(server).is_local() {
-            Distance::Near
+            Distance::SameDataCentre
         } else {
-            Distance::Far
+            Distance::OtherDataCentre
         }
     }
 
--- a/crates/relay/src/hedge.rs
+++ b/crates/relay/src/hedge.rs
@@ -9,7 +9,7 @@
 
 use gs_limit::Distance;
 use gs_limit::HedgePolicy;
-use gs_limit::LearnedDelay;
+use gs_limit::QuantileHedge;
 
 /// Weight of a new sample in a route's mean execution time; the first samples have equal weights.
 const EXECUTION_SAMPLE_WEIGHT: f64 = 0.02;
@@ -33,7 +33,7 @@
 /// Hedge delays and mean execution time of a route's attempts.
 #[derive(Debug)]
 pub(crate) struct RouteTimes {
-    delays: LearnedDelay,
+    delays: QuantileHedge,
     execution_secs: f64,
     samples: u32,
     delay_min: Duration,
@@ -42,7 +42,7 @@
 impl RouteTimes {
     pub(crate) fn new(objective: Duration, quantile: f64) -> Self {
         Self {
-            delays: LearnedDelay::new(quantile),
+            delays: QuantileHedge::new(quantile),
             execution_secs: objective.as_secs_f64() * INITIAL_EXECUTION_FRACTION,
             samples: 0,
             delay_min: objective.mul_f64(HEDGE_DELAY_MIN_FRACTION),
@@ -62,7 +62,7 @@
         round_trip: Duration,
         rounds_ahead: f64,
     ) -> f64 {
-        self.delays.observe(distance(is_near), took);
+        self.delays.record_latency(distance(is_near), took);
         let execution_time =
             took.saturating_sub(round_trip).as_secs_f64().max(1e-4) / (1.0 + rounds_ahead);
         let ratio = execution_time / self.execution_secs;
@@ -92,8 +92,8 @@
 
 fn distance(is_near: bool) -> Distance {
     if is_near {
-        Distance::Near
+        Distance::SameDataCentre
     } else {
-        Distance::Far
+        Distance::OtherDataCentre
     }
 }
