--- a/crates/query/src/arrival.rs
+++ b/crates/query/src/arrival.rs
@@ -6,7 +6,7 @@
 
 use gs_limit::AdmissionDecision;
 use gs_limit::AdmissionRequest;
-use gs_route::Pin;
+use gs_route::PinnableSnapshot;
 use gs_route::Readiness;
 use gs_route::ServerIdx;
 use gs_types::prelude::*;
@@ -164,7 +164,7 @@
         &self,
         now: Instant,
         lk: &ActiveLookup,
-        pin: &Pin,
+        pin: &PinnableSnapshot,
     ) -> Result<(), Refused> {
         let needs_all = lk.decl.promise != Promise::Urgent || lk.decl.scope == Scope::Keyed;
         if !needs_all {
@@ -256,7 +256,7 @@
                 continue;
             }
             queued = queued.max(self.wait_queues.len(*server));
-            connections += view.share().0;
+            connections += view.connection_share().0;
             latency = latency.min(view.latency().aged_micros(now).unwrap_or(0.0));
         }
         if !latency.is_finite() || connections == 0 {
--- a/crates/query/src/dump.rs
+++ b/crates/query/src/dump.rs
@@ -130,7 +130,7 @@
         let servers = &core.servers;
         let mut dumps = Vec::new();
         for group in &core.groups {
-            let pin = group.view.peek(servers);
+            let pin = group.view.best_snapshot(servers);
             dumps.push(GroupDump {
                 group: group.name.clone(),
                 revision: group.view.revision(),
--- a/crates/query/src/engine.rs
+++ b/crates/query/src/engine.rs
@@ -177,7 +177,7 @@
             load: r.load,
             draining: r.draining,
         };
-        match core.servers.report(now, idx, report) {
+        match core.servers.on_health_report(now, idx, report) {
             ReportEffect::Nothing => {}
             ReportEffect::Drained => core.on_drained(idx, "health", true, out),
             ReportEffect::NewIncarnation => {
@@ -190,7 +190,7 @@
     fn on_shares(&mut self, shares: &[(ServerName, Connections)], out: &mut Vec<Action>) {
         for (name, share) in shares {
             let Some(idx) = self.core.servers.find(name) else {
-                self.core.servers.share_undeclared(name, *share);
+                self.core.servers.set_undeclared_share(name, *share);
                 continue;
             };
             self.core.servers.set_share(idx, *share);
@@ -318,6 +318,9 @@
 fn request_connections(core: &Core, idx: ServerIdx, out: &mut Vec<Action>) {
     let view = core.servers.view(idx);
     if !view.is_draining() {
-        out.push(Action::Warm(view.decl().name.clone(), view.share()));
+        out.push(Action::Warm(
+            view.decl().name.clone(),
+            view.connection_share(),
+        ));
     }
 }
--- a/crates/query/src/orphan.rs
+++ b/crates/query/src/orphan.rs
@@ -40,7 +40,7 @@
             was_live: false,
         };
         self.note_contact(now, reply, o.server);
-        self.servers.released(o.server);
+        self.servers.on_release(o.server);
         self.freed_servers.push(o.server);
         match reply {
             PartReply::Whole { load, draining, .. } => {
--- a/crates/query/src/placement.rs
+++ b/crates/query/src/placement.rs
@@ -4,8 +4,8 @@
 
 use gs_route::Candidate;
 use gs_route::DispatchStatus;
-use gs_route::Holds;
 use gs_route::ServerIdx;
+use gs_route::SnapshotHolding;
 use gs_types::prelude::*;
 use smallvec::SmallVec;
 
@@ -168,7 +168,7 @@
         let shard = &lk.shards[pos];
         let id = lk.snapshot.id;
         let views = || lk.replicas(pos).iter().map(|s| self.servers.view(*s));
-        let any_holds = views().any(|v| v.holds(id) != Holds::No);
+        let any_holds = views().any(|v| v.snapshot_holding(id) != SnapshotHolding::No);
         if !any_holds && views().next().is_some() {
             return MissReason::SnapshotGone;
         }
@@ -206,7 +206,7 @@
         let shard = shard.id;
         lk.may_have_run += 1;
         self.count_attempt(lk, cause);
-        self.servers.dispatched(now, server);
+        self.servers.on_dispatch(now, server);
         out.push(Action::Dispatch(Dispatch {
             attempt: self.attempt_id((lk.seq, shard, number)),
             server: self.servers.view(server).decl().clone(),
--- a/crates/query/src/reply.rs
+++ b/crates/query/src/reply.rs
@@ -71,7 +71,7 @@
             was_live,
         };
         self.note_contact(now, &reply, server);
-        self.servers.released(server);
+        self.servers.on_release(server);
         self.freed_servers.push(server);
         if next == AttemptState::NotRun {
             lk.may_have_run = lk.may_have_run.saturating_sub(1);
--- a/crates/query/src/server_reply.rs
+++ b/crates/query/src/server_reply.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use gs_route::Failure;
+use gs_route::ServerFailure;
 use gs_route::ServerIdx;
 use gs_types::prelude::*;
 
@@ -50,7 +50,7 @@
         if !context.is_current {
             return;
         }
-        self.servers.succeeded(now, context.server, load);
+        self.servers.on_success(now, context.server, load);
         if draining {
             self.on_own_drain(context.server, out);
         }
@@ -69,16 +69,21 @@
         }
         let server = context.server;
         match reply {
-            PartReply::Shed { retry_after } => self.servers.shed(now, server, *retry_after),
+            PartReply::Shed { retry_after } => self.servers.on_shed(now, server, *retry_after),
             PartReply::Draining => self.on_own_drain(server, out),
             PartReply::NoSnapshot { holds } => self.update_held_snapshots(now, server, holds),
             PartReply::NotSent if context.was_live => {
-                self.servers.failed(now, server, Failure::Unreached);
+                self.servers
+                    .on_failure(now, server, ServerFailure::Unreachable);
             }
             PartReply::Failed | PartReply::Garbled | PartReply::Late => {
-                self.servers.failed(now, server, Failure::Error);
+                self.servers
+                    .on_failure(now, server, ServerFailure::ErrorReply);
+            }
+            PartReply::Broken => {
+                self.servers
+                    .on_failure(now, server, ServerFailure::ConnectionBroken)
             }
-            PartReply::Broken => self.servers.failed(now, server, Failure::Broken),
             PartReply::Whole { .. } | PartReply::NotSent | PartReply::Cancelled => {}
         }
     }
--- a/crates/query/src/timers.rs
+++ b/crates/query/src/timers.rs
@@ -190,7 +190,7 @@
                 self.servers.view(server).decl().name
             );
             self.orphans.remove(&key);
-            self.servers.released(server);
+            self.servers.on_release(server);
             self.freed_servers.push(server);
         }
         if let Some(next) = self.orphans.values().map(|o| o.expires).min() {
--- a/crates/route/src/dump.rs
+++ b/crates/route/src/dump.rs
@@ -49,11 +49,11 @@
             incarnation: self.incarnation,
             snapshots: self.snapshots.as_ref().map(|s| s.to_vec()),
             in_flight: self.in_flight,
-            share: self.share,
-            open: self.open,
+            share: self.connection_share,
+            open: self.open_connections,
             latency: self.latency.mean(),
             load: self.load,
-            failures: self.failures,
+            failures: self.failure_weight,
         }
     }
 }
--- a/crates/route/src/group.rs
+++ b/crates/route/src/group.rs
@@ -6,7 +6,7 @@
 use gs_types::prelude::*;
 use smallvec::SmallVec;
 
-use crate::server::Holds;
+use crate::server::SnapshotHolding;
 use crate::servers::ServerIdx;
 use crate::servers::Servers;
 
@@ -32,7 +32,7 @@
 
 /// A snapshot that a lookup can be pinned to.
 #[derive(Clone, Debug)]
-pub struct Pin {
+pub struct PinnableSnapshot {
     /// The snapshot.
     pub snapshot: Arc<Snapshot>,
     /// Whether every shard has a replica that holds it.
@@ -41,7 +41,7 @@
     pub ready: u32,
 }
 
-impl Pin {
+impl PinnableSnapshot {
     /// Returns the number of shards without a replica that may hold it.
     #[must_use]
     pub fn missing(&self) -> u32 {
@@ -62,9 +62,9 @@
     /// Newest first.
     snapshots: Vec<Arc<Snapshot>>,
     /// The assessed snapshots that [`GroupView::pin`] chooses from.
-    pins: Vec<Pin>,
-    /// The value of [`Servers::changes`] for which `pins` was computed.
-    pins_computed_for: Option<u64>,
+    pinnable: Vec<PinnableSnapshot>,
+    /// The value of [`Servers::snapshot_changes`] for which `pinnable` was computed.
+    pinnable_computed_for: Option<u64>,
 }
 
 impl GroupView {
@@ -84,8 +84,8 @@
         Self {
             revision: map.revision,
             snapshots,
-            pins: Vec::new(),
-            pins_computed_for: None,
+            pinnable: Vec::new(),
+            pinnable_computed_for: None,
         }
     }
 
@@ -104,41 +104,44 @@
         servers: &Servers,
         snapshot_min: Option<SnapshotId>,
         except: Option<SnapshotId>,
-    ) -> Option<Pin> {
-        self.refresh(servers);
-        choose(&self.pins, snapshot_min, except)
+    ) -> Option<PinnableSnapshot> {
+        self.update_pinnable(servers);
+        choose_snapshot(&self.pinnable, snapshot_min, except)
     }
 
     /// Returns what [`GroupView::pin`] would choose for a lookup without a minimum snapshot.
     #[must_use]
-    pub fn peek(&self, servers: &Servers) -> Option<Pin> {
-        choose(&self.assess_all(servers), None, None)
+    pub fn best_snapshot(&self, servers: &Servers) -> Option<PinnableSnapshot> {
+        choose_snapshot(&self.assess_snapshots(servers), None, None)
     }
 
-    fn refresh(&mut self, servers: &Servers) {
-        if self.pins_computed_for == Some(servers.changes()) {
+    fn update_pinnable(&mut self, servers: &Servers) {
+        if self.pinnable_computed_for == Some(servers.snapshot_changes()) {
             return;
         }
-        self.pins = self.assess_all(servers);
-        self.pins_computed_for = Some(servers.changes());
+        self.pinnable = self.assess_snapshots(servers);
+        self.pinnable_computed_for = Some(servers.snapshot_changes());
     }
 
-    fn assess_all(&self, servers: &Servers) -> Vec<Pin> {
-        self.snapshots.iter().map(|s| assess(s, servers)).collect()
+    fn assess_snapshots(&self, servers: &Servers) -> Vec<PinnableSnapshot> {
+        self.snapshots
+            .iter()
+            .map(|s| assess_snapshot(s, servers))
+            .collect()
     }
 }
 
-fn choose(
-    pins: &[Pin],
+fn choose_snapshot(
+    pinnable: &[PinnableSnapshot],
     snapshot_min: Option<SnapshotId>,
     except: Option<SnapshotId>,
-) -> Option<Pin> {
-    let fits = |p: &&Pin| {
+) -> Option<PinnableSnapshot> {
+    let fits = |p: &&PinnableSnapshot| {
         let id = p.snapshot.id;
         snapshot_min.is_none_or(|min| id >= min) && except != Some(id)
     };
-    let mut best: Option<&Pin> = None;
-    for p in pins.iter().filter(fits) {
+    let mut best: Option<&PinnableSnapshot> = None;
+    for p in pinnable.iter().filter(fits) {
         if best.is_none_or(|b| p.rank() > b.rank()) {
             best = Some(p);
         }
@@ -149,7 +152,7 @@
     best.cloned()
 }
 
-fn assess(snapshot: &Arc<Snapshot>, servers: &Servers) -> Pin {
+fn assess_snapshot(snapshot: &Arc<Snapshot>, servers: &Servers) -> PinnableSnapshot {
     let mut readiness = Readiness::Confirmed;
     let mut ready = 0;
     for replicas in &snapshot.shards {
@@ -157,7 +160,7 @@
         ready += u32::from(shard != Readiness::Incomplete);
         readiness = readiness.min(shard);
     }
-    Pin {
+    PinnableSnapshot {
         snapshot: Arc::clone(snapshot),
         readiness,
         ready,
@@ -171,10 +174,10 @@
         if view.is_draining() {
             continue;
         }
-        match view.holds(id) {
-            Holds::Yes => return Readiness::Confirmed,
-            Holds::Unknown => best = Readiness::Assumed,
-            Holds::No => {}
+        match view.snapshot_holding(id) {
+            SnapshotHolding::Yes => return Readiness::Confirmed,
+            SnapshotHolding::Unknown => best = Readiness::Assumed,
+            SnapshotHolding::No => {}
         }
     }
     best
--- a/crates/route/src/incarnations.rs
+++ b/crates/route/src/incarnations.rs
@@ -38,7 +38,7 @@
     ///
     /// A report is only a hint: the load and the snapshots that the server sent in its own replies take
     /// precedence.
-    pub fn report(
+    pub fn on_health_report(
         &mut self,
         now: Instant,
         idx: ServerIdx,
@@ -58,7 +58,7 @@
         if is_new {
             self.begin_incarnation(now, idx);
         }
-        self.apply_hints(now, idx, report);
+        self.apply_reported_state(now, idx, report);
         if report.draining && self.drain(idx, Some(reported)) {
             return ReportEffect::Drained;
         }
@@ -69,7 +69,7 @@
         }
     }
 
-    fn apply_hints(&mut self, now: Instant, idx: ServerIdx, report: HealthReport<'_>) {
+    fn apply_reported_state(&mut self, now: Instant, idx: ServerIdx, report: HealthReport<'_>) {
         let view = &mut self.list[idx.index()];
         if view.load_reported_at.is_none() {
             view.load = report.load;
@@ -83,29 +83,29 @@
             .is_some_and(|held| held.as_slice() == report.snapshots);
         if !same {
             view.snapshots = Some(SmallVec::from_slice(report.snapshots));
-            self.changes += 1;
+            self.snapshot_changes += 1;
         }
     }
 
     /// Resets the view for a new incarnation: it is cold, holds only what it reports, and inherits no
     /// failures, ejection or backoff of the previous one.
     fn begin_incarnation(&mut self, now: Instant, idx: ServerIdx) {
-        self.step(idx, ServerEvent::NewRun);
+        self.apply_event(idx, ServerEvent::NewRun);
         let view = &mut self.list[idx.index()];
         view.incarnation_since = Some(now);
-        view.warming_since = Some(now);
+        view.slow_start_since = Some(now);
         view.snapshots = Some(SmallVec::new());
         view.self_report_until = None;
         view.latency.clear();
         view.load = 0;
         view.load_reported_at = None;
-        view.failures = 0;
+        view.failure_weight = 0;
         view.connection_failures = 0;
-        view.ejections = 0;
+        view.consecutive_ejections = 0;
         view.ejected_until = None;
         view.paused_until = None;
         view.lost_at = None;
-        self.changes += 1;
+        self.snapshot_changes += 1;
     }
 
     /// Marks an incarnation of a server as draining; returns `true` if it was not marked before.
@@ -137,8 +137,8 @@
         if self.view(idx).is_draining() {
             return false;
         }
-        self.step(idx, ServerEvent::Drain);
-        self.changes += 1;
+        self.apply_event(idx, ServerEvent::Drain);
+        self.snapshot_changes += 1;
         true
     }
 }
--- a/crates/route/src/latency.rs
+++ b/crates/route/src/latency.rs
@@ -15,12 +15,12 @@
 
 /// An exponentially weighted mean of latencies.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Latency {
+pub struct SmoothedLatency {
     micros: f64,
     at: Option<Instant>,
 }
 
-impl Latency {
+impl SmoothedLatency {
     /// Records a sample.
     pub fn add(&mut self, now: Instant, sample: Duration) {
         let micros = sample.as_secs_f64() * 1e6;
--- a/crates/route/src/observed.rs
+++ b/crates/route/src/observed_latency.rs
@@ -8,14 +8,14 @@
 
 /// The cost of a local replica, as a multiple of that of a remote one, above which work goes to the
 /// remote one.
-const SPILL_RATIO: f64 = 1.25;
+const REMOTE_CHOICE_COST_RATIO: f64 = 1.25;
 
 /// The assumed latency of a local replica without samples, in microseconds; low, so that it is
 /// sampled soon.
-const LOCAL_DEFAULT_US: f64 = 500.0;
+const LOCAL_LATENCY_DEFAULT_US: f64 = 500.0;
 
 /// The same for a replica of another data centre; the network latency to it is several milliseconds.
-const REMOTE_DEFAULT_US: f64 = 6_000.0;
+const REMOTE_LATENCY_DEFAULT_US: f64 = 6_000.0;
 
 /// The weight of the load that a server reports, relative to attempts of this VM in flight.
 const REPORTED_LOAD_WEIGHT: f64 = 0.25;
@@ -36,11 +36,11 @@
 
 impl ObservedLatency {
     /// Returns the expected time of an attempt at this replica, in microseconds.
-    fn cost(c: &Candidate) -> f64 {
-        let default = if c.local {
-            LOCAL_DEFAULT_US
+    fn expected_micros(c: &Candidate) -> f64 {
+        let default = if c.is_local {
+            LOCAL_LATENCY_DEFAULT_US
         } else {
-            REMOTE_DEFAULT_US
+            REMOTE_LATENCY_DEFAULT_US
         };
         let latency = c.latency.unwrap_or(default).max(1.0);
         let slots = f64::from(c.slots.max(1));
@@ -50,7 +50,7 @@
     }
 
     /// Returns the better of two random candidates that match `filter`; `None` if none matches.
-    fn draw(
+    fn better_of_two(
         candidates: &[Candidate],
         filter: impl Fn(&Candidate) -> bool,
         rng: &mut ChaCha8Rng,
@@ -61,12 +61,16 @@
             return None;
         }
         let first = rng.random_range(0..count);
-        let (at, cost) = matching().nth(first).map(|(at, c)| (at, Self::cost(c)))?;
+        let (at, cost) = matching()
+            .nth(first)
+            .map(|(at, c)| (at, Self::expected_micros(c)))?;
         if count == 1 {
             return Some((at, cost));
         }
         let second = (first + rng.random_range(1..count)) % count;
-        let other = matching().nth(second).map(|(at, c)| (at, Self::cost(c)))?;
+        let other = matching()
+            .nth(second)
+            .map(|(at, c)| (at, Self::expected_micros(c)))?;
         // The first wins a tie; it was drawn at random, so equal replicas share the work.
         Some(if other.1 < cost { other } else { (at, cost) })
     }
@@ -81,10 +85,12 @@
         if candidates.len() == 1 {
             return 0;
         }
-        let local = Self::draw(candidates, |c| c.local, rng);
-        let remote = Self::draw(candidates, |c| !c.local, rng);
+        let local = Self::better_of_two(candidates, |c| c.is_local, rng);
+        let remote = Self::better_of_two(candidates, |c| !c.is_local, rng);
         match (local, remote) {
-            (Some((l, local)), Some((_, remote))) if local <= remote * SPILL_RATIO => l,
+            (Some((l, local)), Some((_, remote))) if local <= remote * REMOTE_CHOICE_COST_RATIO => {
+                l
+            }
             (_, Some((r, _))) => r,
             (Some((l, _)), None) => l,
             (None, None) => 0,
--- a/crates/route/src/options.rs
+++ b/crates/route/src/options.rs
@@ -16,11 +16,11 @@
     /// may be wrong.
     pub ejection_silent: Duration,
     /// The weight of consecutive failures at which a server is ejected; see
-    /// [`Failure::weight`](crate::Failure::weight).
+    /// [`ServerFailure::weight`](crate::ServerFailure::weight).
     pub failures_max: u32,
     /// How long the snapshots that a server reported in a reply take precedence over those of its
     /// health endpoint.
-    pub self_report: Duration,
+    pub self_report_lifetime: Duration,
 }
 
 impl Default for RouteOptions {
@@ -31,7 +31,7 @@
             ejection_max: Duration::from_secs(5),
             ejection_silent: Duration::from_secs(20),
             failures_max: 4,
-            self_report: Duration::from_secs(3),
+            self_report_lifetime: Duration::from_secs(3),
         }
     }
 }
--- a/crates/route/src/policy.rs
+++ b/crates/route/src/policy.rs
@@ -13,7 +13,7 @@
     /// The server.
     pub server: ServerIdx,
     /// Whether it is in this VM's data centre.
-    pub local: bool,
+    pub is_local: bool,
     /// Attempts of this VM in flight at it.
     pub in_flight: u32,
     /// Lookups that it executes concurrently; at least 1.
--- a/crates/route/src/server.rs
+++ b/crates/route/src/server.rs
@@ -7,7 +7,7 @@
 use gs_types::prelude::*;
 use smallvec::SmallVec;
 
-use crate::latency::Latency;
+use crate::latency::SmoothedLatency;
 use crate::options::RouteOptions;
 use crate::policy::Candidate;
 use crate::state::ServerState;
@@ -20,16 +20,16 @@
 
 /// How an attempt at a server failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum ServerFailure {
     /// Its connection broke after the first byte was sent.
-    Broken,
+    ConnectionBroken,
     /// It was unreachable.
-    Unreached,
+    Unreachable,
     /// It answered with an error or a malformed reply.
-    Error,
+    ErrorReply,
 }
 
-impl Failure {
+impl ServerFailure {
     /// Returns the weight of the failure towards the ejection of the server.
     ///
     /// A crash breaks all connections at once, so two of them suffice; an error may be caused by the
@@ -37,15 +37,15 @@
     #[must_use]
     pub fn weight(self) -> u32 {
         match self {
-            Self::Broken | Self::Unreached => 2,
-            Self::Error => 1,
+            Self::ConnectionBroken | Self::Unreachable => 2,
+            Self::ErrorReply => 1,
         }
     }
 }
 
 /// Whether a server holds a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Holds {
+pub enum SnapshotHolding {
     /// It reported that it does.
     Yes,
     /// It never reported what it holds.
@@ -74,7 +74,7 @@
 #[derive(Clone, Debug)]
 pub struct ServerView {
     pub(crate) decl: Arc<ServerDecl>,
-    pub(crate) local: bool,
+    pub(crate) is_local: bool,
     pub(crate) state: ServerState,
     pub(crate) incarnation: Option<Incarnation>,
     /// When the current incarnation was first known, if another was known before.
@@ -85,23 +85,23 @@
     pub(crate) snapshots: Option<SmallVec<[SnapshotId; 4]>>,
     /// Until when the snapshots that it reported in a reply take precedence over its health endpoint.
     pub(crate) self_report_until: Option<Instant>,
-    pub(crate) share: Connections,
-    pub(crate) open: u32,
+    pub(crate) connection_share: Connections,
+    pub(crate) open_connections: u32,
     pub(crate) in_flight: u32,
-    pub(crate) latency: Latency,
+    pub(crate) latency: SmoothedLatency,
     pub(crate) load: u32,
     pub(crate) load_reported_at: Option<Instant>,
     /// The weight of consecutive failures.
-    pub(crate) failures: u32,
+    pub(crate) failure_weight: u32,
     /// How many consecutive times it was unreachable or broke a connection.
     pub(crate) connection_failures: u32,
     /// How many consecutive times it was ejected.
-    pub(crate) ejections: u32,
+    pub(crate) consecutive_ejections: u32,
     pub(crate) ejected_until: Option<Instant>,
     pub(crate) paused_until: Option<Instant>,
     /// Whether its health endpoint did not answer the last query.
     pub(crate) is_silent: bool,
-    pub(crate) warming_since: Option<Instant>,
+    pub(crate) slow_start_since: Option<Instant>,
     /// When a reply last arrived from it.
     pub(crate) last_contact: Option<Instant>,
     /// When it was last found to be lost, or an attempt was dispatched to it since.
@@ -109,29 +109,29 @@
 }
 
 impl ServerView {
-    pub(crate) fn new(decl: Arc<ServerDecl>, local: bool, state: ServerState) -> Self {
+    pub(crate) fn new(decl: Arc<ServerDecl>, is_local: bool, state: ServerState) -> Self {
         Self {
             decl,
-            local,
+            is_local,
             state,
             incarnation: None,
             incarnation_since: None,
             unspecified_drain: None,
             snapshots: None,
             self_report_until: None,
-            share: Connections(1),
-            open: 0,
+            connection_share: Connections(1),
+            open_connections: 0,
             in_flight: 0,
-            latency: Latency::default(),
+            latency: SmoothedLatency::default(),
             load: 0,
             load_reported_at: None,
-            failures: 0,
+            failure_weight: 0,
             connection_failures: 0,
-            ejections: 0,
+            consecutive_ejections: 0,
             ejected_until: None,
             paused_until: None,
             is_silent: false,
-            warming_since: None,
+            slow_start_since: None,
             last_contact: None,
             lost_at: None,
         }
@@ -146,7 +146,7 @@
     /// Whether it is in this VM's data centre.
     #[must_use]
     pub fn is_local(&self) -> bool {
-        self.local
+        self.is_local
     }
 
     /// Returns its state, as defined by `charts/server.toml`.
@@ -169,13 +169,13 @@
 
     /// Returns the connections that this VM may open to it.
     #[must_use]
-    pub fn share(&self) -> Connections {
-        self.share
+    pub fn connection_share(&self) -> Connections {
+        self.connection_share
     }
 
     /// Returns the smoothed latency of its parts.
     #[must_use]
-    pub fn latency(&self) -> &Latency {
+    pub fn latency(&self) -> &SmoothedLatency {
         &self.latency
     }
 
@@ -197,24 +197,24 @@
 
     /// Whether it holds a snapshot, as reported by itself.
     #[must_use]
-    pub fn holds(&self, id: SnapshotId) -> Holds {
+    pub fn snapshot_holding(&self, id: SnapshotId) -> SnapshotHolding {
         match &self.snapshots {
-            None => Holds::Unknown,
-            Some(held) if held.contains(&id) => Holds::Yes,
-            Some(_) => Holds::No,
+            None => SnapshotHolding::Unknown,
+            Some(held) if held.contains(&id) => SnapshotHolding::Yes,
+            Some(_) => SnapshotHolding::No,
         }
     }
 
     /// Whether it may answer from a snapshot now or later: it may hold it and is not draining.
     #[must_use]
     pub fn is_eligible(&self, id: SnapshotId) -> bool {
-        !self.is_draining() && self.holds(id) != Holds::No
+        !self.is_draining() && self.snapshot_holding(id) != SnapshotHolding::No
     }
 
     /// Returns the progress of its slow start, above 0 and at most 1.
     #[must_use]
     pub fn slow_start_progress(&self, now: Instant, options: &RouteOptions) -> f64 {
-        match (self.state, self.warming_since) {
+        match (self.state, self.slow_start_since) {
             (ServerState::Warming, Some(since)) => {
                 let age = now.saturating_duration_since(since).as_secs_f64();
                 let total = options.slow_start.as_secs_f64().max(f64::MIN_POSITIVE);
@@ -247,7 +247,7 @@
     /// and pauses.
     #[must_use]
     pub fn has_free_connection(&self) -> bool {
-        !self.is_draining() && self.in_flight < self.share.0
+        !self.is_draining() && self.in_flight < self.connection_share.0
     }
 
     fn ejection_end(&self, now: Instant, options: &RouteOptions) -> Option<Instant> {
@@ -265,7 +265,7 @@
     }
 
     fn in_flight_max(&self, now: Instant, options: &RouteOptions) -> u32 {
-        let share = self.share.0;
+        let share = self.connection_share.0;
         match self.state {
             ServerState::SetAside | ServerState::Probing => share.min(1),
             ServerState::Warming => {
@@ -293,7 +293,7 @@
         };
         Candidate {
             server,
-            local: self.local,
+            is_local: self.is_local,
             in_flight: self.in_flight,
             slots: self.decl.slots.0.max(1),
             latency: self.latency.aged_micros(now),
--- a/crates/route/src/servers.rs
+++ b/crates/route/src/servers.rs
@@ -11,7 +11,7 @@
 
 use crate::options::RouteOptions;
 use crate::server::DispatchStatus;
-use crate::server::Failure;
+use crate::server::ServerFailure;
 use crate::server::ServerView;
 use crate::state;
 use crate::state::ServerEvent;
@@ -51,7 +51,7 @@
     services: BTreeMap<ServiceName, SmallVec<[ServerIdx; 4]>>,
     pub(crate) undeclared: BTreeMap<ServerName, UndeclaredServer>,
     /// The number of changes that affect which snapshots can be pinned: held snapshots and drains.
-    pub(crate) changes: u64,
+    pub(crate) snapshot_changes: u64,
     data_centre: DataCentre,
     chart: Chart<ServerState, ServerEvent>,
     options: RouteOptions,
@@ -69,19 +69,19 @@
             names: BTreeMap::new(),
             services: BTreeMap::new(),
             undeclared: BTreeMap::new(),
-            changes: 0,
+            snapshot_changes: 0,
             data_centre,
-            chart: state::chart()?,
+            chart: state::server_chart()?,
             options,
         })
     }
 
     /// Applies a declaration; a known server of that name keeps its state.
     pub fn declare(&mut self, decl: &Arc<ServerDecl>) -> ServerIdx {
-        let local = decl.data_centre == self.data_centre;
+        let is_local = decl.data_centre == self.data_centre;
         let idx = match self.names.get(&decl.name) {
             Some(idx) => *idx,
-            None => self.add(decl, local),
+            None => self.add(decl, is_local),
         };
         let view = &mut self.list[idx.index()];
         if view.decl.service != decl.service
@@ -90,7 +90,7 @@
             old.retain(|i| *i != idx);
         }
         view.decl = Arc::clone(decl);
-        view.local = local;
+        view.is_local = is_local;
         let members = self.services.entry(decl.service.clone()).or_default();
         if !members.contains(&idx) {
             members.push(idx);
@@ -98,13 +98,13 @@
         idx
     }
 
-    fn add(&mut self, decl: &Arc<ServerDecl>, local: bool) -> ServerIdx {
+    fn add(&mut self, decl: &Arc<ServerDecl>, is_local: bool) -> ServerIdx {
         // A group map is at most a megabyte, so there are far fewer than 2^32 servers.
         let idx = ServerIdx(self.list.len() as u32);
-        let view = ServerView::new(Arc::clone(decl), local, self.chart.initial());
+        let view = ServerView::new(Arc::clone(decl), is_local, self.chart.initial());
         self.list.push(view);
         self.names.insert(decl.name.clone(), idx);
-        self.changes += 1;
+        self.snapshot_changes += 1;
         if let Some(undeclared) = self.undeclared.remove(&decl.name) {
             self.apply_undeclared(idx, undeclared);
         }
@@ -136,8 +136,8 @@
 
     /// Returns the number of changes that affect which snapshots can be pinned.
     #[must_use]
-    pub fn changes(&self) -> u64 {
-        self.changes
+    pub fn snapshot_changes(&self) -> u64 {
+        self.snapshot_changes
     }
 
     /// Returns the settings.
@@ -154,50 +154,50 @@
 
     /// Sets how many connections this VM may open to a server.
     pub fn set_share(&mut self, idx: ServerIdx, share: Connections) {
-        self.list[idx.index()].share = share;
+        self.list[idx.index()].connection_share = share;
     }
 
     /// Records that a connection was opened or closed.
     pub fn on_connection_change(&mut self, idx: ServerIdx, opened: bool) {
         let view = &mut self.list[idx.index()];
-        view.open = if opened {
-            view.open.saturating_add(1)
+        view.open_connections = if opened {
+            view.open_connections.saturating_add(1)
         } else {
-            view.open.saturating_sub(1)
+            view.open_connections.saturating_sub(1)
         };
     }
 
-    /// Records that an attempt was dispatched; it holds a connection until [`Servers::released`].
-    pub fn dispatched(&mut self, now: Instant, idx: ServerIdx) {
+    /// Records that an attempt was dispatched; it holds a connection until [`Servers::on_release`].
+    pub fn on_dispatch(&mut self, now: Instant, idx: ServerIdx) {
         let warm = self.view(idx).slow_start_progress(now, &self.options) >= 1.0;
         let view = &mut self.list[idx.index()];
         view.in_flight += 1;
         // One attempt at a lost server shows whether it is back; further ones would only wait.
         view.lost_at = view.lost_at.map(|_| now);
         match view.state {
-            ServerState::SetAside => self.step(idx, ServerEvent::RestOver),
-            ServerState::Warming if warm => self.step(idx, ServerEvent::Warmed),
+            ServerState::SetAside => self.apply_event(idx, ServerEvent::RestOver),
+            ServerState::Warming if warm => self.apply_event(idx, ServerEvent::Warmed),
             _ => {}
         }
     }
 
     /// Records that the connection of an attempt is free again or closed.
-    pub fn released(&mut self, idx: ServerIdx) {
+    pub fn on_release(&mut self, idx: ServerIdx) {
         let view = &mut self.list[idx.index()];
         view.in_flight = view.in_flight.saturating_sub(1);
     }
 
     /// Records that a server returned a complete part with this load.
-    pub fn succeeded(&mut self, now: Instant, idx: ServerIdx, load: u32) {
+    pub fn on_success(&mut self, now: Instant, idx: ServerIdx, load: u32) {
         let view = &mut self.list[idx.index()];
-        view.failures = 0;
+        view.failure_weight = 0;
         view.connection_failures = 0;
-        view.ejections = 0;
+        view.consecutive_ejections = 0;
         view.load = load;
         view.load_reported_at = Some(now);
         if view.state == ServerState::Probing {
-            view.warming_since = Some(now);
-            self.step(idx, ServerEvent::ProbeOk);
+            view.slow_start_since = Some(now);
+            self.apply_event(idx, ServerEvent::ProbeOk);
         }
     }
 
@@ -210,10 +210,10 @@
     ///
     /// A server that is down refuses connections within a millisecond. Without a pause, a part whose
     /// replicas all restart at the same time would use up its tries long before they are back.
-    pub fn failed(&mut self, now: Instant, idx: ServerIdx, failure: Failure) {
+    pub fn on_failure(&mut self, now: Instant, idx: ServerIdx, failure: ServerFailure) {
         let view = &mut self.list[idx.index()];
-        view.failures = view.failures.saturating_add(failure.weight());
-        if failure != Failure::Error {
+        view.failure_weight = view.failure_weight.saturating_add(failure.weight());
+        if failure != ServerFailure::ErrorReply {
             let pause = CONNECTION_FAILURE_PAUSE.saturating_mul(
                 1 << view
                     .connection_failures
@@ -222,10 +222,12 @@
             view.connection_failures = view.connection_failures.saturating_add(1);
             view.paused_until = view.paused_until.max(Some(now + pause));
         }
-        let failing = view.failures >= self.options.failures_max;
+        let failing = view.failure_weight >= self.options.failures_max;
         match self.view(idx).state {
             ServerState::Probing => self.eject(now, idx, ServerEvent::ProbeFailed),
-            ServerState::Serving | ServerState::Warming if failing && self.may_eject(idx) => {
+            ServerState::Serving | ServerState::Warming
+                if failing && self.is_ejection_allowed(idx) =>
+            {
                 self.eject(now, idx, ServerEvent::Failing);
             }
             _ => {}
@@ -236,7 +238,7 @@
     ///
     /// A false signal at every replica, such as a lookup that fails everywhere, would otherwise eject
     /// the complete service; so at most half of its replicas, and never all, are ejected at a time.
-    fn may_eject(&self, idx: ServerIdx) -> bool {
+    fn is_ejection_allowed(&self, idx: ServerIdx) -> bool {
         let Some(members) = self.services.get(&self.view(idx).decl.service) else {
             return false;
         };
@@ -254,15 +256,15 @@
         let view = &mut self.list[idx.index()];
         let ejection = options
             .ejection_min
-            .saturating_mul(1 << view.ejections.min(EJECTION_DOUBLINGS_MAX))
+            .saturating_mul(1 << view.consecutive_ejections.min(EJECTION_DOUBLINGS_MAX))
             .min(options.ejection_max);
-        view.ejections = view.ejections.saturating_add(1);
+        view.consecutive_ejections = view.consecutive_ejections.saturating_add(1);
         view.ejected_until = Some(now + ejection);
-        self.step(idx, event);
+        self.apply_event(idx, event);
     }
 
     /// Records that a server shed load and requested a pause.
-    pub fn shed(&mut self, now: Instant, idx: ServerIdx, retry_after: Duration) {
+    pub fn on_shed(&mut self, now: Instant, idx: ServerIdx, retry_after: Duration) {
         let view = &mut self.list[idx.index()];
         let until = now + retry_after.min(SHED_PAUSE_MAX);
         view.paused_until = view.paused_until.max(Some(until));
@@ -276,7 +278,7 @@
         idx: ServerIdx,
         holds: &[SnapshotId],
     ) -> bool {
-        let until = now + self.options.self_report;
+        let until = now + self.options.self_report_lifetime;
         let view = &mut self.list[idx.index()];
         view.self_report_until = Some(until);
         if view
@@ -287,11 +289,11 @@
             return false;
         }
         view.snapshots = Some(SmallVec::from_slice(holds));
-        self.changes += 1;
+        self.snapshot_changes += 1;
         true
     }
 
-    pub(crate) fn step(&mut self, idx: ServerIdx, event: ServerEvent) {
+    pub(crate) fn apply_event(&mut self, idx: ServerIdx, event: ServerEvent) {
         let view = &mut self.list[idx.index()];
         let Some(next) = self.chart.next(view.state, event) else {
             return;
--- a/crates/route/src/state.rs
+++ b/crates/route/src/state.rs
@@ -60,6 +60,6 @@
 }
 
 /// Parses the state machine definition.
-pub(crate) fn chart() -> Result<Chart<ServerState, ServerEvent>> {
+pub(crate) fn server_chart() -> Result<Chart<ServerState, ServerEvent>> {
     Chart::parse(include_str!("../../../charts/server.toml"))
 }
--- a/crates/route/src/undeclared.rs
+++ b/crates/route/src/undeclared.rs
@@ -41,7 +41,7 @@
     }
 
     /// Keeps the connection share of a server that is not declared yet.
-    pub fn share_undeclared(&mut self, name: &ServerName, share: Connections) {
+    pub fn set_undeclared_share(&mut self, name: &ServerName, share: Connections) {
         if let Some(undeclared) = self.undeclared_entry(name) {
             undeclared.share = Some(share);
         }
--- a/crates/route/tests/policy.rs
+++ b/crates/route/tests/policy.rs
@@ -26,7 +26,7 @@
         };
         found.push(Candidate {
             server: servers.declare(&Arc::new(decl)),
-            local: *local,
+            is_local: *local,
             in_flight: *in_flight,
             slots: 2,
             latency: Some(*latency),
