--- a/crates/query/src/arrival.rs
+++ b/crates/query/src/arrival.rs
@@ -13,8 +13,8 @@
 use rand::RngExt;
 
 use crate::action::Action;
-use crate::core::Core;
 use crate::crash_suspects::SuspectStatus;
+use crate::engine_state::EngineState;
 use crate::event::Arrival;
 use crate::finish::RETRY_AFTER;
 use crate::finish::not_run_outcome;
@@ -33,9 +33,9 @@
 const OTHER_VM_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// The refusal of a lookup that is not started.
-type Refused = Refusal;
+type ArrivalRefusal = Refusal;
 
-impl Core {
+impl EngineState {
     /// Admits a lookup or refuses it at once; returns `None` if it has already ended.
     pub(crate) fn on_arrival(
         &mut self,
@@ -56,17 +56,17 @@
             }
         };
         let answer_by = lk.answer_by;
-        self.arm(&mut lk, answer_by);
-        if lk.is_once() {
+        self.set_lookup_timer(&mut lk, answer_by);
+        if lk.is_at_most_once() {
             self.crash_suspects.assign_canary(now, lk.fingerprint, seq);
             self.request_claim(now, &lk, out);
         } else {
-            self.begin(now, &mut lk, out);
+            self.start_lookup(now, &mut lk, out);
         }
         (!lk.is_done).then_some(lk)
     }
 
-    fn admit(&mut self, now: Instant, arrival: Arrival) -> Result<ActiveLookup, Refused> {
+    fn admit(&mut self, now: Instant, arrival: Arrival) -> Result<ActiveLookup, ArrivalRefusal> {
         let Arrival { seq, req } = arrival;
         let decl = self.find_decl(&req)?;
         check_request(&decl, &req)?;
@@ -93,7 +93,7 @@
             idempotency_key: req.idempotency_key,
             fingerprint,
             snapshot_min: req.floor,
-            arrived: now,
+            arrived_at: now,
             answer_by,
             phase,
             snapshot: Arc::clone(&pin.snapshot),
@@ -101,8 +101,8 @@
             held_until: None,
             needs_canary,
             first_attempt_number: 0,
-            whole: 0,
-            missing: 0,
+            complete_parts: 0,
+            missing_parts: 0,
             hits: 0,
             may_have_run: 0,
             was_sent: false,
@@ -111,25 +111,25 @@
             is_congested: false,
             extra_attempts: 0,
             restarts: 0,
-            timer: None,
+            timer_at: None,
             wants_restart: false,
             is_caller_disconnected: false,
             is_done: false,
         };
-        lk.pin(Arc::clone(&pin.snapshot));
+        lk.pin_snapshot(Arc::clone(&pin.snapshot));
         self.check_shards_reachable(now, &lk, &pin)?;
         self.check_admission(now, &lk)?;
         Ok(lk)
     }
 
-    fn find_decl(&self, req: &LookupRequest) -> Result<Arc<Lookup>, Refused> {
+    fn find_decl(&self, req: &LookupRequest) -> Result<Arc<Lookup>, ArrivalRefusal> {
         if self.is_leaving {
             return Err(Refusal::new(
                 RefusalReason::Leaving,
                 Some(OTHER_VM_RETRY_AFTER),
             ));
         }
-        if self.config.is_none() {
+        if self.config_version.is_none() {
             return Err(Refusal::new(
                 RefusalReason::NotReady,
                 Some(OTHER_VM_RETRY_AFTER),
@@ -142,7 +142,7 @@
     }
 
     /// Refuses a quarantined lookup; returns whether a suspect must send a canary first.
-    fn check_suspicion(&self, now: Instant, fp: Fingerprint) -> Result<bool, Refused> {
+    fn check_suspicion(&self, now: Instant, fp: Fingerprint) -> Result<bool, ArrivalRefusal> {
         match self.crash_suspects.status(now, fp) {
             SuspectStatus::Clear => Ok(false),
             SuspectStatus::Canary => Ok(true),
@@ -152,7 +152,7 @@
         }
     }
 
-    fn find_group(&self, decl: &Lookup) -> Result<usize, Refused> {
+    fn find_group(&self, decl: &Lookup) -> Result<usize, ArrivalRefusal> {
         self.group_names
             .get(&decl.group)
             .copied()
@@ -165,16 +165,16 @@
         now: Instant,
         lk: &ActiveLookup,
         pin: &PinnableSnapshot,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), ArrivalRefusal> {
         let needs_all = lk.decl.promise != Promise::Urgent || lk.decl.scope == Scope::Keyed;
         if !needs_all {
             return Ok(());
         }
-        let is_thin = pin.readiness == Readiness::Incomplete;
+        let is_incomplete = pin.readiness == Readiness::Incomplete;
         let shards = lk.shards.iter().enumerate();
         let missing = shards.filter_map(|(pos, shard)| {
             let reason = self.unavailable_reason(now, lk, pos)?;
-            let counts = is_thin || reason != MissReason::NoReplica;
+            let counts = is_incomplete || reason != MissReason::NoReplica;
             counts.then_some(MissingShard {
                 shard: shard.id,
                 reason,
@@ -206,13 +206,13 @@
         are_unresponsive.then_some(MissReason::Late)
     }
 
-    fn check_admission(&mut self, now: Instant, lk: &ActiveLookup) -> Result<(), Refused> {
+    fn check_admission(&mut self, now: Instant, lk: &ActiveLookup) -> Result<(), ArrivalRefusal> {
         if lk.answer_by <= now {
             return Err(Refusal::new(RefusalReason::TooLate, Some(RETRY_AFTER)));
         }
         let request = self.admission_request(now, lk);
         let full = request.in_flight >= self.options.lookups_max as usize;
-        let retry = match self.admission.admit(now, &request) {
+        let retry = match self.admission_policy.admit(now, &request) {
             AdmissionDecision::Admit if !full => return Ok(()),
             AdmissionDecision::Admit => RETRY_AFTER,
             AdmissionDecision::Refuse(retry) => retry,
@@ -231,7 +231,7 @@
         let mut sum = 0.0_f64;
         let mut worst = 0.0_f64;
         for pos in 0..lk.shards.len() {
-            let (wait, latency) = self.shard_wait(now, lk, pos);
+            let (wait, latency) = self.expected_shard_time(now, lk, pos);
             sum += wait + latency;
             worst = worst.max(wait + latency);
         }
@@ -239,14 +239,14 @@
         AdmissionRequest {
             promise: lk.decl.promise,
             budget: lk.answer_by.saturating_duration_since(now),
-            mean_part_time: micros(mean),
-            slowest_part_time: micros(worst),
+            mean_part_time: duration_from_micros(mean),
+            slowest_part_time: duration_from_micros(worst),
             in_flight: self.in_flight,
         }
     }
 
     /// Returns a part's expected queueing time and latency at the shard, in microseconds.
-    fn shard_wait(&self, now: Instant, lk: &ActiveLookup, pos: usize) -> (f64, f64) {
+    fn expected_shard_time(&self, now: Instant, lk: &ActiveLookup, pos: usize) -> (f64, f64) {
         let mut queued = 0;
         let mut connections = 0;
         let mut latency = f64::INFINITY;
@@ -268,7 +268,7 @@
 }
 
 /// Checks that a request has the keys that its declaration requires.
-fn check_request(decl: &Lookup, req: &LookupRequest) -> Result<(), Refused> {
+fn check_request(decl: &Lookup, req: &LookupRequest) -> Result<(), ArrivalRefusal> {
     let bad = Err(Refusal::new(RefusalReason::BadRequest, None));
     let once = decl.promise == Promise::AtMostOnce;
     match decl.scope {
@@ -280,6 +280,6 @@
     }
 }
 
-fn micros(n: f64) -> Duration {
+fn duration_from_micros(n: f64) -> Duration {
     Duration::from_secs_f64(n.clamp(0.0, 1e9) / 1e6)
 }
--- a/crates/query/src/attempt.rs
+++ b/crates/query/src/attempt.rs
@@ -110,7 +110,7 @@
     }
 
     /// Returns the state machine event for a reply.
-    pub(crate) fn event_of(&self, reply: &PartReply) -> AttemptEvent {
+    pub(crate) fn reply_event(&self, reply: &PartReply) -> AttemptEvent {
         match reply {
             PartReply::Whole { .. } => AttemptEvent::Whole,
             PartReply::Shed { .. } | PartReply::Draining | PartReply::NoSnapshot { .. } => {
--- a/crates/query/src/canary.rs
+++ b/crates/query/src/canary.rs
@@ -9,7 +9,7 @@
 use crate::action::Action;
 use crate::attempt::AttemptState;
 use crate::attempt::Cause;
-use crate::core::Core;
+use crate::engine_state::EngineState;
 use crate::lifecycle::ShardFailure;
 use crate::lookup::ActiveLookup;
 use crate::lookup::Phase;
@@ -24,7 +24,7 @@
 
 /// The possible damage of a canary at a shard, the least first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Risk {
+enum CanaryRisk {
     /// Another replica would remain.
     ReplicasLeft,
     /// It could crash the shard's last replica.
@@ -33,7 +33,7 @@
     AlreadyCrashed,
 }
 
-impl Core {
+impl EngineState {
     /// Sends the lookup to a single server.
     pub(crate) fn begin_canary(
         &mut self,
@@ -59,7 +59,7 @@
                 break;
             }
         }
-        self.check_end(now, lk, out);
+        self.finish_if_done(now, lk, out);
     }
 
     /// Cancels everything a suspect has in flight and waits up to [`QUIESCE_MAX`] for it to end.
@@ -69,12 +69,12 @@
         lk.phase = Phase::Quiescing(now + QUIESCE_MAX);
         for pos in 0..lk.shards.len() {
             self.dequeue(lk, pos);
-            self.stop_attempts(now, lk, pos, out);
+            self.cancel_attempts(now, lk, pos, out);
             if lk.shards[pos].is_open() {
                 lk.shards[pos].state = ShardState::Held;
             }
         }
-        self.arm(lk, now + QUIESCE_MAX);
+        self.set_lookup_timer(lk, now + QUIESCE_MAX);
     }
 
     /// Sends the canary once a suspect has no attempt in flight or the wait is over.
@@ -110,21 +110,21 @@
         pos: usize,
         out: &mut Vec<Action>,
     ) {
-        let others = lk.shards.iter().filter(|s| s.has_live()).count();
+        let others = lk.shards.iter().filter(|s| s.has_live_attempt()).count();
         let must_not_wait =
-            lk.is_once() || others == 0 || lk.shards[pos].state != ShardState::Running;
-        if must_not_wait || lk.shards[pos].has_live() {
+            lk.is_at_most_once() || others == 0 || lk.shards[pos].state != ShardState::Running;
+        if must_not_wait || lk.shards[pos].has_live_attempt() {
             self.retry_or_abandon(now, lk, pos, ShardFailure::Failed, out);
             return;
         }
         lk.shards[pos].state = ShardState::Held;
-        lk.shards[pos].miss = MissReason::Failed;
+        lk.shards[pos].miss_reason = MissReason::Failed;
         let until = *lk.held_until.get_or_insert(now + RETRY_HOLD_MAX);
-        self.arm(lk, until);
+        self.set_lookup_timer(lk, until);
     }
 
     /// Retries the parts that were held.
-    pub(crate) fn retry_held(
+    pub(crate) fn retry_held_shards(
         &mut self,
         now: Instant,
         lk: &mut ActiveLookup,
@@ -157,9 +157,9 @@
         order
     }
 
-    fn canary_risk(&self, now: Instant, lk: &ActiveLookup, pos: usize) -> Risk {
+    fn canary_risk(&self, now: Instant, lk: &ActiveLookup, pos: usize) -> CanaryRisk {
         if lk.shards[pos].attempts.iter().any(|a| a.broken) {
-            return Risk::AlreadyCrashed;
+            return CanaryRisk::AlreadyCrashed;
         }
         let usable = lk
             .replicas(pos)
@@ -171,9 +171,9 @@
             })
             .count();
         if usable > 1 {
-            Risk::ReplicasLeft
+            CanaryRisk::ReplicasLeft
         } else {
-            Risk::LastReplica
+            CanaryRisk::LastReplica
         }
     }
 }
--- a/crates/query/src/claim.rs
+++ b/crates/query/src/claim.rs
@@ -6,13 +6,13 @@
 
 use crate::action::Action;
 use crate::action::LookupClaim;
-use crate::core::Core;
+use crate::engine_state::EngineState;
 use crate::event::ClaimDecision;
 use crate::finish::RETRY_AFTER;
 use crate::lookup::ActiveLookup;
 use crate::lookup::Phase;
 
-impl Core {
+impl EngineState {
     /// Requests the claim, without which nothing is sent.
     pub(crate) fn request_claim(&mut self, now: Instant, lk: &ActiveLookup, out: &mut Vec<Action>) {
         let Some(key) = lk.idempotency_key.clone() else {
@@ -63,9 +63,9 @@
         // Nothing was sent yet, so the lookup can use the newest snapshot.
         let view = &mut self.groups[lk.group].view;
         if let Some(pin) = view.pin(&self.servers, lk.snapshot_min, None) {
-            lk.pin(pin.snapshot);
+            lk.pin_snapshot(pin.snapshot);
         }
         lk.phase = Phase::Running;
-        self.begin(now, lk, out);
+        self.start_lookup(now, lk, out);
     }
 }
--- a/crates/query/src/crash_suspects.rs
+++ b/crates/query/src/crash_suspects.rs
@@ -19,17 +19,17 @@
 
 /// The number of servers, some in this and some in another data centre, that break under a proven
 /// lookup before it is quarantined in spite of its proof.
-const PROVEN_CRASHES_MAX: u32 = 4;
+const PROVEN_LOOKUP_CRASHES_MAX: u32 = 4;
 
 /// The quarantine of a lookup that broke servers in several data centres but had no canary. It
 /// lasts until the servers should be back, so that its canary does not crash a shard's last replica.
-const UNTRIED_QUARANTINE: Duration = Duration::from_secs(5);
+const NO_CANARY_QUARANTINE: Duration = Duration::from_secs(5);
 
 /// The maximum number of suspects stored; the one that expires first is evicted.
 const SUSPECTS_MAX: usize = 1024;
 
 /// The maximum number of fingerprints stored as proven.
-const PROVEN_MAX: usize = 4096;
+const PROVEN_FINGERPRINTS_MAX: usize = 4096;
 
 /// How long a proof is valid; the index and the servers' program may change.
 const PROOF_LIFETIME: Duration = Duration::from_secs(60);
@@ -148,7 +148,7 @@
         if self.proven.insert(fp, now).is_none() {
             self.proven_order.push_back(fp);
         }
-        while self.proven_order.len() > PROVEN_MAX {
+        while self.proven_order.len() > PROVEN_FINGERPRINTS_MAX {
             if let Some(old) = self.proven_order.pop_front() {
                 self.proven.remove(&old);
             }
@@ -188,14 +188,14 @@
         s.crashed_remotely |= !crash.is_local;
         let crashes = s.crashes();
         let crashes_max = if proven {
-            PROVEN_CRASHES_MAX
+            PROVEN_LOOKUP_CRASHES_MAX
         } else {
             CRASHES_MAX
         };
         let is_in_both = s.crashed_locally && s.crashed_remotely && crashes >= crashes_max;
         let quarantine = match crash.is_alone && crashes >= CRASHES_MAX {
             true => Some(self.quarantine),
-            false if is_in_both => Some(self.quarantine.min(UNTRIED_QUARANTINE)),
+            false if is_in_both => Some(self.quarantine.min(NO_CANARY_QUARANTINE)),
             false => None,
         };
         if let Some(quarantine) = quarantine {
--- a/crates/query/src/dump.rs
+++ b/crates/query/src/dump.rs
@@ -102,13 +102,13 @@
     #[must_use]
     pub fn dump(&self, now: Instant) -> EngineDump {
         let groups = self.dump_groups();
-        let core = &self.core;
+        let state = &self.state;
         EngineDump {
-            config: core.config,
-            leaving: core.is_leaving,
+            config: state.config_version,
+            leaving: state.is_leaving,
             groups,
-            servers: core.servers.by_name().map(|(_, v)| v.dump()).collect(),
-            suspects: core.crash_suspects.dump(now),
+            servers: state.servers.by_name().map(|(_, v)| v.dump()).collect(),
+            suspects: state.crash_suspects.dump(now),
             lookups: self.lookups.len(),
             oldest: self
                 .lookups
@@ -116,20 +116,20 @@
                 .take(DUMPED_LOOKUPS_MAX)
                 .map(|lk| dump_lookup(now, lk))
                 .collect(),
-            waiting: core.wait_queues.parts(),
-            orphans: core.orphans.len(),
-            extra_left: core.budget.available(),
-            admission: core.admission.dump(now),
-            replica_policy: core.replica.name(),
-            counters: core.counters.clone(),
+            waiting: state.wait_queues.parts(),
+            orphans: state.orphans.len(),
+            extra_left: state.extra_budget.available(),
+            admission: state.admission_policy.dump(now),
+            replica_policy: state.replica_policy.name(),
+            counters: state.counters.clone(),
         }
     }
 
     fn dump_groups(&self) -> Vec<GroupDump> {
-        let core = &self.core;
-        let servers = &core.servers;
+        let state = &self.state;
+        let servers = &state.servers;
         let mut dumps = Vec::new();
-        for group in &core.groups {
+        for group in &state.groups {
             let pin = group.view.best_snapshot(servers);
             dumps.push(GroupDump {
                 group: group.name.clone(),
@@ -137,8 +137,8 @@
                 pinned: pin.as_ref().map(|p| p.snapshot.id),
                 shards: pin.as_ref().map_or(0, |p| p.snapshot.shards.len() as u32),
                 ready: pin.as_ref().map_or(0, |p| p.ready),
-                hedge_near_after: group.hedge.delay(Distance::SameDataCentre),
-                hedge_far_after: group.hedge.delay(Distance::OtherDataCentre),
+                hedge_near_after: group.hedge_policy.delay(Distance::SameDataCentre),
+                hedge_far_after: group.hedge_policy.delay(Distance::OtherDataCentre),
             });
         }
         dumps
@@ -149,9 +149,9 @@
     LookupDump {
         seq: lk.seq,
         fingerprint: lk.fingerprint,
-        age: now.saturating_duration_since(lk.arrived),
+        age: now.saturating_duration_since(lk.arrived_at),
         snapshot: lk.snapshot.id,
         shards: lk.shards.len() as u32,
-        whole: lk.whole,
+        whole: lk.complete_parts,
     }
 }
--- a/crates/query/src/engine.rs
+++ b/crates/query/src/engine.rs
@@ -14,10 +14,10 @@
 use gs_types::prelude::*;
 
 use crate::action::Action;
-use crate::core::Core;
-use crate::core::GroupState;
-use crate::core::Timer;
 use crate::counters::Counters;
+use crate::engine_state::EngineState;
+use crate::engine_state::GroupState;
+use crate::engine_state::Timer;
 use crate::event::Arrival;
 use crate::event::Event;
 use crate::event::PartReply;
@@ -32,7 +32,7 @@
 /// order. The same events at the same times with the same seed produce the same actions.
 #[derive(Debug)]
 pub struct Engine {
-    pub(crate) core: Core,
+    pub(crate) state: EngineState,
     pub(crate) lookups: BTreeMap<LookupSeq, Box<ActiveLookup>>,
     /// The time of the earliest wake-up requested.
     wake_at: Option<Instant>,
@@ -55,7 +55,7 @@
         #[builder(default)] options: EngineOptions,
     ) -> Result<Self> {
         Ok(Self {
-            core: Core::new(vm, incarnation, data_centre, seed, options)?,
+            state: EngineState::new(vm, incarnation, data_centre, seed, options)?,
             lookups: BTreeMap::new(),
             wake_at: None,
         })
@@ -77,19 +77,19 @@
             Event::Shares(shares) => self.on_shares(&shares, out),
             Event::Arrive(arrival) => self.on_arrival(now, arrival, out),
             Event::Claim(seq, decision) => {
-                self.with_lookup(seq, |core, lk| {
-                    core.on_claim_decided(now, lk, decision, out)
+                self.with_lookup(seq, |state, lk| {
+                    state.on_claim_decided(now, lk, decision, out)
                 });
             }
             Event::Sent(id) => self.on_sent(now, &id),
             Event::Reply(id, reply) => self.on_reply(now, &id, reply, out),
             Event::Gone(seq) => {
-                self.with_lookup(seq, |core, lk| core.on_caller_disconnect(now, lk, out))
+                self.with_lookup(seq, |state, lk| state.on_caller_disconnect(now, lk, out))
             }
             Event::Connection(server, opened) => self.on_connection(&server, opened),
             Event::Lost(server) => self.on_connection_lost(now, server),
             Event::Tick => self.on_tick(now, out),
-            Event::Leave => self.core.is_leaving = true,
+            Event::Leave => self.state.is_leaving = true,
         }
         self.update_queues(now, out);
         self.request_wake(now, out);
@@ -98,7 +98,7 @@
     /// Returns the running totals for metrics.
     #[must_use]
     pub fn counters(&self) -> &Counters {
-        &self.core.counters
+        &self.state.counters
     }
 
     /// Returns the number of lookups in flight; a leaving process has finished when it is zero.
@@ -111,25 +111,25 @@
     pub(crate) fn with_lookup(
         &mut self,
         seq: LookupSeq,
-        f: impl FnOnce(&mut Core, &mut ActiveLookup),
+        f: impl FnOnce(&mut EngineState, &mut ActiveLookup),
     ) {
         let Some(lk) = self.lookups.get_mut(&seq) else {
             return;
         };
-        f(&mut self.core, lk);
+        f(&mut self.state, lk);
         if lk.is_done {
             self.lookups.remove(&seq);
-            self.core.in_flight = self.lookups.len();
+            self.state.in_flight = self.lookups.len();
         }
     }
 
     fn on_config(&mut self, config: &Config) {
-        let core = &mut self.core;
-        if core.config.is_some_and(|old| old > config.version) {
+        let state = &mut self.state;
+        if state.config_version.is_some_and(|old| old > config.version) {
             return;
         }
-        core.config = Some(config.version);
-        core.decls = config
+        state.config_version = Some(config.version);
+        state.decls = config
             .fronts
             .iter()
             .flat_map(|f| f.lookups.iter().map(move |l| (f, l)))
@@ -138,36 +138,37 @@
     }
 
     fn on_group(&mut self, map: &GroupMap, out: &mut Vec<Action>) {
-        let core = &mut self.core;
-        let known = core.group_names.get(&map.group).copied();
-        if known.is_some_and(|n| core.groups[n].view.revision() > map.revision) {
+        let state = &mut self.state;
+        let known = state.group_names.get(&map.group).copied();
+        if known.is_some_and(|n| state.groups[n].view.revision() > map.revision) {
             return;
         }
-        let view = GroupView::new(map, &mut core.servers);
+        let view = GroupView::new(map, &mut state.servers);
         match known {
-            Some(n) => core.groups[n].view = view,
+            Some(n) => state.groups[n].view = view,
             None => {
-                core.group_names
-                    .insert(map.group.clone(), core.groups.len());
-                core.groups.push(GroupState {
+                state
+                    .group_names
+                    .insert(map.group.clone(), state.groups.len());
+                state.groups.push(GroupState {
                     name: map.group.clone(),
                     view,
-                    hedge: policies::build_hedge_policy(&core.options),
+                    hedge_policy: policies::build_hedge_policy(&state.options),
                 });
             }
         }
         for decl in &map.servers {
-            if let Some(idx) = core.servers.find(&decl.name) {
-                request_connections(core, idx, out);
+            if let Some(idx) = state.servers.find(&decl.name) {
+                request_connections(state, idx, out);
             }
         }
     }
 
     fn on_report(&mut self, now: Instant, r: &ServerReport, out: &mut Vec<Action>) {
-        let core = &mut self.core;
-        let Some(idx) = core.servers.find(&r.server) else {
+        let state = &mut self.state;
+        let Some(idx) = state.servers.find(&r.server) else {
             if r.draining {
-                core.servers.drain_undeclared(&r.server, r.incarnation);
+                state.servers.drain_undeclared(&r.server, r.incarnation);
             }
             return;
         };
@@ -177,25 +178,25 @@
             load: r.load,
             draining: r.draining,
         };
-        match core.servers.on_health_report(now, idx, report) {
+        match state.servers.on_health_report(now, idx, report) {
             ReportEffect::Nothing => {}
-            ReportEffect::Drained => core.on_drained(idx, "health", true, out),
+            ReportEffect::Drained => state.on_drained(idx, "health", true, out),
             ReportEffect::NewIncarnation => {
-                core.freed_servers.push(idx);
-                request_connections(core, idx, out);
+                state.freed_servers.push(idx);
+                request_connections(state, idx, out);
             }
         }
     }
 
     fn on_shares(&mut self, shares: &[(ServerName, Connections)], out: &mut Vec<Action>) {
         for (name, share) in shares {
-            let Some(idx) = self.core.servers.find(name) else {
-                self.core.servers.set_undeclared_share(name, *share);
+            let Some(idx) = self.state.servers.find(name) else {
+                self.state.servers.set_undeclared_share(name, *share);
                 continue;
             };
-            self.core.servers.set_share(idx, *share);
-            self.core.freed_servers.push(idx);
-            request_connections(&self.core, idx, out);
+            self.state.servers.set_share(idx, *share);
+            self.state.freed_servers.push(idx);
+            request_connections(&self.state, idx, out);
         }
     }
 
@@ -205,48 +206,50 @@
             log::error!("event=lookup-number-used-twice lookup={seq}");
             return;
         }
-        if let Some(lk) = self.core.on_arrival(now, arrival, out) {
+        if let Some(lk) = self.state.on_arrival(now, arrival, out) {
             self.lookups.insert(seq, lk);
         }
-        self.core.in_flight = self.lookups.len();
+        self.state.in_flight = self.lookups.len();
     }
 
     fn on_sent(&mut self, now: Instant, id: &AttemptId) {
-        if !self.is_ours(id) {
+        if !self.is_own_attempt(id) {
             return;
         }
         match self.lookups.get_mut(&id.lookup) {
-            Some(lk) => self.core.on_sent(now, lk, id),
-            None => self.core.on_orphan_sent(id),
+            Some(lk) => self.state.on_sent(now, lk, id),
+            None => self.state.on_orphan_sent(id),
         }
     }
 
     fn on_reply(&mut self, now: Instant, id: &AttemptId, reply: PartReply, out: &mut Vec<Action>) {
-        if !self.is_ours(id) {
-            self.core.counters.stray_replies += 1;
+        if !self.is_own_attempt(id) {
+            self.state.counters.stray_replies += 1;
             return;
         }
         if !self.lookups.contains_key(&id.lookup) {
-            self.core.on_orphan_reply(now, id, &reply, out);
+            self.state.on_orphan_reply(now, id, &reply, out);
             return;
         }
-        self.with_lookup(id.lookup, |core, lk| core.on_reply(now, lk, id, reply, out));
+        self.with_lookup(id.lookup, |state, lk| {
+            state.on_reply(now, lk, id, reply, out)
+        });
     }
 
     /// Whether an attempt id was issued by this incarnation of this VM.
-    fn is_ours(&self, id: &AttemptId) -> bool {
-        id.incarnation == self.core.incarnation && id.vm == self.core.vm
+    fn is_own_attempt(&self, id: &AttemptId) -> bool {
+        id.incarnation == self.state.incarnation && id.vm == self.state.vm
     }
 
     fn on_connection(&mut self, server: &ServerName, opened: bool) {
-        if let Some(idx) = self.core.servers.find(server) {
-            self.core.servers.on_connection_change(idx, opened);
+        if let Some(idx) = self.state.servers.find(server) {
+            self.state.servers.on_connection_change(idx, opened);
         }
     }
 
     fn on_connection_lost(&mut self, now: Instant, server: ServerName) {
-        if self.core.connection_losses.note_loss(now, server) {
-            self.core
+        if self.state.connection_losses.note_loss(now, server) {
+            self.state
                 .crash_suspects
                 .raise_suspicion(now, SUSPICION_AFTER_LOSSES);
         }
@@ -254,15 +257,17 @@
 
     fn on_tick(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.wake_at = None;
-        while let Some((at, timer)) = self.core.timers.first().copied() {
+        while let Some((at, timer)) = self.state.timers.first().copied() {
             if at > now {
                 break;
             }
-            self.core.timers.remove(&(at, timer));
+            self.state.timers.remove(&(at, timer));
             match timer {
-                Timer::Lookup(seq) => self.with_lookup(seq, |core, lk| core.on_timer(now, lk, out)),
-                Timer::Server(server) => self.core.freed_servers.push(server),
-                Timer::Orphans => self.core.release_expired_orphans(now),
+                Timer::Lookup(seq) => {
+                    self.with_lookup(seq, |state, lk| state.on_timer(now, lk, out))
+                }
+                Timer::Server(server) => self.state.freed_servers.push(server),
+                Timer::Orphans => self.state.release_expired_orphans(now),
             }
         }
     }
@@ -271,9 +276,9 @@
     /// connection freed.
     fn update_queues(&mut self, now: Instant, out: &mut Vec<Action>) {
         loop {
-            if let Some(server) = self.core.changed_servers.pop() {
+            if let Some(server) = self.state.changed_servers.pop() {
                 self.requeue_waiting(now, server, out);
-            } else if let Some(server) = self.core.freed_servers.pop() {
+            } else if let Some(server) = self.state.freed_servers.pop() {
                 self.dispatch_waiting(now, server, out);
             } else {
                 return;
@@ -282,29 +287,29 @@
     }
 
     fn requeue_waiting(&mut self, now: Instant, server: ServerIdx, out: &mut Vec<Action>) {
-        for part in self.core.wait_queues.all(server) {
-            self.with_lookup(part.seq, |core, lk| core.requeue(now, lk, part.pos, out));
+        for part in self.state.wait_queues.all(server) {
+            self.with_lookup(part.seq, |state, lk| state.requeue(now, lk, part.pos, out));
         }
     }
 
     fn dispatch_waiting(&mut self, now: Instant, server: ServerIdx, out: &mut Vec<Action>) {
-        while let Some(part) = self.core.wait_queues.first(server) {
-            match self.core.servers.dispatch_status(now, server) {
+        while let Some(part) = self.state.wait_queues.first(server) {
+            match self.state.servers.dispatch_status(now, server) {
                 DispatchStatus::Free => {}
                 DispatchStatus::Paused(until) | DispatchStatus::Ejected(until) => {
-                    self.core.timers.insert((until, Timer::Server(server)));
+                    self.state.timers.insert((until, Timer::Server(server)));
                     return;
                 }
                 DispatchStatus::Busy | DispatchStatus::Draining => return,
             }
-            self.with_lookup(part.seq, |core, lk| {
-                core.dispatch_waiting(now, lk, part.pos, server, out);
+            self.with_lookup(part.seq, |state, lk| {
+                state.dispatch_waiting(now, lk, part.pos, server, out);
             });
         }
     }
 
     fn request_wake(&mut self, now: Instant, out: &mut Vec<Action>) {
-        let Some((first, _)) = self.core.timers.first().copied() else {
+        let Some((first, _)) = self.state.timers.first().copied() else {
             return;
         };
         if self.wake_at.is_none_or(|at| first < at) {
@@ -315,8 +320,8 @@
 }
 
 /// Requests that this VM's share of connections to a server is kept open.
-fn request_connections(core: &Core, idx: ServerIdx, out: &mut Vec<Action>) {
-    let view = core.servers.view(idx);
+fn request_connections(state: &EngineState, idx: ServerIdx, out: &mut Vec<Action>) {
+    let view = state.servers.view(idx);
     if !view.is_draining() {
         out.push(Action::Warm(
             view.decl().name.clone(),
--- a/crates/query/src/core.rs
+++ b/crates/query/src/engine_state.rs
@@ -42,7 +42,7 @@
 pub(crate) struct GroupState {
     pub(crate) name: GroupName,
     pub(crate) view: GroupView,
-    pub(crate) hedge: Box<dyn HedgePolicy>,
+    pub(crate) hedge_policy: Box<dyn HedgePolicy>,
 }
 
 /// An attempt whose lookup has ended or restarted; it occupies its connection until the I/O driver
@@ -58,7 +58,7 @@
     pub(crate) is_proven: bool,
     /// The latest time at which its lookup was to be answered.
     pub(crate) answer_by: Instant,
-    pub(crate) expires: Instant,
+    pub(crate) expires_at: Instant,
 }
 
 /// The purpose of a timer.
@@ -74,20 +74,20 @@
 
 /// The state shared by all lookups of a process.
 #[derive(Debug)]
-pub(crate) struct Core {
+pub(crate) struct EngineState {
     pub(crate) vm: VmId,
     pub(crate) incarnation: Incarnation,
     pub(crate) options: EngineOptions,
     pub(crate) chart: Chart<AttemptState, AttemptEvent>,
     pub(crate) rng: ChaCha8Rng,
-    pub(crate) config: Option<ConfVersion>,
+    pub(crate) config_version: Option<ConfVersion>,
     pub(crate) decls: BTreeMap<(FrontName, LookupName), Arc<Lookup>>,
     pub(crate) group_names: BTreeMap<GroupName, usize>,
     pub(crate) groups: Vec<GroupState>,
     pub(crate) servers: Servers,
-    pub(crate) replica: Box<dyn ReplicaPolicy>,
-    pub(crate) admission: Box<dyn AdmissionPolicy>,
-    pub(crate) budget: ExtraBudget,
+    pub(crate) replica_policy: Box<dyn ReplicaPolicy>,
+    pub(crate) admission_policy: Box<dyn AdmissionPolicy>,
+    pub(crate) extra_budget: ExtraBudget,
     pub(crate) wait_queues: WaitQueues,
     pub(crate) orphans: BTreeMap<AttemptKey, Orphan>,
     pub(crate) timers: BTreeSet<(Instant, Timer)>,
@@ -106,7 +106,7 @@
     pub(crate) changed_servers: Vec<ServerIdx>,
 }
 
-impl Core {
+impl EngineState {
     pub(crate) fn new(
         vm: VmId,
         incarnation: Incarnation,
@@ -124,14 +124,14 @@
             incarnation,
             chart: attempt_chart()?,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            config: None,
+            config_version: None,
             decls: BTreeMap::new(),
             group_names: BTreeMap::new(),
             groups: Vec::new(),
             servers: Servers::new(data_centre, route)?,
-            replica: policies::build_replica_policy(&options),
-            admission: policies::build_admission_policy(&options),
-            budget: ExtraBudget::new(
+            replica_policy: policies::build_replica_policy(&options),
+            admission_policy: policies::build_admission_policy(&options),
+            extra_budget: ExtraBudget::new(
                 options.extra_ratio,
                 options.extra_burst,
                 options.extra_floor,
@@ -163,28 +163,28 @@
     }
 
     /// Sets a lookup's timer, if that is sooner than the time already set.
-    pub(crate) fn arm(&mut self, lk: &mut ActiveLookup, at: Instant) {
+    pub(crate) fn set_lookup_timer(&mut self, lk: &mut ActiveLookup, at: Instant) {
         let at = at.min(lk.answer_by);
-        match lk.timer {
+        match lk.timer_at {
             Some(planned) if planned <= at => return,
             Some(planned) => {
                 self.timers.remove(&(planned, Timer::Lookup(lk.seq)));
             }
             None => {}
         }
-        lk.timer = Some(at);
+        lk.timer_at = Some(at);
         self.timers.insert((at, Timer::Lookup(lk.seq)));
     }
 
     /// Removes a lookup's timer.
-    pub(crate) fn disarm(&mut self, lk: &mut ActiveLookup) {
-        if let Some(at) = lk.timer.take() {
+    pub(crate) fn clear_lookup_timer(&mut self, lk: &mut ActiveLookup) {
+        if let Some(at) = lk.timer_at.take() {
             self.timers.remove(&(at, Timer::Lookup(lk.seq)));
         }
     }
 
     /// Handles a server's own report that it drains: moves its queue and notifies every peer.
-    pub(crate) fn on_own_drain(&mut self, server: ServerIdx, out: &mut Vec<Action>) {
+    pub(crate) fn on_self_reported_drain(&mut self, server: ServerIdx, out: &mut Vec<Action>) {
         if self.servers.drain_self_reported(server) {
             self.on_drained(server, "own", true, out);
         }
--- a/crates/query/src/finish.rs
+++ b/crates/query/src/finish.rs
@@ -8,9 +8,9 @@
 
 use crate::action::Action;
 use crate::attempt::AttemptState;
-use crate::core::Core;
-use crate::core::Orphan;
-use crate::core::Timer;
+use crate::engine_state::EngineState;
+use crate::engine_state::Orphan;
+use crate::engine_state::Timer;
 use crate::lookup::ActiveLookup;
 use crate::lookup::Phase;
 use crate::lookup::ShardState;
@@ -22,12 +22,17 @@
 /// How long after a lookup's end the I/O driver (shell) may take to report the end of its attempts.
 const ORPHAN_GRACE: Duration = Duration::from_secs(2);
 
-impl Core {
+impl EngineState {
     /// Ends the lookup if no further part can arrive or it has enough hits; restarts it instead if a
     /// shard's snapshot was dropped and a restart is possible.
     ///
     /// A restart replaces the shards, so no iteration over them may continue after this call.
-    pub(crate) fn check_end(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
+    pub(crate) fn finish_if_done(
+        &mut self,
+        now: Instant,
+        lk: &mut ActiveLookup,
+        out: &mut Vec<Action>,
+    ) {
         if lk.is_done || lk.phase == Phase::Claiming {
             return;
         }
@@ -35,7 +40,7 @@
             return;
         }
         let shards = lk.shards.len() as u32;
-        if lk.whole + lk.missing >= shards {
+        if lk.complete_parts + lk.missing_parts >= shards {
             self.finish_with_parts(now, lk, false, out);
             return;
         }
@@ -44,7 +49,7 @@
             return;
         }
         let enough = lk.decl.enough_at.map_or(u64::MAX, u64::from);
-        if lk.decl.promise == Promise::Urgent && lk.whole > 0 && lk.hits >= enough {
+        if lk.decl.promise == Promise::Urgent && lk.complete_parts > 0 && lk.hits >= enough {
             self.finish_with_parts(now, lk, true, out);
         }
     }
@@ -57,14 +62,14 @@
         ended_early: bool,
         out: &mut Vec<Action>,
     ) {
-        let is_full = lk.whole as usize == lk.shards.len();
+        let is_full = lk.complete_parts as usize == lk.shards.len();
         if !is_full && !ended_early {
             self.log_incomplete(now, lk);
         }
         let outcome = match lk.decl.promise {
             _ if is_full => Outcome::Answered(merge::merge_parts(lk, ended_early)),
             // A page without any part would be read as "nothing matches".
-            Promise::Urgent if lk.whole > 0 => {
+            Promise::Urgent if lk.complete_parts > 0 => {
                 Outcome::Answered(merge::merge_parts(lk, ended_early))
             }
             Promise::Urgent | Promise::Complete => self.incomplete_outcome(now, lk),
@@ -131,7 +136,7 @@
             self.counters.gone += 1;
         }
         lk.is_caller_disconnected = true;
-        if !(lk.is_once() && lk.may_have_run > 0) {
+        if !(lk.is_at_most_once() && lk.may_have_run > 0) {
             self.release(now, lk, out);
         }
     }
@@ -143,12 +148,12 @@
         let waited = lk.shards.iter().any(|s| s.state == ShardState::Waiting);
         for pos in 0..lk.shards.len() {
             self.dequeue(lk, pos);
-            self.stop_attempts(now, lk, pos, out);
+            self.cancel_attempts(now, lk, pos, out);
         }
         self.orphan_attempts(now, lk);
-        self.disarm(lk);
+        self.clear_lookup_timer(lk);
         self.crash_suspects.release_canary(lk.fingerprint, lk.seq);
-        self.admission.on_lookup_end(
+        self.admission_policy.on_lookup_end(
             now,
             &LookupEnd {
                 was_in_time: now < lk.answer_by,
@@ -159,7 +164,7 @@
 
     /// Records the lookup's attempts whose end was not reported yet as orphans.
     pub(crate) fn orphan_attempts(&mut self, now: Instant, lk: &ActiveLookup) {
-        let expires = now.max(lk.answer_by) + ORPHAN_GRACE;
+        let expires_at = now.max(lk.answer_by) + ORPHAN_GRACE;
         let was_empty = self.orphans.is_empty();
         for s in &lk.shards {
             for a in &s.attempts {
@@ -177,13 +182,13 @@
                     is_sent: a.sent_at.is_some(),
                     is_proven: lk.is_proven,
                     answer_by: lk.answer_by,
-                    expires,
+                    expires_at,
                 };
                 self.orphans.insert((lk.seq, s.id, a.number), orphan);
             }
         }
         if was_empty && !self.orphans.is_empty() {
-            self.timers.insert((expires, Timer::Orphans));
+            self.timers.insert((expires_at, Timer::Orphans));
         }
     }
 }
@@ -216,7 +221,10 @@
 /// Its key is used up in any case. If nothing was executed, nothing can be under that key any more,
 /// so `not-run` without a retry time means that the caller may retry with a new key only.
 fn once_failed_outcome(lk: &ActiveLookup) -> Outcome {
-    let miss = lk.shards.first().map_or(MissReason::Late, |s| s.miss);
+    let miss = lk
+        .shards
+        .first()
+        .map_or(MissReason::Late, |s| s.miss_reason);
     let reason = match miss {
         _ if lk.may_have_run > 0 => RefusalReason::Failed,
         MissReason::Shed => RefusalReason::Overload,
--- a/crates/query/src/incomplete_log.rs
+++ b/crates/query/src/incomplete_log.rs
@@ -7,7 +7,7 @@
 use gs_limit::Distance;
 
 use crate::attempt::Attempt;
-use crate::core::Core;
+use crate::engine_state::EngineState;
 use crate::lookup::ActiveLookup;
 use crate::lookup::LookupShard;
 use crate::lookup::ShardState;
@@ -16,7 +16,7 @@
 /// lookup ends incomplete.
 pub(crate) const LOGGED_LOOKUPS_PER_SECOND: u32 = 10;
 
-impl Core {
+impl EngineState {
     /// Logs an incomplete lookup: the state and attempts of each missing shard, and what limits its
     /// hedges.
     pub(crate) fn log_incomplete(&mut self, now: Instant, lk: &ActiveLookup) {
@@ -26,8 +26,8 @@
         let Some(left_out) = self.incomplete_log_limit.try_acquire(now) else {
             return;
         };
-        let hedge = &self.groups[lk.group].hedge;
-        let hedge_delay = |distance| Millis(hedge.delay(distance));
+        let hedge = &self.groups[lk.group].hedge_policy;
+        let hedge_delay = |distance| OptionalMillis(hedge.delay(distance));
         let missing = lk.shards.iter().filter(|s| s.state != ShardState::Whole);
         let missing: Vec<String> = missing.map(|s| self.describe_shard(now, s)).collect();
         log::info!(
@@ -36,12 +36,12 @@
             lk.seq,
             self.groups[lk.group].name,
             lk.decl.promise,
-            lk.whole,
+            lk.complete_parts,
             lk.shards.len(),
-            now.saturating_duration_since(lk.arrived).as_millis(),
+            now.saturating_duration_since(lk.arrived_at).as_millis(),
             hedge_delay(Distance::SameDataCentre),
             hedge_delay(Distance::OtherDataCentre),
-            self.budget.available(),
+            self.extra_budget.available(),
             missing.join("; "),
         );
     }
@@ -71,9 +71,9 @@
 }
 
 /// A duration displayed in milliseconds, or `-` if there is none.
-struct Millis(Option<Duration>);
+struct OptionalMillis(Option<Duration>);
 
-impl fmt::Display for Millis {
+impl fmt::Display for OptionalMillis {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             Some(time) => write!(f, "{}", time.as_millis()),
--- a/crates/query/src/lifecycle.rs
+++ b/crates/query/src/lifecycle.rs
@@ -10,7 +10,7 @@
 use crate::action::Action;
 use crate::attempt::AttemptEvent;
 use crate::attempt::Cause;
-use crate::core::Core;
+use crate::engine_state::EngineState;
 use crate::lookup::ActiveLookup;
 use crate::lookup::Phase;
 use crate::lookup::ShardState;
@@ -28,9 +28,14 @@
     Failed,
 }
 
-impl Core {
+impl EngineState {
     /// Starts the fan-out, or the canary before it.
-    pub(crate) fn begin(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
+    pub(crate) fn start_lookup(
+        &mut self,
+        now: Instant,
+        lk: &mut ActiveLookup,
+        out: &mut Vec<Action>,
+    ) {
         if lk.needs_canary && !lk.is_proven && lk.shards.len() > 1 {
             self.begin_canary(now, lk, out);
             return;
@@ -54,7 +59,7 @@
                 self.try_shard(now, lk, pos, cause, out);
             }
         }
-        self.check_end(now, lk, out);
+        self.finish_if_done(now, lk, out);
     }
 
     /// Dispatches an attempt at a shard, queues it or abandons the shard.
@@ -76,7 +81,7 @@
             self.abandon_shard(lk, pos, reason);
             return;
         }
-        if cause == Cause::Retry && !self.budget.take_retries(now, 1) {
+        if cause == Cause::Retry && !self.extra_budget.take_retries(now, 1) {
             self.counters.extra_refused += 1;
             self.abandon_shard(lk, pos, MissReason::Failed);
             return;
@@ -98,20 +103,20 @@
         out: &mut Vec<Action>,
     ) {
         let shard = &mut lk.shards[pos];
-        shard.miss = match failure {
+        shard.miss_reason = match failure {
             ShardFailure::NotRun(reason) => reason,
             ShardFailure::Failed => MissReason::Failed,
         };
-        if shard.state != ShardState::Running || shard.has_live() {
+        if shard.state != ShardState::Running || shard.has_live_attempt() {
             return;
         }
-        if lk.is_once() && lk.was_sent {
-            let miss = lk.shards[pos].miss;
+        if lk.is_at_most_once() && lk.was_sent {
+            let miss = lk.shards[pos].miss_reason;
             self.abandon_shard(lk, pos, miss);
             return;
         }
         if lk.shards[pos].has_no_tries_left(self.options.tries_max) {
-            let miss = lk.shards[pos].miss;
+            let miss = lk.shards[pos].miss_reason;
             self.abandon_shard(lk, pos, miss);
             return;
         }
@@ -122,12 +127,13 @@
         self.try_shard(now, lk, pos, cause, out);
     }
 
-    /// Abandons a shard; if its snapshot was dropped, [`Core::check_end`] may restart the lookup.
+    /// Abandons a shard; if its snapshot was dropped, [`EngineState::finish_if_done`] may restart the
+    /// lookup.
     pub(crate) fn abandon_shard(&mut self, lk: &mut ActiveLookup, pos: usize, reason: MissReason) {
         let shard = &mut lk.shards[pos];
         shard.state = ShardState::Missing;
-        shard.miss = reason;
-        lk.missing += 1;
+        shard.miss_reason = reason;
+        lk.missing_parts += 1;
         lk.is_congested |= reason == MissReason::Shed;
         // A repartition that also drains the old servers leaves no replica where it did not drop
         // the snapshot; another snapshot may still be complete.
@@ -150,7 +156,7 @@
             Phase::Canary(pos) if !lk.shards[pos].is_open() => self.begin_canary(now, lk, out),
             Phase::Canary(_) | Phase::Claiming | Phase::Running => {}
         }
-        self.check_end(now, lk, out);
+        self.finish_if_done(now, lk, out);
     }
 
     /// Restarts the lookup on another snapshot, if time and budget allow.
@@ -163,7 +169,7 @@
         lk: &mut ActiveLookup,
         out: &mut Vec<Action>,
     ) -> bool {
-        let may_not_restart = lk.restarts >= RESTARTS_MAX || (lk.is_once() && lk.was_sent);
+        let may_not_restart = lk.restarts >= RESTARTS_MAX || (lk.is_at_most_once() && lk.was_sent);
         let group = &mut self.groups[lk.group];
         let pin = group
             .view
@@ -175,31 +181,31 @@
         let left = lk.answer_by.saturating_duration_since(now);
         if left
             <= group
-                .hedge
+                .hedge_policy
                 .delay(Distance::OtherDataCentre)
                 .unwrap_or(Duration::ZERO)
         {
             return false;
         }
-        if !self.budget.take_retries(now, lk.whole) {
+        if !self.extra_budget.take_retries(now, lk.complete_parts) {
             self.counters.extra_refused += 1;
             return false;
         }
         for pos in 0..lk.shards.len() {
             self.dequeue(lk, pos);
-            self.stop_attempts(now, lk, pos, out);
+            self.cancel_attempts(now, lk, pos, out);
         }
         self.orphan_attempts(now, lk);
         lk.restarts += 1;
-        lk.extra_attempts += lk.whole;
+        lk.extra_attempts += lk.complete_parts;
         self.counters.restarts += 1;
-        lk.pin(pin.snapshot);
-        self.begin(now, lk, out);
+        lk.pin_snapshot(pin.snapshot);
+        self.start_lookup(now, lk, out);
         true
     }
 
     /// Cancels a shard's live attempts.
-    pub(crate) fn stop_attempts(
+    pub(crate) fn cancel_attempts(
         &mut self,
         now: Instant,
         lk: &mut ActiveLookup,
@@ -231,7 +237,9 @@
                 } else {
                     Distance::OtherDataCentre
                 };
-                self.groups[group].hedge.record_latency(distance, waited);
+                self.groups[group]
+                    .hedge_policy
+                    .record_latency(distance, waited);
             }
         }
     }
--- a/crates/query/src/lookup.rs
+++ b/crates/query/src/lookup.rs
@@ -12,7 +12,7 @@
 use crate::attempt::Cause;
 
 /// The maximum number of attempts at one shard, those never sent included.
-const ATTEMPTS_MAX: usize = 32;
+const SHARD_ATTEMPTS_MAX: usize = 32;
 
 /// The phase of a lookup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -52,7 +52,7 @@
     pub(crate) part: Option<Arc<Part>>,
     pub(crate) attempts: SmallVec<[Attempt; 2]>,
     /// The reason to report if no part arrives.
-    pub(crate) miss: MissReason,
+    pub(crate) miss_reason: MissReason,
     /// The servers in whose queues it waits.
     pub(crate) queued_at: SmallVec<[ServerIdx; 2]>,
     /// The cause of the queued attempt.
@@ -66,21 +66,22 @@
             state: ShardState::Held,
             part: None,
             attempts: SmallVec::new(),
-            miss: MissReason::Late,
+            miss_reason: MissReason::Late,
             queued_at: SmallVec::new(),
             queued_cause: Cause::First,
         }
     }
 
     /// Whether an attempt is in flight whose part is still wanted.
-    pub(crate) fn has_live(&self) -> bool {
+    pub(crate) fn has_live_attempt(&self) -> bool {
         self.attempts.iter().any(Attempt::is_live)
     }
 
-    /// Whether no further attempt is allowed; those never sent count only against [`ATTEMPTS_MAX`].
+    /// Whether no further attempt is allowed; those never sent count only against
+    /// [`SHARD_ATTEMPTS_MAX`].
     pub(crate) fn has_no_tries_left(&self, tries_max: u16) -> bool {
         let tries = self.attempts.iter().filter(|a| a.sent_at.is_some()).count();
-        tries >= usize::from(tries_max) || self.attempts.len() >= ATTEMPTS_MAX
+        tries >= usize::from(tries_max) || self.attempts.len() >= SHARD_ATTEMPTS_MAX
     }
 
     /// Whether neither its part has arrived nor it was abandoned.
@@ -101,7 +102,7 @@
     pub(crate) idempotency_key: Option<IdempotencyKey>,
     pub(crate) fingerprint: Fingerprint,
     pub(crate) snapshot_min: Option<SnapshotId>,
-    pub(crate) arrived: Instant,
+    pub(crate) arrived_at: Instant,
     /// The latest time at which its answer is sent.
     pub(crate) answer_by: Instant,
     pub(crate) phase: Phase,
@@ -114,8 +115,8 @@
     /// The number of the first attempt at each shard; increases with every restart, so that
     /// attempts at equally numbered shards of two snapshots never have the same id.
     pub(crate) first_attempt_number: u16,
-    pub(crate) whole: u32,
-    pub(crate) missing: u32,
+    pub(crate) complete_parts: u32,
+    pub(crate) missing_parts: u32,
     pub(crate) hits: u64,
     /// Dispatched attempts that were not reported as not executed.
     pub(crate) may_have_run: u32,
@@ -129,7 +130,7 @@
     pub(crate) extra_attempts: u32,
     pub(crate) restarts: u8,
     /// The time of its timer.
-    pub(crate) timer: Option<Instant>,
+    pub(crate) timer_at: Option<Instant>,
     /// Whether a shard's replicas dropped the pinned snapshot, so that another should be pinned.
     pub(crate) wants_restart: bool,
     /// Whether its caller disconnected, so that no response is sent.
@@ -140,17 +141,17 @@
 
 impl ActiveLookup {
     /// Whether it must be executed at most once.
-    pub(crate) fn is_once(&self) -> bool {
+    pub(crate) fn is_at_most_once(&self) -> bool {
         self.decl.promise == Promise::AtMostOnce
     }
 
     /// Whether the missing shards already rule out an answer on this snapshot.
     pub(crate) fn is_unanswerable(&self) -> bool {
-        self.missing > 0 && self.decl.promise == Promise::Complete
+        self.missing_parts > 0 && self.decl.promise == Promise::Complete
     }
 
     /// Returns the position of a shard in [`ActiveLookup::shards`].
-    pub(crate) fn position(&self, shard: ShardId) -> Option<usize> {
+    pub(crate) fn shard_position(&self, shard: ShardId) -> Option<usize> {
         match self.decl.scope {
             Scope::Scatter => Some(shard.0 as usize).filter(|pos| *pos < self.shards.len()),
             Scope::Keyed => self.shards.iter().position(|s| s.id == shard),
@@ -164,7 +165,7 @@
     }
 
     /// Pins a snapshot and resets every shard.
-    pub(crate) fn pin(&mut self, snapshot: Arc<Snapshot>) {
+    pub(crate) fn pin_snapshot(&mut self, snapshot: Arc<Snapshot>) {
         let used = self
             .shards
             .iter()
@@ -175,8 +176,8 @@
         self.first_attempt_number = self.first_attempt_number.saturating_add(used);
         self.shards = self.new_shards(&snapshot);
         self.snapshot = snapshot;
-        self.whole = 0;
-        self.missing = 0;
+        self.complete_parts = 0;
+        self.missing_parts = 0;
         self.hits = 0;
         self.wants_restart = false;
         self.held_until = None;
@@ -189,7 +190,7 @@
             (Scope::Scatter, _) => (0..count).map(|n| LookupShard::new(ShardId(n))).collect(),
             (Scope::Keyed, key) => {
                 let key = key.as_deref().unwrap_or("");
-                let shard = crate::keyed::shard_of_key(key, count);
+                let shard = crate::shard_key::shard_of_key(key, count);
                 shard.map(LookupShard::new).into_iter().collect()
             }
         }
@@ -203,9 +204,9 @@
             .map(|s| MissingShard {
                 shard: s.id,
                 reason: match s.state {
-                    ShardState::Missing => s.miss,
+                    ShardState::Missing => s.miss_reason,
                     _ if ended_early => MissReason::EndedEarly,
-                    _ if s.miss == MissReason::Shed => MissReason::Shed,
+                    _ if s.miss_reason == MissReason::Shed => MissReason::Shed,
                     _ => MissReason::Late,
                 },
             })
--- a/crates/query/src/notices.rs
+++ b/crates/query/src/notices.rs
@@ -8,8 +8,8 @@
 
 use crate::action::Action;
 use crate::action::Notice;
-use crate::core::Core;
 use crate::engine::Engine;
+use crate::engine_state::EngineState;
 use crate::event::NoticeSource;
 
 impl Engine {
@@ -41,18 +41,18 @@
         source: NoticeSource,
         out: &mut Vec<Action>,
     ) {
-        let core = &mut self.core;
-        let Some(idx) = core.servers.find(server) else {
-            core.servers.drain_undeclared(server, incarnation);
+        let state = &mut self.state;
+        let Some(idx) = state.servers.find(server) else {
+            state.servers.drain_undeclared(server, incarnation);
             return;
         };
-        if !core.servers.drain(idx, incarnation) {
+        if !state.servers.drain(idx, incarnation) {
             return;
         }
         match source {
             // The peer that detected it notified every VM.
-            NoticeSource::Peer => core.on_drained(idx, "peer", false, out),
-            NoticeSource::Platform => core.on_drained(idx, "platform", true, out),
+            NoticeSource::Peer => state.on_drained(idx, "peer", false, out),
+            NoticeSource::Platform => state.on_drained(idx, "platform", true, out),
         }
     }
 
@@ -64,7 +64,7 @@
         rest: Duration,
         out: &mut Vec<Action>,
     ) {
-        self.core
+        self.state
             .crash_suspects
             .on_peer_report(now, fingerprint, crashes, rest);
         if rest == Duration::ZERO {
@@ -78,12 +78,12 @@
             .collect();
         for seq in running {
             let refusal = Refusal::new(RefusalReason::Quarantined, Some(rest));
-            self.with_lookup(seq, |core, lk| core.refuse(now, lk, refusal, out));
+            self.with_lookup(seq, |state, lk| state.refuse(now, lk, refusal, out));
         }
     }
 }
 
-impl Core {
+impl EngineState {
     /// Requeues the parts that wait for a server just marked as draining and releases its
     /// connections.
     pub(crate) fn on_drained(
--- a/crates/query/src/orphan.rs
+++ b/crates/query/src/orphan.rs
@@ -7,11 +7,11 @@
 use gs_types::prelude::*;
 
 use crate::action::Action;
-use crate::core::Core;
+use crate::engine_state::EngineState;
 use crate::event::PartReply;
 use crate::server_reply::ReplyContext;
 
-impl Core {
+impl EngineState {
     /// Records that the first byte of an orphaned attempt was sent.
     pub(crate) fn on_orphan_sent(&mut self, id: &AttemptId) {
         if let Some(o) = self.orphans.get_mut(&(id.lookup, id.shard, id.attempt)) {
--- a/crates/query/src/placement.rs
+++ b/crates/query/src/placement.rs
@@ -14,8 +14,8 @@
 use crate::attempt::Attempt;
 use crate::attempt::AttemptState;
 use crate::attempt::Cause;
-use crate::core::Core;
-use crate::core::Timer;
+use crate::engine_state::EngineState;
+use crate::engine_state::Timer;
 use crate::lookup::ActiveLookup;
 use crate::lookup::ShardState;
 
@@ -65,7 +65,7 @@
     ejected: SmallVec<[Candidate; 4]>,
 }
 
-impl Core {
+impl EngineState {
     /// Chooses a server for an attempt at the shard at `pos`.
     pub(crate) fn choose_server(
         &mut self,
@@ -100,7 +100,7 @@
         }
         let shard_number = lk.shards[pos].id.0 as usize;
         let n = self
-            .replica
+            .replica_policy
             .choose(shard_number, &found.free, &mut self.rng);
         found.free.get(n).map(|c| c.server)
     }
@@ -143,7 +143,9 @@
     ) -> Option<Placement> {
         let shard_number = lk.shards[pos].id.0 as usize;
         let mut pick = |candidates: &[Candidate]| {
-            let n = self.replica.choose(shard_number, candidates, &mut self.rng);
+            let n = self
+                .replica_policy
+                .choose(shard_number, candidates, &mut self.rng);
             candidates.get(n).map(|c| Placement::Now(c.server))
         };
         if !found.free.is_empty() {
@@ -172,8 +174,10 @@
         if !any_holds && views().next().is_some() {
             return MissReason::SnapshotGone;
         }
-        match shard.miss {
-            MissReason::Failed | MissReason::Shed if !shard.attempts.is_empty() => shard.miss,
+        match shard.miss_reason {
+            MissReason::Failed | MissReason::Shed if !shard.attempts.is_empty() => {
+                shard.miss_reason
+            }
             _ => MissReason::NoReplica,
         }
     }
@@ -215,10 +219,10 @@
             key: lk.key.clone(),
             page: lk.decl.page,
             budget: lk.answer_by.saturating_duration_since(now),
-            once: lk.is_once(),
-            idempotency_key: lk.idempotency_key.clone().filter(|_| lk.is_once()),
+            once: lk.is_at_most_once(),
+            idempotency_key: lk.idempotency_key.clone().filter(|_| lk.is_at_most_once()),
         }));
-        self.arm_attempt_check(now, lk, server, cause);
+        self.set_attempt_check_timer(now, lk, server, cause);
     }
 
     fn count_attempt(&mut self, lk: &mut ActiveLookup, cause: Cause) {
@@ -227,14 +231,14 @@
             lk.extra_attempts += 1;
         }
         match cause {
-            Cause::First => self.budget.on_initial_attempt(),
+            Cause::First => self.extra_budget.on_initial_attempt(),
             Cause::Hedge => self.counters.hedges += 1,
             Cause::Retry => self.counters.retries += 1,
             Cause::Resend => self.counters.resends += 1,
         }
     }
 
-    fn arm_attempt_check(
+    fn set_attempt_check_timer(
         &mut self,
         now: Instant,
         lk: &mut ActiveLookup,
@@ -245,7 +249,7 @@
             return;
         }
         if let Some(delay) = self.check_delay(lk, server) {
-            self.arm(lk, now + delay);
+            self.set_lookup_timer(lk, now + delay);
         }
     }
 }
--- a/crates/query/src/queue.rs
+++ b/crates/query/src/queue.rs
@@ -7,13 +7,13 @@
 
 use crate::action::Action;
 use crate::attempt::Cause;
-use crate::core::Core;
+use crate::engine_state::EngineState;
 use crate::lookup::ActiveLookup;
 use crate::lookup::ShardState;
 use crate::placement::Placement;
 use crate::wait_queues::QueuedPart;
 
-impl Core {
+impl EngineState {
     /// Queues a shard for these servers.
     pub(crate) fn enqueue(
         &mut self,
--- a/crates/query/src/reply.rs
+++ b/crates/query/src/reply.rs
@@ -10,8 +10,8 @@
 use crate::attempt::AttemptEvent;
 use crate::attempt::AttemptState;
 use crate::attempt::Cause;
-use crate::core::Core;
 use crate::crash_suspects::CrashFinding;
+use crate::engine_state::EngineState;
 use crate::event::PartReply;
 use crate::lifecycle::ShardFailure;
 use crate::lookup::ActiveLookup;
@@ -19,7 +19,7 @@
 use crate::lookup::ShardState;
 use crate::server_reply::ReplyContext;
 
-impl Core {
+impl EngineState {
     /// Records that the first byte of an attempt of a lookup in flight was sent.
     pub(crate) fn on_sent(&mut self, now: Instant, lk: &mut ActiveLookup, id: &AttemptId) {
         let Some((pos, n)) = find_attempt(lk, id) else {
@@ -48,7 +48,7 @@
             return;
         };
         let a = &mut lk.shards[pos].attempts[n];
-        let event = a.event_of(&reply);
+        let event = a.reply_event(&reply);
         let Some(next) = self.chart.next(a.state, event) else {
             self.counters.stray_replies += 1;
             return;
@@ -99,8 +99,10 @@
         let on_server = now.saturating_duration_since(a.sent_at.unwrap_or(a.dispatched_at));
         self.servers.record_latency(now, a.server, on_server);
         let total = now.saturating_duration_since(a.dispatched_at);
-        let distance = self.distance(a.server);
-        self.groups[lk.group].hedge.record_latency(distance, total);
+        let distance = self.server_distance(a.server);
+        self.groups[lk.group]
+            .hedge_policy
+            .record_latency(distance, total);
     }
 
     /// Accepts a part if it is from the pinned snapshot and its shard has none yet.
@@ -119,25 +121,25 @@
         if snapshot != lk.snapshot.id {
             self.counters.wrong_snapshot += 1;
             self.retry_or_abandon(now, lk, pos, ShardFailure::Failed, out);
-            self.resume(now, lk, out);
+            self.resume_held_shards(now, lk, out);
             return;
         }
         self.dequeue(lk, pos);
         let shard = &mut lk.shards[pos];
         match shard.state {
             ShardState::Whole => return,
-            ShardState::Missing => lk.missing -= 1,
+            ShardState::Missing => lk.missing_parts -= 1,
             ShardState::Held | ShardState::Waiting | ShardState::Running => {}
         }
         if shard.attempts[n].cause == Cause::Hedge {
             self.counters.hedges_won += 1;
         }
         shard.state = ShardState::Whole;
-        lk.whole += 1;
+        lk.complete_parts += 1;
         lk.hits += part.hits.len() as u64;
         shard.part = Some(part);
-        self.stop_attempts(now, lk, pos, out);
-        self.resume(now, lk, out);
+        self.cancel_attempts(now, lk, pos, out);
+        self.resume_held_shards(now, lk, out);
     }
 
     /// Records that a server executed the lookup without crashing, which proves it harmless.
@@ -152,14 +154,14 @@
     }
 
     /// Resumes everything that was held back under suspicion.
-    fn resume(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
+    fn resume_held_shards(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
         if lk.is_done {
             return;
         }
         if matches!(lk.phase, Phase::Quiescing(_) | Phase::Canary(_)) {
             self.fan_out(now, lk, out);
         }
-        self.retry_held(now, lk, out);
+        self.retry_held_shards(now, lk, out);
     }
 
     /// Handles an attempt that ended without a part and without a broken connection.
@@ -212,11 +214,11 @@
                 self.refuse(now, lk, refusal, out);
             }
             CrashFinding::Harmless => self.hold_failed_part(now, lk, pos, out),
-            CrashFinding::Suspected if lk.is_once() => {
+            CrashFinding::Suspected if lk.is_at_most_once() => {
                 self.retry_or_abandon(now, lk, pos, ShardFailure::Failed, out)
             }
             CrashFinding::Suspected => {
-                lk.shards[pos].miss = MissReason::Failed;
+                lk.shards[pos].miss_reason = MissReason::Failed;
                 self.quiesce(now, lk, out);
             }
         }
@@ -225,7 +227,7 @@
 
 /// Returns the positions of an attempt's shard and of the attempt within it.
 fn find_attempt(lk: &ActiveLookup, id: &AttemptId) -> Option<(usize, usize)> {
-    let pos = lk.position(id.shard)?;
+    let pos = lk.shard_position(id.shard)?;
     let n = usize::from(id.attempt.checked_sub(lk.first_attempt_number)?);
     (n < lk.shards[pos].attempts.len()).then_some((pos, n))
 }
--- a/crates/query/src/server_reply.rs
+++ b/crates/query/src/server_reply.rs
@@ -8,9 +8,9 @@
 use gs_types::prelude::*;
 
 use crate::action::Action;
-use crate::core::Core;
 use crate::crash_suspects::Crash;
 use crate::crash_suspects::CrashFinding;
+use crate::engine_state::EngineState;
 use crate::event::PartReply;
 
 /// The number of crashes of a suspect that are announced to peers, each by a notice of its own.
@@ -26,7 +26,7 @@
     pub(crate) was_live: bool,
 }
 
-impl Core {
+impl EngineState {
     /// Records contact with a server, unless the attempt ended on this VM alone: not sent, timed out or
     /// cancelled.
     pub(crate) fn note_contact(&mut self, now: Instant, reply: &PartReply, server: ServerIdx) {
@@ -52,7 +52,7 @@
         }
         self.servers.on_success(now, context.server, load);
         if draining {
-            self.on_own_drain(context.server, out);
+            self.on_self_reported_drain(context.server, out);
         }
     }
 
@@ -70,7 +70,7 @@
         let server = context.server;
         match reply {
             PartReply::Shed { retry_after } => self.servers.on_shed(now, server, *retry_after),
-            PartReply::Draining => self.on_own_drain(server, out),
+            PartReply::Draining => self.on_self_reported_drain(server, out),
             PartReply::NoSnapshot { holds } => self.update_held_snapshots(now, server, holds),
             PartReply::NotSent if context.was_live => {
                 self.servers
--- a/crates/query/src/timers.rs
+++ b/crates/query/src/timers.rs
@@ -9,8 +9,8 @@
 
 use crate::action::Action;
 use crate::attempt::Cause;
-use crate::core::Core;
-use crate::core::Timer;
+use crate::engine_state::EngineState;
+use crate::engine_state::Timer;
 use crate::finish::RETRY_AFTER;
 use crate::lifecycle::ShardFailure;
 use crate::lookup::ActiveLookup;
@@ -25,16 +25,18 @@
 /// counts as lost; most of the budget is then left for another.
 const LOSS_TIMEOUT_DIVISOR: u32 = 4;
 
-impl Core {
+impl EngineState {
     /// Returns the time after an attempt's dispatch at which it is hedged or timed out; `None` for never.
     pub(crate) fn check_delay(&self, lk: &ActiveLookup, server: ServerIdx) -> Option<Duration> {
-        if lk.is_once() {
+        if lk.is_at_most_once() {
             return None;
         }
         match self.options.policy {
             PolicyName::Baseline => Some(self.options.attempt_timeout),
             PolicyName::Chosen => {
-                let learned = self.groups[lk.group].hedge.delay(self.distance(server));
+                let learned = self.groups[lk.group]
+                    .hedge_policy
+                    .delay(self.server_distance(server));
                 let loss = loss_timeout(lk);
                 Some(learned.map_or(loss, |delay| delay.min(loss)))
             }
@@ -42,7 +44,7 @@
     }
 
     /// Returns whether a server is in this or another data centre.
-    pub(crate) fn distance(&self, server: ServerIdx) -> Distance {
+    pub(crate) fn server_distance(&self, server: ServerIdx) -> Distance {
         if self.servers.view(server).is_local() {
             Distance::SameDataCentre
         } else {
@@ -52,13 +54,13 @@
 
     /// Handles the expiry of a lookup's timer.
     pub(crate) fn on_timer(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
-        lk.timer = None;
+        lk.timer_at = None;
         if now >= lk.answer_by {
             self.on_deadline(now, lk, out);
             return;
         }
         if lk.held_until.is_some_and(|until| until <= now) {
-            self.retry_held(now, lk, out);
+            self.retry_held_shards(now, lk, out);
         }
         if lk.phase == Phase::Running {
             self.check_attempts(now, lk, out);
@@ -71,7 +73,7 @@
             Phase::Quiescing(until) => until,
             _ => lk.held_until.unwrap_or(lk.answer_by),
         };
-        self.arm(lk, next);
+        self.set_lookup_timer(lk, next);
     }
 
     /// Ends a lookup at its deadline with the parts that have arrived.
@@ -135,7 +137,7 @@
                 });
             }
         }
-        self.arm(lk, next);
+        self.set_lookup_timer(lk, next);
     }
 
     /// Makes an attempt in parallel with a slow one, or times the slow one out and retries it;
@@ -152,19 +154,19 @@
         out: &mut Vec<Action>,
     ) -> bool {
         if self.options.policy == PolicyName::Baseline {
-            self.stop_attempts(now, lk, pos, out);
+            self.cancel_attempts(now, lk, pos, out);
             self.retry_or_abandon(now, lk, pos, ShardFailure::Failed, out);
             return true;
         }
-        if self.admission.is_overloaded(now) {
+        if self.admission_policy.is_overloaded(now) {
             return false;
         }
         let Some(server) = self.choose_hedge_server(now, lk, pos) else {
             return false;
         };
         let is_within_budget = match is_lost {
-            true => self.budget.take_retries(now, 1),
-            false => self.budget.take_hedge(now),
+            true => self.extra_budget.take_retries(now, 1),
+            false => self.extra_budget.take_hedge(now),
         };
         if !is_within_budget {
             self.counters.extra_refused += 1;
@@ -180,7 +182,7 @@
         let expired: Vec<_> = self
             .orphans
             .iter()
-            .filter(|(_, o)| o.expires <= now)
+            .filter(|(_, o)| o.expires_at <= now)
             .map(|(key, o)| (*key, o.server))
             .collect();
         for (key, server) in expired {
@@ -193,7 +195,7 @@
             self.servers.on_release(server);
             self.freed_servers.push(server);
         }
-        if let Some(next) = self.orphans.values().map(|o| o.expires).min() {
+        if let Some(next) = self.orphans.values().map(|o| o.expires_at).min() {
             self.timers.insert((next, Timer::Orphans));
         }
     }
@@ -201,7 +203,7 @@
 
 /// Returns the time after which an attempt of this lookup without a reply counts as lost.
 fn loss_timeout(lk: &ActiveLookup) -> Duration {
-    lk.answer_by.saturating_duration_since(lk.arrived) / LOSS_TIMEOUT_DIVISOR
+    lk.answer_by.saturating_duration_since(lk.arrived_at) / LOSS_TIMEOUT_DIVISOR
 }
 
 /// Returns the dispatch time and server of the shard's only live attempt; `None` if there is not
