--- a/crates/route/src/incarnations.rs
+++ b/crates/route/src/incarnations.rs
@@ -44,7 +44,7 @@
         idx: ServerIdx,
         report: HealthReport<'_>,
     ) -> ReportEffect {
-        let view = &mut self.list[idx.index()];
+        let view = &mut self.views[idx.index()];
         view.is_silent = report.incarnation.is_none();
         let Some(reported) = report.incarnation else {
             return ReportEffect::Nothing;
@@ -70,7 +70,7 @@
     }
 
     fn apply_reported_state(&mut self, now: Instant, idx: ServerIdx, report: HealthReport<'_>) {
-        let view = &mut self.list[idx.index()];
+        let view = &mut self.views[idx.index()];
         if view.load_reported_at.is_none() {
             view.load = report.load;
         }
@@ -91,7 +91,7 @@
     /// failures, ejection or backoff of the previous one.
     fn begin_incarnation(&mut self, now: Instant, idx: ServerIdx) {
         self.apply_event(idx, ServerEvent::NewRun);
-        let view = &mut self.list[idx.index()];
+        let view = &mut self.views[idx.index()];
         view.incarnation_since = Some(now);
         view.slow_start_since = Some(now);
         view.snapshots = Some(SmallVec::new());
@@ -113,7 +113,7 @@
     /// A notice about an earlier incarnation than the current one is ignored. A notice without an
     /// incarnation applies to the current one; if it is repeated after a restart it is ignored too.
     pub fn drain(&mut self, idx: ServerIdx, incarnation: Option<Incarnation>) -> bool {
-        let view = &mut self.list[idx.index()];
+        let view = &mut self.views[idx.index()];
         match incarnation {
             Some(named) if view.incarnation.is_some_and(|known| named < known) => return false,
             Some(named) => view.incarnation = Some(named),
--- a/crates/route/src/lost_servers.rs
+++ b/crates/route/src/lost_servers.rs
@@ -15,7 +15,7 @@
 impl Servers {
     /// Records that a reply arrived from a server; it is no longer lost.
     pub fn note_contact(&mut self, now: Instant, idx: ServerIdx) {
-        let view = &mut self.list[idx.index()];
+        let view = &mut self.views[idx.index()];
         view.last_contact = Some(now);
         if view.lost_at.take().is_some() {
             log::info!("event=server-answers server={}", view.decl.name);
@@ -25,7 +25,7 @@
     /// Records that an attempt that began at `begun` was abandoned at its deadline; its server is lost if
     /// no reply at all arrived from it since.
     pub fn note_unanswered(&mut self, now: Instant, idx: ServerIdx, begun: Instant) {
-        let view = &mut self.list[idx.index()];
+        let view = &mut self.views[idx.index()];
         if view.last_contact.is_some_and(|at| at >= begun) {
             return;
         }
--- a/crates/route/src/servers.rs
+++ b/crates/route/src/servers.rs
@@ -46,9 +46,9 @@
 /// The state of all backend servers.
 #[derive(Debug)]
 pub struct Servers {
-    pub(crate) list: Vec<ServerView>,
-    names: BTreeMap<ServerName, ServerIdx>,
-    services: BTreeMap<ServiceName, SmallVec<[ServerIdx; 4]>>,
+    pub(crate) views: Vec<ServerView>,
+    indices_by_name: BTreeMap<ServerName, ServerIdx>,
+    indices_by_service: BTreeMap<ServiceName, SmallVec<[ServerIdx; 4]>>,
     pub(crate) undeclared: BTreeMap<ServerName, UndeclaredServer>,
     /// The number of changes that affect which snapshots can be pinned: held snapshots and drains.
     pub(crate) snapshot_changes: u64,
@@ -65,9 +65,9 @@
     /// [`ErrorKind::BadInput`] if the embedded state machine definition is invalid.
     pub fn new(data_centre: DataCentre, options: RouteOptions) -> Result<Self> {
         Ok(Self {
-            list: Vec::new(),
-            names: BTreeMap::new(),
-            services: BTreeMap::new(),
+            views: Vec::new(),
+            indices_by_name: BTreeMap::new(),
+            indices_by_service: BTreeMap::new(),
             undeclared: BTreeMap::new(),
             snapshot_changes: 0,
             data_centre,
@@ -79,19 +79,22 @@
     /// Applies a declaration; a known server of that name keeps its state.
     pub fn declare(&mut self, decl: &Arc<ServerDecl>) -> ServerIdx {
         let is_local = decl.data_centre == self.data_centre;
-        let idx = match self.names.get(&decl.name) {
+        let idx = match self.indices_by_name.get(&decl.name) {
             Some(idx) => *idx,
             None => self.add(decl, is_local),
         };
-        let view = &mut self.list[idx.index()];
+        let view = &mut self.views[idx.index()];
         if view.decl.service != decl.service
-            && let Some(old) = self.services.get_mut(&view.decl.service)
+            && let Some(old) = self.indices_by_service.get_mut(&view.decl.service)
         {
             old.retain(|i| *i != idx);
         }
         view.decl = Arc::clone(decl);
         view.is_local = is_local;
-        let members = self.services.entry(decl.service.clone()).or_default();
+        let members = self
+            .indices_by_service
+            .entry(decl.service.clone())
+            .or_default();
         if !members.contains(&idx) {
             members.push(idx);
         }
@@ -100,10 +103,10 @@
 
     fn add(&mut self, decl: &Arc<ServerDecl>, is_local: bool) -> ServerIdx {
         // A group map is at most a megabyte, so there are far fewer than 2^32 servers.
-        let idx = ServerIdx(self.list.len() as u32);
+        let idx = ServerIdx(self.views.len() as u32);
         let view = ServerView::new(Arc::clone(decl), is_local, self.chart.initial());
-        self.list.push(view);
-        self.names.insert(decl.name.clone(), idx);
+        self.views.push(view);
+        self.indices_by_name.insert(decl.name.clone(), idx);
         self.snapshot_changes += 1;
         if let Some(undeclared) = self.undeclared.remove(&decl.name) {
             self.apply_undeclared(idx, undeclared);
@@ -114,24 +117,26 @@
     /// Returns the index of a server; `None` if it was never declared.
     #[must_use]
     pub fn find(&self, name: &ServerName) -> Option<ServerIdx> {
-        self.names.get(name).copied()
+        self.indices_by_name.get(name).copied()
     }
 
     /// Returns the state of a server.
     #[must_use]
     pub fn view(&self, idx: ServerIdx) -> &ServerView {
-        &self.list[idx.index()]
+        &self.views[idx.index()]
     }
 
     /// Returns all servers in the order of their names.
     pub fn by_name(&self) -> impl Iterator<Item = (ServerIdx, &ServerView)> {
-        self.names.values().map(|idx| (*idx, self.view(*idx)))
+        self.indices_by_name
+            .values()
+            .map(|idx| (*idx, self.view(*idx)))
     }
 
     /// Returns the number of servers.
     #[must_use]
     pub fn count(&self) -> usize {
-        self.list.len()
+        self.views.len()
     }
 
     /// Returns the number of changes that affect which snapshots can be pinned.
@@ -154,12 +159,12 @@
 
     /// Sets how many connections this VM may open to a server.
     pub fn set_share(&mut self, idx: ServerIdx, share: Connections) {
-        self.list[idx.index()].connection_share = share;
+        self.views[idx.index()].connection_share = share;
     }
 
     /// Records that a connection was opened or closed.
     pub fn on_connection_change(&mut self, idx: ServerIdx, opened: bool) {
-        let view = &mut self.list[idx.index()];
+        let view = &mut self.views[idx.index()];
         view.open_connections = if opened {
             view.open_connections.saturating_add(1)
         } else {
@@ -170,7 +175,7 @@
     /// Records that an attempt was dispatched; it holds a connection until [`Servers::on_release`].
     pub fn on_dispatch(&mut self, now: Instant, idx: ServerIdx) {
         let warm = self.view(idx).slow_start_progress(now, &self.options) >= 1.0;
-        let view = &mut self.list[idx.index()];
+        let view = &mut self.views[idx.index()];
         view.in_flight += 1;
         // One attempt at a lost server shows whether it is back; further ones would only wait.
         view.lost_at = view.lost_at.map(|_| now);
@@ -183,13 +188,13 @@
 
     /// Records that the connection of an attempt is free again or closed.
     pub fn on_release(&mut self, idx: ServerIdx) {
-        let view = &mut self.list[idx.index()];
+        let view = &mut self.views[idx.index()];
         view.in_flight = view.in_flight.saturating_sub(1);
     }
 
     /// Records that a server returned a complete part with this load.
     pub fn on_success(&mut self, now: Instant, idx: ServerIdx, load: u32) {
-        let view = &mut self.list[idx.index()];
+        let view = &mut self.views[idx.index()];
         view.failure_weight = 0;
         view.connection_failures = 0;
         view.consecutive_ejections = 0;
@@ -203,7 +208,7 @@
 
     /// Records the latency of an attempt that was sent, or the time after which it was abandoned.
     pub fn record_latency(&mut self, now: Instant, idx: ServerIdx, latency: Duration) {
-        self.list[idx.index()].latency.add(now, latency);
+        self.views[idx.index()].latency.add(now, latency);
     }
 
     /// Records a failed attempt at a server.
@@ -211,7 +216,7 @@
     /// A server that is down refuses connections within a millisecond. Without a pause, a part whose
     /// replicas all restart at the same time would use up its tries long before they are back.
     pub fn on_failure(&mut self, now: Instant, idx: ServerIdx, failure: ServerFailure) {
-        let view = &mut self.list[idx.index()];
+        let view = &mut self.views[idx.index()];
         view.failure_weight = view.failure_weight.saturating_add(failure.weight());
         if failure != ServerFailure::ErrorReply {
             let pause = CONNECTION_FAILURE_PAUSE.saturating_mul(
@@ -239,7 +244,7 @@
     /// A false signal at every replica, such as a lookup that fails everywhere, would otherwise eject
     /// the complete service; so at most half of its replicas, and never all, are ejected at a time.
     fn is_ejection_allowed(&self, idx: ServerIdx) -> bool {
-        let Some(members) = self.services.get(&self.view(idx).decl.service) else {
+        let Some(members) = self.indices_by_service.get(&self.view(idx).decl.service) else {
             return false;
         };
         let is_out = |i: &&ServerIdx| {
@@ -253,7 +258,7 @@
 
     fn eject(&mut self, now: Instant, idx: ServerIdx, event: ServerEvent) {
         let options = &self.options;
-        let view = &mut self.list[idx.index()];
+        let view = &mut self.views[idx.index()];
         let ejection = options
             .ejection_min
             .saturating_mul(1 << view.consecutive_ejections.min(EJECTION_DOUBLINGS_MAX))
@@ -265,7 +270,7 @@
 
     /// Records that a server shed load and requested a pause.
     pub fn on_shed(&mut self, now: Instant, idx: ServerIdx, retry_after: Duration) {
-        let view = &mut self.list[idx.index()];
+        let view = &mut self.views[idx.index()];
         let until = now + retry_after.min(SHED_PAUSE_MAX);
         view.paused_until = view.paused_until.max(Some(until));
     }
@@ -279,7 +284,7 @@
         holds: &[SnapshotId],
     ) -> bool {
         let until = now + self.options.self_report_lifetime;
-        let view = &mut self.list[idx.index()];
+        let view = &mut self.views[idx.index()];
         view.self_report_until = Some(until);
         if view
             .snapshots
@@ -294,7 +299,7 @@
     }
 
     pub(crate) fn apply_event(&mut self, idx: ServerIdx, event: ServerEvent) {
-        let view = &mut self.list[idx.index()];
+        let view = &mut self.views[idx.index()];
         let Some(next) = self.chart.next(view.state, event) else {
             return;
         };
