--- a/crates/query/src/arrival.rs
+++ b/crates/query/src/arrival.rs
@@ -19,7 +19,7 @@
 use crate::finish::RETRY_AFTER;
 use crate::finish::not_run_outcome;
 use crate::lookup::ActiveLookup;
-use crate::lookup::Phase;
+use crate::lookup::LookupPhase;
 
 /// The divisor of a lookup's time budget that gives the margin for merging and sending the answer.
 const ANSWER_MARGIN_DIVISOR: u32 = 20;
@@ -81,8 +81,8 @@
         let margin = (budget / ANSWER_MARGIN_DIVISOR).clamp(ANSWER_MARGIN_MIN, ANSWER_MARGIN_MAX);
         let answer_by = now + budget.saturating_sub(margin);
         let phase = match decl.promise {
-            Promise::AtMostOnce => Phase::Claiming,
-            Promise::Urgent | Promise::Complete => Phase::Running,
+            Promise::AtMostOnce => LookupPhase::Claiming,
+            Promise::Urgent | Promise::Complete => LookupPhase::Running,
         };
         let mut lk = ActiveLookup {
             seq,
@@ -143,7 +143,7 @@
 
     /// Refuses a quarantined lookup; returns whether a suspect must send a canary first.
     fn check_suspicion(&self, now: Instant, fp: Fingerprint) -> Result<bool, ArrivalRefusal> {
-        match self.crash_suspects.status(now, fp) {
+        match self.crash_suspects.suspect_status(now, fp) {
             SuspectStatus::Clear => Ok(false),
             SuspectStatus::Canary => Ok(true),
             SuspectStatus::Refused(retry) => {
@@ -255,7 +255,7 @@
             if !view.is_eligible(lk.snapshot.id) {
                 continue;
             }
-            queued = queued.max(self.wait_queues.len(*server));
+            queued = queued.max(self.wait_queues.waiting_count(*server));
             connections += view.connection_share().0;
             latency = latency.min(view.latency().aged_micros(now).unwrap_or(0.0));
         }
--- a/crates/query/src/attempt.rs
+++ b/crates/query/src/attempt.rs
@@ -100,7 +100,7 @@
     /// When its first byte was sent; kept while the attempt is stopping.
     pub(crate) sent_at: Option<Instant>,
     /// Whether its connection broke; the server is not queried again for this shard of the lookup.
-    pub(crate) broken: bool,
+    pub(crate) connection_broke: bool,
 }
 
 impl Attempt {
--- a/crates/query/src/canary.rs
+++ b/crates/query/src/canary.rs
@@ -12,7 +12,7 @@
 use crate::engine_state::EngineState;
 use crate::lifecycle::ShardFailure;
 use crate::lookup::ActiveLookup;
-use crate::lookup::Phase;
+use crate::lookup::LookupPhase;
 use crate::lookup::ShardState;
 
 /// The maximum time to wait for attempts in flight to end before a suspect's canary is sent.
@@ -49,7 +49,7 @@
             } else {
                 Cause::Retry
             };
-            lk.phase = Phase::Canary(pos);
+            lk.phase = LookupPhase::Canary(pos);
             self.try_shard(now, lk, pos, cause, out);
             if lk.shards[pos].is_open() {
                 self.counters.canaries += 1;
@@ -66,7 +66,7 @@
     pub(crate) fn quiesce(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
         self.crash_suspects
             .assign_canary(now, lk.fingerprint, lk.seq);
-        lk.phase = Phase::Quiescing(now + QUIESCE_MAX);
+        lk.phase = LookupPhase::Quiescing(now + QUIESCE_MAX);
         for pos in 0..lk.shards.len() {
             self.dequeue(lk, pos);
             self.cancel_attempts(now, lk, pos, out);
@@ -84,7 +84,7 @@
         lk: &mut ActiveLookup,
         out: &mut Vec<Action>,
     ) {
-        let Phase::Quiescing(until) = lk.phase else {
+        let LookupPhase::Quiescing(until) = lk.phase else {
             return;
         };
         let is_quiescent = !lk
@@ -130,7 +130,7 @@
         lk: &mut ActiveLookup,
         out: &mut Vec<Action>,
     ) {
-        if lk.held_until.take().is_none() || lk.phase != Phase::Running {
+        if lk.held_until.take().is_none() || lk.phase != LookupPhase::Running {
             return;
         }
         for pos in 0..lk.shards.len() {
@@ -158,7 +158,7 @@
     }
 
     fn canary_risk(&self, now: Instant, lk: &ActiveLookup, pos: usize) -> CanaryRisk {
-        if lk.shards[pos].attempts.iter().any(|a| a.broken) {
+        if lk.shards[pos].attempts.iter().any(|a| a.connection_broke) {
             return CanaryRisk::AlreadyCrashed;
         }
         let usable = lk
--- a/crates/query/src/claim.rs
+++ b/crates/query/src/claim.rs
@@ -10,7 +10,7 @@
 use crate::event::ClaimDecision;
 use crate::finish::RETRY_AFTER;
 use crate::lookup::ActiveLookup;
-use crate::lookup::Phase;
+use crate::lookup::LookupPhase;
 
 impl EngineState {
     /// Requests the claim, without which nothing is sent.
@@ -39,7 +39,7 @@
         decision: ClaimDecision,
         out: &mut Vec<Action>,
     ) {
-        if lk.phase != Phase::Claiming {
+        if lk.phase != LookupPhase::Claiming {
             return;
         }
         let refusal = |reason, retry| Refusal::new(reason, retry);
@@ -65,7 +65,7 @@
         if let Some(pin) = view.pin(&self.servers, lk.snapshot_min, None) {
             lk.pin_snapshot(pin.snapshot);
         }
-        lk.phase = Phase::Running;
+        lk.phase = LookupPhase::Running;
         self.start_lookup(now, lk, out);
     }
 }
--- a/crates/query/src/crash_suspects.rs
+++ b/crates/query/src/crash_suspects.rs
@@ -126,7 +126,7 @@
     }
 
     /// Returns how to treat an arriving lookup.
-    pub(crate) fn status(&self, now: Instant, fp: Fingerprint) -> SuspectStatus {
+    pub(crate) fn suspect_status(&self, now: Instant, fp: Fingerprint) -> SuspectStatus {
         let Some(s) = self.suspects.get(&fp).filter(|s| s.expires_at > now) else {
             let is_suspicion_raised = self.suspicion_until.is_some_and(|until| until > now);
             return if is_suspicion_raised && !self.is_proven(now, fp) {
@@ -179,7 +179,7 @@
     ) -> CrashFinding {
         let proven = self.is_proven(now, fp);
         let expires_at = now + self.window;
-        let s = self.entry(now, fp);
+        let s = self.suspect_entry(now, fp);
         s.expires_at = s.expires_at.max(expires_at);
         if !s.crashed.contains(crash.server) {
             s.crashed.push(crash.server.clone());
@@ -249,13 +249,13 @@
         }
         let quarantine = quarantine.min(self.quarantine.saturating_mul(2));
         let expires_at = now + self.window;
-        let s = self.entry(now, fp);
+        let s = self.suspect_entry(now, fp);
         s.reported_crashes = s.reported_crashes.max(crashes);
         s.expires_at = s.expires_at.max(expires_at);
         if quarantine > Duration::ZERO {
             self.quarantine(now, fp, quarantine);
         } else {
-            let s = self.entry(now, fp);
+            let s = self.suspect_entry(now, fp);
             s.refused_until = s.refused_until.max(Some(now + CANARY_WAIT));
         }
     }
@@ -283,14 +283,14 @@
         self.proven.remove(&fp);
         self.proven_order.retain(|f| *f != fp);
         let window = self.window;
-        let s = self.entry(now, fp);
+        let s = self.suspect_entry(now, fp);
         s.refused_until = s.refused_until.max(Some(now + quarantine));
         // It stays a suspect for another window after its quarantine, so that its next submission
         // is a canary.
         s.expires_at = s.expires_at.max(now + quarantine + window);
     }
 
-    fn entry(&mut self, now: Instant, fp: Fingerprint) -> &mut Suspect {
+    fn suspect_entry(&mut self, now: Instant, fp: Fingerprint) -> &mut Suspect {
         if !self.suspects.contains_key(&fp) && self.suspects.len() >= SUSPECTS_MAX {
             self.evict_suspect(now);
         }
--- a/crates/query/src/dump.rs
+++ b/crates/query/src/dump.rs
@@ -116,7 +116,7 @@
                 .take(DUMPED_LOOKUPS_MAX)
                 .map(|lk| dump_lookup(now, lk))
                 .collect(),
-            waiting: state.wait_queues.parts(),
+            waiting: state.wait_queues.total_waiting(),
             orphans: state.orphans.len(),
             extra_left: state.extra_budget.available(),
             admission: state.admission_policy.dump(now),
--- a/crates/query/src/engine.rs
+++ b/crates/query/src/engine.rs
@@ -17,7 +17,7 @@
 use crate::counters::Counters;
 use crate::engine_state::EngineState;
 use crate::engine_state::GroupState;
-use crate::engine_state::Timer;
+use crate::engine_state::TimerPurpose;
 use crate::event::Arrival;
 use crate::event::Event;
 use crate::event::PartReply;
@@ -263,11 +263,11 @@
             }
             self.state.timers.remove(&(at, timer));
             match timer {
-                Timer::Lookup(seq) => {
+                TimerPurpose::Lookup(seq) => {
                     self.with_lookup(seq, |state, lk| state.on_timer(now, lk, out))
                 }
-                Timer::Server(server) => self.state.freed_servers.push(server),
-                Timer::Orphans => self.state.release_expired_orphans(now),
+                TimerPurpose::Server(server) => self.state.freed_servers.push(server),
+                TimerPurpose::Orphans => self.state.release_expired_orphans(now),
             }
         }
     }
@@ -287,17 +287,19 @@
     }
 
     fn requeue_waiting(&mut self, now: Instant, server: ServerIdx, out: &mut Vec<Action>) {
-        for part in self.state.wait_queues.all(server) {
+        for part in self.state.wait_queues.waiting_parts(server) {
             self.with_lookup(part.seq, |state, lk| state.requeue(now, lk, part.pos, out));
         }
     }
 
     fn dispatch_waiting(&mut self, now: Instant, server: ServerIdx, out: &mut Vec<Action>) {
-        while let Some(part) = self.state.wait_queues.first(server) {
+        while let Some(part) = self.state.wait_queues.next_part(server) {
             match self.state.servers.dispatch_status(now, server) {
                 DispatchStatus::Free => {}
                 DispatchStatus::Paused(until) | DispatchStatus::Ejected(until) => {
-                    self.state.timers.insert((until, Timer::Server(server)));
+                    self.state
+                        .timers
+                        .insert((until, TimerPurpose::Server(server)));
                     return;
                 }
                 DispatchStatus::Busy | DispatchStatus::Draining => return,
--- a/crates/query/src/engine_state.rs
+++ b/crates/query/src/engine_state.rs
@@ -63,7 +63,7 @@
 
 /// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Timer {
+pub(crate) enum TimerPurpose {
     /// A lookup's deadline, hedge or canary.
     Lookup(LookupSeq),
     /// The end of a server's pause or ejection, for which parts wait.
@@ -90,7 +90,7 @@
     pub(crate) extra_budget: ExtraBudget,
     pub(crate) wait_queues: WaitQueues,
     pub(crate) orphans: BTreeMap<AttemptKey, Orphan>,
-    pub(crate) timers: BTreeSet<(Instant, Timer)>,
+    pub(crate) timers: BTreeSet<(Instant, TimerPurpose)>,
     pub(crate) crash_suspects: CrashSuspects,
     pub(crate) connection_losses: ConnectionLosses,
     pub(crate) is_leaving: bool,
@@ -168,18 +168,18 @@
         match lk.timer_at {
             Some(planned) if planned <= at => return,
             Some(planned) => {
-                self.timers.remove(&(planned, Timer::Lookup(lk.seq)));
+                self.timers.remove(&(planned, TimerPurpose::Lookup(lk.seq)));
             }
             None => {}
         }
         lk.timer_at = Some(at);
-        self.timers.insert((at, Timer::Lookup(lk.seq)));
+        self.timers.insert((at, TimerPurpose::Lookup(lk.seq)));
     }
 
     /// Removes a lookup's timer.
     pub(crate) fn clear_lookup_timer(&mut self, lk: &mut ActiveLookup) {
         if let Some(at) = lk.timer_at.take() {
-            self.timers.remove(&(at, Timer::Lookup(lk.seq)));
+            self.timers.remove(&(at, TimerPurpose::Lookup(lk.seq)));
         }
     }
 
--- a/crates/query/src/finish.rs
+++ b/crates/query/src/finish.rs
@@ -10,9 +10,9 @@
 use crate::attempt::AttemptState;
 use crate::engine_state::EngineState;
 use crate::engine_state::Orphan;
-use crate::engine_state::Timer;
+use crate::engine_state::TimerPurpose;
 use crate::lookup::ActiveLookup;
-use crate::lookup::Phase;
+use crate::lookup::LookupPhase;
 use crate::lookup::ShardState;
 use crate::merge;
 
@@ -33,7 +33,7 @@
         lk: &mut ActiveLookup,
         out: &mut Vec<Action>,
     ) {
-        if lk.is_done || lk.phase == Phase::Claiming {
+        if lk.is_done || lk.phase == LookupPhase::Claiming {
             return;
         }
         if std::mem::take(&mut lk.wants_restart) && self.restart(now, lk, out) {
@@ -188,7 +188,7 @@
             }
         }
         if was_empty && !self.orphans.is_empty() {
-            self.timers.insert((expires_at, Timer::Orphans));
+            self.timers.insert((expires_at, TimerPurpose::Orphans));
         }
     }
 }
--- a/crates/query/src/lifecycle.rs
+++ b/crates/query/src/lifecycle.rs
@@ -12,7 +12,7 @@
 use crate::attempt::Cause;
 use crate::engine_state::EngineState;
 use crate::lookup::ActiveLookup;
-use crate::lookup::Phase;
+use crate::lookup::LookupPhase;
 use crate::lookup::ShardState;
 use crate::placement::Placement;
 
@@ -45,7 +45,7 @@
 
     /// Starts every shard that is held.
     pub(crate) fn fan_out(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
-        lk.phase = Phase::Running;
+        lk.phase = LookupPhase::Running;
         for pos in 0..lk.shards.len() {
             if lk.is_unanswerable() {
                 break;
@@ -151,10 +151,12 @@
             return;
         }
         match lk.phase {
-            Phase::Quiescing(_) => self.check_quiesced(now, lk, out),
+            LookupPhase::Quiescing(_) => self.check_quiesced(now, lk, out),
             // The canary was inconclusive; another shard takes its place.
-            Phase::Canary(pos) if !lk.shards[pos].is_open() => self.begin_canary(now, lk, out),
-            Phase::Canary(_) | Phase::Claiming | Phase::Running => {}
+            LookupPhase::Canary(pos) if !lk.shards[pos].is_open() => {
+                self.begin_canary(now, lk, out)
+            }
+            LookupPhase::Canary(_) | LookupPhase::Claiming | LookupPhase::Running => {}
         }
         self.finish_if_done(now, lk, out);
     }
--- a/crates/query/src/lookup.rs
+++ b/crates/query/src/lookup.rs
@@ -16,7 +16,7 @@
 
 /// The phase of a lookup.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Phase {
+pub(crate) enum LookupPhase {
     /// Waits for the claim of an at-most-once lookup.
     Claiming,
     /// A server crashed under it before any part arrived: all attempts are cancelled, and the
@@ -54,7 +54,7 @@
     /// The reason to report if no part arrives.
     pub(crate) miss_reason: MissReason,
     /// The servers in whose queues it waits.
-    pub(crate) queued_at: SmallVec<[ServerIdx; 2]>,
+    pub(crate) queue_servers: SmallVec<[ServerIdx; 2]>,
     /// The cause of the queued attempt.
     pub(crate) queued_cause: Cause,
 }
@@ -67,7 +67,7 @@
             part: None,
             attempts: SmallVec::new(),
             miss_reason: MissReason::Late,
-            queued_at: SmallVec::new(),
+            queue_servers: SmallVec::new(),
             queued_cause: Cause::First,
         }
     }
@@ -105,7 +105,7 @@
     pub(crate) arrived_at: Instant,
     /// The latest time at which its answer is sent.
     pub(crate) answer_by: Instant,
-    pub(crate) phase: Phase,
+    pub(crate) phase: LookupPhase,
     pub(crate) snapshot: Arc<Snapshot>,
     pub(crate) shards: Vec<LookupShard>,
     /// The latest time at which failed parts that are held are retried.
--- a/crates/query/src/placement.rs
+++ b/crates/query/src/placement.rs
@@ -15,7 +15,7 @@
 use crate::attempt::AttemptState;
 use crate::attempt::Cause;
 use crate::engine_state::EngineState;
-use crate::engine_state::Timer;
+use crate::engine_state::TimerPurpose;
 use crate::lookup::ActiveLookup;
 use crate::lookup::ShardState;
 
@@ -47,7 +47,7 @@
             AttemptState::Handed | AttemptState::Sent | AttemptState::Stopping => {
                 return PriorAttempt::Excluded;
             }
-            _ if a.broken => return PriorAttempt::Excluded,
+            _ if a.connection_broke => return PriorAttempt::Excluded,
             AttemptState::Whole | AttemptState::NotRun | AttemptState::Failed => {
                 found = PriorAttempt::Failed;
             }
@@ -94,7 +94,9 @@
         pos: usize,
     ) -> Option<ServerIdx> {
         let mut found = self.usable_replicas(now, lk, pos, PriorAttempt::Untried);
-        found.free.retain(|c| self.wait_queues.len(c.server) == 0);
+        found
+            .free
+            .retain(|c| self.wait_queues.waiting_count(c.server) == 0);
         if found.free.is_empty() {
             return None;
         }
@@ -159,7 +161,7 @@
                 .flatten();
         }
         for (until, server) in &found.paused {
-            self.timers.insert((*until, Timer::Server(*server)));
+            self.timers.insert((*until, TimerPurpose::Server(*server)));
         }
         let mut wait = found.busy;
         wait.extend(found.paused.iter().map(|(_, s)| *s));
@@ -205,7 +207,7 @@
             cause,
             dispatched_at: now,
             sent_at: None,
-            broken: false,
+            connection_broke: false,
         });
         let shard = shard.id;
         lk.may_have_run += 1;
--- a/crates/query/src/queue.rs
+++ b/crates/query/src/queue.rs
@@ -30,7 +30,7 @@
         self.wait_queues.add(part, &servers);
         let shard = &mut lk.shards[pos];
         shard.state = ShardState::Waiting;
-        shard.queued_at = servers;
+        shard.queue_servers = servers;
         shard.queued_cause = cause;
     }
 
@@ -89,7 +89,7 @@
         };
         let shard = &mut lk.shards[pos];
         shard.state = ShardState::Held;
-        self.wait_queues.remove(&part, &shard.queued_at);
-        shard.queued_at.clear();
+        self.wait_queues.remove(&part, &shard.queue_servers);
+        shard.queue_servers.clear();
     }
 }
--- a/crates/query/src/reply.rs
+++ b/crates/query/src/reply.rs
@@ -15,7 +15,7 @@
 use crate::event::PartReply;
 use crate::lifecycle::ShardFailure;
 use crate::lookup::ActiveLookup;
-use crate::lookup::Phase;
+use crate::lookup::LookupPhase;
 use crate::lookup::ShardState;
 use crate::server_reply::ReplyContext;
 
@@ -158,7 +158,7 @@
         if lk.is_done {
             return;
         }
-        if matches!(lk.phase, Phase::Quiescing(_) | Phase::Canary(_)) {
+        if matches!(lk.phase, LookupPhase::Quiescing(_) | LookupPhase::Canary(_)) {
             self.fan_out(now, lk, out);
         }
         self.retry_held_shards(now, lk, out);
@@ -198,7 +198,7 @@
         context: ReplyContext,
         out: &mut Vec<Action>,
     ) {
-        lk.shards[pos].attempts[n].broken = true;
+        lk.shards[pos].attempts[n].connection_broke = true;
         self.update_server_health(now, &PartReply::Broken, context, out);
         // After a pause of this process, every connection may be found broken at once, in every
         // data centre. Its lookups are past their deadlines then, and the breaks are no evidence
@@ -207,7 +207,8 @@
             self.retry_or_abandon(now, lk, pos, ShardFailure::Failed, out);
             return;
         }
-        let is_alone = context.was_live && (lk.phase == Phase::Canary(pos) || lk.shards.len() == 1);
+        let is_alone =
+            context.was_live && (lk.phase == LookupPhase::Canary(pos) || lk.shards.len() == 1);
         match self.record_crash(now, lk.fingerprint, context.server, is_alone, out) {
             CrashFinding::Quarantined(quarantine) => {
                 let refusal = Refusal::new(RefusalReason::Quarantined, Some(quarantine));
--- a/crates/query/src/timers.rs
+++ b/crates/query/src/timers.rs
@@ -10,11 +10,11 @@
 use crate::action::Action;
 use crate::attempt::Cause;
 use crate::engine_state::EngineState;
-use crate::engine_state::Timer;
+use crate::engine_state::TimerPurpose;
 use crate::finish::RETRY_AFTER;
 use crate::lifecycle::ShardFailure;
 use crate::lookup::ActiveLookup;
-use crate::lookup::Phase;
+use crate::lookup::LookupPhase;
 use crate::lookup::ShardState;
 use crate::options::PolicyName;
 
@@ -62,7 +62,7 @@
         if lk.held_until.is_some_and(|until| until <= now) {
             self.retry_held_shards(now, lk, out);
         }
-        if lk.phase == Phase::Running {
+        if lk.phase == LookupPhase::Running {
             self.check_attempts(now, lk, out);
         }
         self.after_event(now, lk, out);
@@ -70,7 +70,7 @@
             return;
         }
         let next = match lk.phase {
-            Phase::Quiescing(until) => until,
+            LookupPhase::Quiescing(until) => until,
             _ => lk.held_until.unwrap_or(lk.answer_by),
         };
         self.set_lookup_timer(lk, next);
@@ -78,7 +78,7 @@
 
     /// Ends a lookup at its deadline with the parts that have arrived.
     fn on_deadline(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
-        if lk.phase == Phase::Claiming {
+        if lk.phase == LookupPhase::Claiming {
             // The claim may have been made, or an earlier submission under the key may have been
             // executed.
             let refusal = Refusal::new(RefusalReason::ClaimsAway, Some(RETRY_AFTER));
@@ -115,7 +115,7 @@
     fn check_attempts(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
         let mut next = lk.answer_by;
         for pos in 0..lk.shards.len() {
-            if lk.is_done || lk.phase != Phase::Running {
+            if lk.is_done || lk.phase != LookupPhase::Running {
                 return;
             }
             let Some((dispatched_at, server)) = slow_candidate(lk, pos) else {
@@ -196,7 +196,7 @@
             self.freed_servers.push(server);
         }
         if let Some(next) = self.orphans.values().map(|o| o.expires_at).min() {
-            self.timers.insert((next, Timer::Orphans));
+            self.timers.insert((next, TimerPurpose::Orphans));
         }
     }
 }
--- a/crates/query/src/wait_queues.rs
+++ b/crates/query/src/wait_queues.rs
@@ -47,23 +47,23 @@
     }
 
     /// Returns the next part for a server.
-    pub(crate) fn first(&self, server: ServerIdx) -> Option<QueuedPart> {
+    pub(crate) fn next_part(&self, server: ServerIdx) -> Option<QueuedPart> {
         self.queues.get(server.index())?.first().copied()
     }
 
     /// Returns all parts that wait for a server.
-    pub(crate) fn all(&self, server: ServerIdx) -> Vec<QueuedPart> {
+    pub(crate) fn waiting_parts(&self, server: ServerIdx) -> Vec<QueuedPart> {
         let queue = self.queues.get(server.index());
         queue.map_or_else(Vec::new, |q| q.iter().copied().collect())
     }
 
     /// Returns the number of parts that wait for a server.
-    pub(crate) fn len(&self, server: ServerIdx) -> usize {
+    pub(crate) fn waiting_count(&self, server: ServerIdx) -> usize {
         self.queues.get(server.index()).map_or(0, BTreeSet::len)
     }
 
     /// Returns the number of waiting parts.
-    pub(crate) fn parts(&self) -> usize {
+    pub(crate) fn total_waiting(&self) -> usize {
         self.parts
     }
 }
