--- a/crates/query/src/arrival.rs
+++ b/crates/query/src/arrival.rs
@@ -6,20 +6,20 @@
 
 use gs_limit::AdmissionDecision;
 use gs_limit::AdmissionRequest;
-use gs_route::Pin;
+use gs_route::PinnableSnapshot;
 use gs_route::Readiness;
 use gs_route::ServerIdx;
 use gs_types::prelude::*;
 use rand::RngExt;
 
 use crate::action::Action;
-use crate::core::Core;
 use crate::crash_suspects::SuspectStatus;
+use crate::engine_state::EngineState;
 use crate::event::Arrival;
 use crate::finish::RETRY_AFTER;
 use crate::finish::not_run_outcome;
 use crate::lookup::ActiveLookup;
-use crate::lookup::Phase;
+use crate::lookup::LookupPhase;
 
 /// The divisor of a lookup's time budget that gives the margin for merging and sending the answer.
 const ANSWER_MARGIN_DIVISOR: u32 = 20;
@@ -33,9 +33,9 @@
 const OTHER_VM_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// The refusal of a lookup that is not started.
-type Refused = Refusal;
+type ArrivalRefusal = Refusal;
 
-impl Core {
+impl EngineState {
     /// Admits a lookup or refuses it at once; returns `None` if it has already ended.
     pub(crate) fn on_arrival(
         &mut self,
@@ -56,19 +56,19 @@
             }
         };
         let answer_by = lk.answer_by;
-        self.arm(&mut lk, answer_by);
-        if lk.is_once() {
+        self.set_lookup_timer(&mut lk, answer_by);
+        if lk.is_at_most_once() {
             // Has an effect only on a suspect: no other lookup with its fingerprint is admitted
             // while this one waits for its claim.
             self.crash_suspects.assign_canary(now, lk.fingerprint, seq);
             self.request_claim(now, &lk, out);
         } else {
-            self.begin(now, &mut lk, out);
+            self.start_lookup(now, &mut lk, out);
         }
         (!lk.is_done).then_some(lk)
     }
 
-    fn admit(&mut self, now: Instant, arrival: Arrival) -> Result<ActiveLookup, Refused> {
+    fn admit(&mut self, now: Instant, arrival: Arrival) -> Result<ActiveLookup, ArrivalRefusal> {
         let Arrival { seq, req } = arrival;
         let decl = self.find_decl(&req)?;
         check_request(&decl, &req)?;
@@ -83,8 +83,8 @@
         let margin = (budget / ANSWER_MARGIN_DIVISOR).clamp(ANSWER_MARGIN_MIN, ANSWER_MARGIN_MAX);
         let answer_by = now + budget.saturating_sub(margin);
         let phase = match decl.promise {
-            Promise::AtMostOnce => Phase::Claiming,
-            Promise::Urgent | Promise::Complete => Phase::Running,
+            Promise::AtMostOnce => LookupPhase::Claiming,
+            Promise::Urgent | Promise::Complete => LookupPhase::Running,
         };
         let mut lk = ActiveLookup {
             seq,
@@ -95,7 +95,7 @@
             idempotency_key: req.idempotency_key,
             fingerprint,
             snapshot_min: req.floor,
-            arrived: now,
+            arrived_at: now,
             answer_by,
             phase,
             snapshot: Arc::clone(&pin.snapshot),
@@ -103,8 +103,8 @@
             held_until: None,
             needs_canary,
             first_attempt_number: 0,
-            whole: 0,
-            missing: 0,
+            complete_parts: 0,
+            missing_parts: 0,
             hits: 0,
             may_have_run: 0,
             was_sent: false,
@@ -113,25 +113,25 @@
             is_congested: false,
             extra_attempts: 0,
             restarts: 0,
-            timer: None,
+            timer_at: None,
             wants_restart: false,
             is_caller_disconnected: false,
             is_done: false,
         };
-        lk.pin(Arc::clone(&pin.snapshot));
+        lk.pin_snapshot(Arc::clone(&pin.snapshot));
         self.check_shards_reachable(now, &lk, &pin)?;
         self.check_admission(now, &lk)?;
         Ok(lk)
     }
 
-    fn find_decl(&self, req: &LookupRequest) -> Result<Arc<Lookup>, Refused> {
+    fn find_decl(&self, req: &LookupRequest) -> Result<Arc<Lookup>, ArrivalRefusal> {
         if self.is_leaving {
             return Err(Refusal::new(
                 RefusalReason::Leaving,
                 Some(OTHER_VM_RETRY_AFTER),
             ));
         }
-        if self.config.is_none() {
+        if self.config_version.is_none() {
             return Err(Refusal::new(
                 RefusalReason::NotReady,
                 Some(OTHER_VM_RETRY_AFTER),
@@ -144,8 +144,8 @@
     }
 
     /// Refuses a quarantined lookup; returns whether a suspect must send a canary first.
-    fn check_suspicion(&self, now: Instant, fp: Fingerprint) -> Result<bool, Refused> {
-        match self.crash_suspects.status(now, fp) {
+    fn check_suspicion(&self, now: Instant, fp: Fingerprint) -> Result<bool, ArrivalRefusal> {
+        match self.crash_suspects.suspect_status(now, fp) {
             SuspectStatus::Clear => Ok(false),
             SuspectStatus::Canary => Ok(true),
             SuspectStatus::Refused(retry) => {
@@ -154,7 +154,7 @@
         }
     }
 
-    fn find_group(&self, decl: &Lookup) -> Result<usize, Refused> {
+    fn find_group(&self, decl: &Lookup) -> Result<usize, ArrivalRefusal> {
         self.group_names
             .get(&decl.group)
             .copied()
@@ -169,17 +169,17 @@
         &self,
         now: Instant,
         lk: &ActiveLookup,
-        pin: &Pin,
-    ) -> Result<(), Refused> {
+        pin: &PinnableSnapshot,
+    ) -> Result<(), ArrivalRefusal> {
         let needs_all = lk.decl.promise != Promise::Urgent || lk.decl.scope == Scope::Keyed;
         if !needs_all {
             return Ok(());
         }
-        let is_thin = pin.readiness == Readiness::Incomplete;
+        let is_incomplete = pin.readiness == Readiness::Incomplete;
         let shards = lk.shards.iter().enumerate();
         let missing = shards.filter_map(|(pos, shard)| {
             let reason = self.unavailable_reason(now, lk, pos)?;
-            let counts = is_thin || reason != MissReason::NoReplica;
+            let counts = is_incomplete || reason != MissReason::NoReplica;
             counts.then_some(MissingShard {
                 shard: shard.id,
                 reason,
@@ -211,14 +211,14 @@
         are_unresponsive.then_some(MissReason::Late)
     }
 
-    fn check_admission(&mut self, now: Instant, lk: &ActiveLookup) -> Result<(), Refused> {
+    fn check_admission(&mut self, now: Instant, lk: &ActiveLookup) -> Result<(), ArrivalRefusal> {
         if lk.answer_by <= now {
             return Err(Refusal::new(RefusalReason::TooLate, Some(RETRY_AFTER)));
         }
         let request = self.admission_request(now, lk);
         // The policies have this limit too; it applies here whatever a policy decides.
         let full = request.in_flight >= self.options.lookups_max as usize;
-        let retry = match self.admission.admit(now, &request) {
+        let retry = match self.admission_policy.admit(now, &request) {
             AdmissionDecision::Admit if !full => return Ok(()),
             AdmissionDecision::Admit => RETRY_AFTER,
             AdmissionDecision::Refuse(retry) => retry,
@@ -237,7 +237,7 @@
         let mut sum = 0.0_f64;
         let mut worst = 0.0_f64;
         for pos in 0..lk.shards.len() {
-            let (wait, latency) = self.shard_wait(now, lk, pos);
+            let (wait, latency) = self.expected_shard_time(now, lk, pos);
             sum += wait + latency;
             worst = worst.max(wait + latency);
         }
@@ -245,14 +245,14 @@
         AdmissionRequest {
             promise: lk.decl.promise,
             budget: lk.answer_by.saturating_duration_since(now),
-            typical: micros(mean),
-            worst: micros(worst),
+            mean_part_time: duration_from_micros(mean),
+            slowest_part_time: duration_from_micros(worst),
             in_flight: self.in_flight,
         }
     }
 
     /// Returns a part's expected queueing time and latency at the shard, in microseconds.
-    fn shard_wait(&self, now: Instant, lk: &ActiveLookup, pos: usize) -> (f64, f64) {
+    fn expected_shard_time(&self, now: Instant, lk: &ActiveLookup, pos: usize) -> (f64, f64) {
         let mut queued = 0;
         let mut connections = 0;
         let mut latency = f64::INFINITY;
@@ -261,8 +261,8 @@
             if !view.is_eligible(lk.snapshot.id) {
                 continue;
             }
-            queued = queued.max(self.wait_queues.len(*server));
-            connections += view.share().0;
+            queued = queued.max(self.wait_queues.waiting_count(*server));
+            connections += view.connection_share().0;
             latency = latency.min(view.latency().aged_micros(now).unwrap_or(0.0));
         }
         if !latency.is_finite() || connections == 0 {
@@ -275,7 +275,7 @@
 
 /// Refuses a request without the keys that its declaration requires, and any request for an
 /// at-most-once lookup that queries every shard.
-fn check_request(decl: &Lookup, req: &LookupRequest) -> Result<(), Refused> {
+fn check_request(decl: &Lookup, req: &LookupRequest) -> Result<(), ArrivalRefusal> {
     let bad = Err(Refusal::new(RefusalReason::BadRequest, None));
     let once = decl.promise == Promise::AtMostOnce;
     match decl.scope {
@@ -287,6 +287,6 @@
     }
 }
 
-fn micros(n: f64) -> Duration {
+fn duration_from_micros(n: f64) -> Duration {
     Duration::from_secs_f64(n.clamp(0.0, 1e9) / 1e6)
 }
--- a/crates/query/src/attempt.rs
+++ b/crates/query/src/attempt.rs
@@ -101,7 +101,7 @@
     /// When it was reported as sent, just before its first byte; kept while the attempt is stopping.
     pub(crate) sent_at: Option<Instant>,
     /// Whether its connection broke; the server is not queried again for this shard of the lookup.
-    pub(crate) broken: bool,
+    pub(crate) connection_broke: bool,
 }
 
 impl Attempt {
@@ -111,7 +111,7 @@
     }
 
     /// Returns the state machine event for a reply.
-    pub(crate) fn event_of(&self, reply: &PartReply) -> AttemptEvent {
+    pub(crate) fn reply_event(&self, reply: &PartReply) -> AttemptEvent {
         match reply {
             PartReply::Whole { .. } => AttemptEvent::Whole,
             PartReply::Shed { .. } | PartReply::Draining | PartReply::NoSnapshot { .. } => {
--- a/crates/query/src/crash_suspects.rs
+++ b/crates/query/src/crash_suspects.rs
@@ -19,17 +19,17 @@
 
 /// The number of servers, some in this and some in another data centre, that break under a proven
 /// lookup before it is quarantined in spite of its proof.
-const PROVEN_CRASHES_MAX: u32 = 4;
+const PROVEN_LOOKUP_CRASHES_MAX: u32 = 4;
 
 /// The quarantine of a lookup that broke servers in several data centres but had no canary. It
 /// lasts until the servers should be back, so that its canary does not crash a shard's last replica.
-const UNTRIED_QUARANTINE: Duration = Duration::from_secs(5);
+const NO_CANARY_QUARANTINE: Duration = Duration::from_secs(5);
 
 /// The maximum number of suspects stored; the one that expires first is evicted.
 const SUSPECTS_MAX: usize = 1024;
 
 /// The maximum number of fingerprints stored as proven.
-const PROVEN_MAX: usize = 4096;
+const PROVEN_FINGERPRINTS_MAX: usize = 4096;
 
 /// How long a proof is valid; the index and the servers' program may change.
 const PROOF_LIFETIME: Duration = Duration::from_secs(60);
@@ -126,7 +126,7 @@
     }
 
     /// Returns how to treat an arriving lookup.
-    pub(crate) fn status(&self, now: Instant, fp: Fingerprint) -> SuspectStatus {
+    pub(crate) fn suspect_status(&self, now: Instant, fp: Fingerprint) -> SuspectStatus {
         let Some(s) = self.suspects.get(&fp).filter(|s| s.expires_at > now) else {
             let is_suspicion_raised = self.suspicion_until.is_some_and(|until| until > now);
             return if is_suspicion_raised && !self.is_proven(now, fp) {
@@ -148,7 +148,7 @@
         if self.proven.insert(fp, now).is_none() {
             self.proven_order.push_back(fp);
         }
-        while self.proven_order.len() > PROVEN_MAX {
+        while self.proven_order.len() > PROVEN_FINGERPRINTS_MAX {
             if let Some(old) = self.proven_order.pop_front() {
                 self.proven.remove(&old);
             }
@@ -179,7 +179,7 @@
     ) -> CrashFinding {
         let proven = self.is_proven(now, fp);
         let expires_at = now + self.window;
-        let s = self.entry(now, fp);
+        let s = self.suspect_entry(now, fp);
         s.expires_at = s.expires_at.max(expires_at);
         if !s.crashed.contains(crash.server) {
             s.crashed.push(crash.server.clone());
@@ -188,14 +188,14 @@
         s.crashed_remotely |= !crash.is_local;
         let crashes = s.crashes();
         let crashes_max = if proven {
-            PROVEN_CRASHES_MAX
+            PROVEN_LOOKUP_CRASHES_MAX
         } else {
             CRASHES_MAX
         };
         let is_in_both = s.crashed_locally && s.crashed_remotely && crashes >= crashes_max;
         let quarantine = match crash.is_alone && crashes >= CRASHES_MAX {
             true => Some(self.quarantine),
-            false if is_in_both => Some(self.quarantine.min(UNTRIED_QUARANTINE)),
+            false if is_in_both => Some(self.quarantine.min(NO_CANARY_QUARANTINE)),
             false => None,
         };
         if let Some(quarantine) = quarantine {
@@ -249,13 +249,13 @@
         }
         let quarantine = quarantine.min(self.quarantine.saturating_mul(2));
         let expires_at = now + self.window;
-        let s = self.entry(now, fp);
+        let s = self.suspect_entry(now, fp);
         s.reported_crashes = s.reported_crashes.max(crashes);
         s.expires_at = s.expires_at.max(expires_at);
         if quarantine > Duration::ZERO {
             self.quarantine(now, fp, quarantine);
         } else {
-            let s = self.entry(now, fp);
+            let s = self.suspect_entry(now, fp);
             s.refused_until = s.refused_until.max(Some(now + CANARY_WAIT));
         }
     }
@@ -283,14 +283,14 @@
         self.proven.remove(&fp);
         self.proven_order.retain(|f| *f != fp);
         let window = self.window;
-        let s = self.entry(now, fp);
+        let s = self.suspect_entry(now, fp);
         s.refused_until = s.refused_until.max(Some(now + quarantine));
         // It stays a suspect for another window after its quarantine, so that its next submission
         // is a canary.
         s.expires_at = s.expires_at.max(now + quarantine + window);
     }
 
-    fn entry(&mut self, now: Instant, fp: Fingerprint) -> &mut Suspect {
+    fn suspect_entry(&mut self, now: Instant, fp: Fingerprint) -> &mut Suspect {
         if !self.suspects.contains_key(&fp) && self.suspects.len() >= SUSPECTS_MAX {
             self.evict_suspect(now);
         }
--- a/crates/query/src/placement.rs
+++ b/crates/query/src/placement.rs
@@ -4,8 +4,8 @@
 
 use gs_route::Candidate;
 use gs_route::DispatchStatus;
-use gs_route::Holds;
 use gs_route::ServerIdx;
+use gs_route::SnapshotHolding;
 use gs_types::prelude::*;
 use smallvec::SmallVec;
 
@@ -14,8 +14,8 @@
 use crate::attempt::Attempt;
 use crate::attempt::AttemptState;
 use crate::attempt::Cause;
-use crate::core::Core;
-use crate::core::Timer;
+use crate::engine_state::EngineState;
+use crate::engine_state::TimerPurpose;
 use crate::lookup::ActiveLookup;
 use crate::lookup::ShardState;
 
@@ -47,7 +47,7 @@
             AttemptState::Handed | AttemptState::Sent | AttemptState::Stopping => {
                 return PriorAttempt::Excluded;
             }
-            _ if a.broken => return PriorAttempt::Excluded,
+            _ if a.connection_broke => return PriorAttempt::Excluded,
             AttemptState::Whole | AttemptState::NotRun | AttemptState::Failed => {
                 found = PriorAttempt::Failed;
             }
@@ -65,7 +65,7 @@
     ejected: SmallVec<[Candidate; 4]>,
 }
 
-impl Core {
+impl EngineState {
     /// Chooses a server for an attempt at the shard at `pos`.
     ///
     /// Replicas that were not tried yet come before those at which an attempt failed. Among either, a
@@ -98,13 +98,15 @@
         pos: usize,
     ) -> Option<ServerIdx> {
         let mut found = self.usable_replicas(now, lk, pos, PriorAttempt::Untried);
-        found.free.retain(|c| self.wait_queues.len(c.server) == 0);
+        found
+            .free
+            .retain(|c| self.wait_queues.waiting_count(c.server) == 0);
         if found.free.is_empty() {
             return None;
         }
         let shard_number = lk.shards[pos].id.0 as usize;
         let n = self
-            .replica
+            .replica_policy
             .choose(shard_number, &found.free, &mut self.rng);
         found.free.get(n).map(|c| c.server)
     }
@@ -147,7 +149,9 @@
     ) -> Option<Placement> {
         let shard_number = lk.shards[pos].id.0 as usize;
         let mut pick = |candidates: &[Candidate]| {
-            let n = self.replica.choose(shard_number, candidates, &mut self.rng);
+            let n = self
+                .replica_policy
+                .choose(shard_number, candidates, &mut self.rng);
             candidates.get(n).map(|c| Placement::Now(c.server))
         };
         if !found.free.is_empty() {
@@ -161,7 +165,7 @@
                 .flatten();
         }
         for (until, server) in &found.paused {
-            self.timers.insert((*until, Timer::Server(*server)));
+            self.timers.insert((*until, TimerPurpose::Server(*server)));
         }
         let mut wait = found.busy;
         wait.extend(found.paused.iter().map(|(_, s)| *s));
@@ -172,12 +176,14 @@
         let shard = &lk.shards[pos];
         let id = lk.snapshot.id;
         let views = || lk.replicas(pos).iter().map(|s| self.servers.view(*s));
-        let any_holds = views().any(|v| v.holds(id) != Holds::No);
+        let any_holds = views().any(|v| v.snapshot_holding(id) != SnapshotHolding::No);
         if !any_holds && views().next().is_some() {
             return MissReason::SnapshotGone;
         }
-        match shard.miss {
-            MissReason::Failed | MissReason::Shed if !shard.attempts.is_empty() => shard.miss,
+        match shard.miss_reason {
+            MissReason::Failed | MissReason::Shed if !shard.attempts.is_empty() => {
+                shard.miss_reason
+            }
             _ => MissReason::NoReplica,
         }
     }
@@ -205,12 +211,12 @@
             cause,
             dispatched_at: now,
             sent_at: None,
-            broken: false,
+            connection_broke: false,
         });
         let shard = shard.id;
         lk.may_have_run += 1;
         self.count_attempt(lk, cause);
-        self.servers.dispatched(now, server);
+        self.servers.on_dispatch(now, server);
         out.push(Action::Dispatch(Dispatch {
             attempt: self.attempt_id((lk.seq, shard, number)),
             server: self.servers.view(server).decl().clone(),
@@ -219,10 +225,10 @@
             key: lk.key.clone(),
             page: lk.decl.page,
             budget: lk.answer_by.saturating_duration_since(now),
-            once: lk.is_once(),
-            idempotency_key: lk.idempotency_key.clone().filter(|_| lk.is_once()),
+            once: lk.is_at_most_once(),
+            idempotency_key: lk.idempotency_key.clone().filter(|_| lk.is_at_most_once()),
         }));
-        self.arm_attempt_check(now, lk, server, cause);
+        self.set_attempt_check_timer(now, lk, server, cause);
     }
 
     fn count_attempt(&mut self, lk: &mut ActiveLookup, cause: Cause) {
@@ -231,14 +237,14 @@
             lk.extra_attempts += 1;
         }
         match cause {
-            Cause::First => self.budget.earn(),
+            Cause::First => self.extra_budget.on_initial_attempt(),
             Cause::Hedge => self.counters.hedges += 1,
             Cause::Retry => self.counters.retries += 1,
             Cause::Resend => self.counters.resends += 1,
         }
     }
 
-    fn arm_attempt_check(
+    fn set_attempt_check_timer(
         &mut self,
         now: Instant,
         lk: &mut ActiveLookup,
@@ -249,7 +255,7 @@
             return;
         }
         if let Some(delay) = self.check_delay(lk, server) {
-            self.arm(lk, now + delay);
+            self.set_lookup_timer(lk, now + delay);
         }
     }
 }
--- a/crates/query/src/queue.rs
+++ b/crates/query/src/queue.rs
@@ -7,13 +7,13 @@
 
 use crate::action::Action;
 use crate::attempt::Cause;
-use crate::core::Core;
+use crate::engine_state::EngineState;
 use crate::lookup::ActiveLookup;
 use crate::lookup::ShardState;
 use crate::placement::Placement;
 use crate::wait_queues::QueuedPart;
 
-impl Core {
+impl EngineState {
     /// Queues a shard for these servers.
     pub(crate) fn enqueue(
         &mut self,
@@ -30,7 +30,7 @@
         self.wait_queues.add(part, &servers);
         let shard = &mut lk.shards[pos];
         shard.state = ShardState::Waiting;
-        shard.queued_at = servers;
+        shard.queue_servers = servers;
         shard.queued_cause = cause;
     }
 
@@ -90,7 +90,7 @@
         };
         let shard = &mut lk.shards[pos];
         shard.state = ShardState::Held;
-        self.wait_queues.remove(&part, &shard.queued_at);
-        shard.queued_at.clear();
+        self.wait_queues.remove(&part, &shard.queue_servers);
+        shard.queue_servers.clear();
     }
 }
--- a/crates/query/src/server_reply.rs
+++ b/crates/query/src/server_reply.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use gs_route::Failure;
+use gs_route::ServerFailure;
 use gs_route::ServerIdx;
 use gs_types::prelude::*;
 
 use crate::action::Action;
-use crate::core::Core;
 use crate::crash_suspects::Crash;
 use crate::crash_suspects::CrashFinding;
+use crate::engine_state::EngineState;
 use crate::event::PartReply;
 
 /// The number of crashes of a suspect that are announced to peers, each by a notice of its own.
@@ -26,7 +26,7 @@
     pub(crate) was_live: bool,
 }
 
-impl Core {
+impl EngineState {
     /// Records contact with a server, unless the attempt ended on this VM alone: not sent, timed out or
     /// cancelled.
     pub(crate) fn note_contact(&mut self, now: Instant, reply: &PartReply, server: ServerIdx) {
@@ -50,9 +50,9 @@
         if !context.is_current {
             return;
         }
-        self.servers.succeeded(now, context.server, load);
+        self.servers.on_success(now, context.server, load);
         if draining {
-            self.on_own_drain(context.server, out);
+            self.on_self_reported_drain(context.server, out);
         }
     }
 
@@ -69,16 +69,21 @@
         }
         let server = context.server;
         match reply {
-            PartReply::Shed { retry_after } => self.servers.shed(now, server, *retry_after),
-            PartReply::Draining => self.on_own_drain(server, out),
+            PartReply::Shed { retry_after } => self.servers.on_shed(now, server, *retry_after),
+            PartReply::Draining => self.on_self_reported_drain(server, out),
             PartReply::NoSnapshot { holds } => self.update_held_snapshots(now, server, holds),
             PartReply::NotSent if context.was_live => {
-                self.servers.failed(now, server, Failure::Unreached);
+                self.servers
+                    .on_failure(now, server, ServerFailure::Unreachable);
             }
             PartReply::Failed | PartReply::Garbled | PartReply::Late => {
-                self.servers.failed(now, server, Failure::Error);
+                self.servers
+                    .on_failure(now, server, ServerFailure::ErrorReply);
+            }
+            PartReply::Broken => {
+                self.servers
+                    .on_failure(now, server, ServerFailure::ConnectionBroken)
             }
-            PartReply::Broken => self.servers.failed(now, server, Failure::Broken),
             PartReply::Whole { .. } | PartReply::NotSent | PartReply::Cancelled => {}
         }
     }
--- a/crates/query/src/timers.rs
+++ b/crates/query/src/timers.rs
@@ -9,12 +9,12 @@
 
 use crate::action::Action;
 use crate::attempt::Cause;
-use crate::core::Core;
-use crate::core::Timer;
+use crate::engine_state::EngineState;
+use crate::engine_state::TimerPurpose;
 use crate::finish::RETRY_AFTER;
 use crate::lifecycle::ShardFailure;
 use crate::lookup::ActiveLookup;
-use crate::lookup::Phase;
+use crate::lookup::LookupPhase;
 use crate::lookup::ShardState;
 use crate::options::PolicyName;
 
@@ -25,17 +25,19 @@
 /// counts as lost; most of the time budget is then left for another attempt.
 const LOSS_TIMEOUT_DIVISOR: u32 = 4;
 
-impl Core {
+impl EngineState {
     /// Returns the time after an attempt's dispatch at which it is hedged, or timed out under the
     /// baseline policy; `None` for never.
     pub(crate) fn check_delay(&self, lk: &ActiveLookup, server: ServerIdx) -> Option<Duration> {
-        if lk.is_once() {
+        if lk.is_at_most_once() {
             return None;
         }
         match self.options.policy {
             PolicyName::Baseline => Some(self.options.attempt_timeout),
             PolicyName::Chosen => {
-                let learned = self.groups[lk.group].hedge.delay(self.distance(server));
+                let learned = self.groups[lk.group]
+                    .hedge_policy
+                    .delay(self.server_distance(server));
                 let loss = loss_timeout(lk);
                 Some(learned.map_or(loss, |delay| delay.min(loss)))
             }
@@ -43,25 +45,25 @@
     }
 
     /// Returns whether a server is in this or another data centre.
-    pub(crate) fn distance(&self, server: ServerIdx) -> Distance {
+    pub(crate) fn server_distance(&self, server: ServerIdx) -> Distance {
         if self.servers.view(server).is_local() {
-            Distance::Near
+            Distance::SameDataCentre
         } else {
-            Distance::Far
+            Distance::OtherDataCentre
         }
     }
 
     /// Handles the expiry of a lookup's timer.
     pub(crate) fn on_timer(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
-        lk.timer = None;
+        lk.timer_at = None;
         if now >= lk.answer_by {
             self.on_deadline(now, lk, out);
             return;
         }
         if lk.held_until.is_some_and(|until| until <= now) {
-            self.retry_held(now, lk, out);
+            self.retry_held_shards(now, lk, out);
         }
-        if lk.phase == Phase::Running {
+        if lk.phase == LookupPhase::Running {
             self.check_attempts(now, lk, out);
         }
         self.after_event(now, lk, out);
@@ -69,16 +71,16 @@
             return;
         }
         let next = match lk.phase {
-            Phase::Quiescing(until) => until,
+            LookupPhase::Quiescing(until) => until,
             _ => lk.held_until.unwrap_or(lk.answer_by),
         };
-        self.arm(lk, next);
+        self.set_lookup_timer(lk, next);
     }
 
     /// Ends a lookup at its deadline: answers it with the parts that have arrived, or refuses it if its
     /// promise needs more.
     fn on_deadline(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
-        if lk.phase == Phase::Claiming {
+        if lk.phase == LookupPhase::Claiming {
             // The claim may have been made, or an earlier submission under the key may have been
             // executed.
             let refusal = Refusal::new(RefusalReason::ClaimsAway, Some(RETRY_AFTER));
@@ -117,7 +119,7 @@
     fn check_attempts(&mut self, now: Instant, lk: &mut ActiveLookup, out: &mut Vec<Action>) {
         let mut next = lk.answer_by;
         for pos in 0..lk.shards.len() {
-            if lk.is_done || lk.phase != Phase::Running {
+            if lk.is_done || lk.phase != LookupPhase::Running {
                 return;
             }
             let Some((dispatched_at, server)) = slow_candidate(lk, pos) else {
@@ -139,7 +141,7 @@
                 });
             }
         }
-        self.arm(lk, next);
+        self.set_lookup_timer(lk, next);
     }
 
     /// Makes an attempt in parallel with a slow one; returns `false` if that is not possible now.
@@ -156,19 +158,19 @@
         out: &mut Vec<Action>,
     ) -> bool {
         if self.options.policy == PolicyName::Baseline {
-            self.stop_attempts(now, lk, pos, out);
+            self.cancel_attempts(now, lk, pos, out);
             self.retry_or_abandon(now, lk, pos, ShardFailure::Failed, out);
             return true;
         }
-        if self.admission.is_overloaded(now) {
+        if self.admission_policy.is_overloaded(now) {
             return false;
         }
         let Some(server) = self.choose_hedge_server(now, lk, pos) else {
             return false;
         };
         let is_within_budget = match is_lost {
-            true => self.budget.take_retries(now, 1),
-            false => self.budget.take_hedge(now),
+            true => self.extra_budget.take_retries(now, 1),
+            false => self.extra_budget.take_hedge(now),
         };
         if !is_within_budget {
             self.counters.extra_refused += 1;
@@ -184,7 +186,7 @@
         let expired: Vec<_> = self
             .orphans
             .iter()
-            .filter(|(_, o)| o.expires <= now)
+            .filter(|(_, o)| o.expires_at <= now)
             .map(|(key, o)| (*key, o.server))
             .collect();
         for (key, server) in expired {
@@ -194,18 +196,18 @@
                 self.servers.view(server).decl().name
             );
             self.orphans.remove(&key);
-            self.servers.released(server);
+            self.servers.on_release(server);
             self.freed_servers.push(server);
         }
-        if let Some(next) = self.orphans.values().map(|o| o.expires).min() {
-            self.timers.insert((next, Timer::Orphans));
+        if let Some(next) = self.orphans.values().map(|o| o.expires_at).min() {
+            self.timers.insert((next, TimerPurpose::Orphans));
         }
     }
 }
 
 /// Returns the time after which an attempt of this lookup without a reply counts as lost.
 fn loss_timeout(lk: &ActiveLookup) -> Duration {
-    lk.answer_by.saturating_duration_since(lk.arrived) / LOSS_TIMEOUT_DIVISOR
+    lk.answer_by.saturating_duration_since(lk.arrived_at) / LOSS_TIMEOUT_DIVISOR
 }
 
 /// Returns the dispatch time and server of the shard's only live attempt; `None` if there is not
