--- a/crates/admin/src/answer.rs
+++ b/crates/admin/src/answer.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use gs_conf::DecidedPatch;
 use gs_conf::Patch;
-use gs_conf::Settled;
-use gs_conf::Verdict;
+use gs_conf::PatchOutcome;
 use gs_types::prelude::*;
 use http_body_util::BodyExt;
 use http_body_util::LengthLimitError;
@@ -41,7 +41,7 @@
 #[derive(Serialize)]
 struct History {
     versions: Vec<HistoryEntry>,
-    settled: Vec<Settled>,
+    settled: Vec<DecidedPatch>,
 }
 
 /// Where a patch stands, as `GET /admin/v1/patches/{id}` shows it.
@@ -49,7 +49,7 @@
 #[serde(tag = "state", rename_all = "kebab-case")]
 enum PatchView {
     Pending { id: PatchId },
-    Settled(Settled),
+    Settled(DecidedPatch),
 }
 
 /// Answers a request.
@@ -213,12 +213,12 @@
 }
 
 /// The verdict in one word, for the audit log.
-fn word(verdict: &Verdict) -> String {
+fn word(verdict: &PatchOutcome) -> String {
     match verdict {
-        Verdict::Accepted { version, .. } => format!("accepted version={version}"),
-        Verdict::Checked { .. } => "checked".to_owned(),
-        Verdict::Refused { error, .. } => format!("refused kind={}", error.kind()),
-        Verdict::Undecided { error } => format!("undecided kind={}", error.kind()),
+        PatchOutcome::Accepted { version, .. } => format!("accepted version={version}"),
+        PatchOutcome::Checked { .. } => "checked".to_owned(),
+        PatchOutcome::Refused { error, .. } => format!("refused kind={}", error.kind()),
+        PatchOutcome::Undecided { error } => format!("undecided kind={}", error.kind()),
     }
 }
 
--- a/crates/admin/src/fleet.rs
+++ b/crates/admin/src/fleet.rs
@@ -3,9 +3,9 @@
 use std::sync::Arc;
 
 use async_trait::async_trait;
+use gs_conf::DecidedPatch;
 use gs_conf::Patch;
-use gs_conf::Settled;
-use gs_conf::Verdict;
+use gs_conf::PatchOutcome;
 use gs_conf::VmStatus;
 use gs_types::prelude::*;
 use serde::Deserialize;
@@ -15,7 +15,7 @@
 #[async_trait]
 pub trait Fleet: Send + Sync {
     /// Takes a patch from a team whose key was checked to its verdict.
-    async fn propose(&self, team: TeamName, patch: Patch, dry_run: bool) -> Verdict;
+    async fn propose(&self, team: TeamName, patch: Patch, dry_run: bool) -> PatchOutcome;
 
     /// The configuration in force here; `None` if this VM holds none yet.
     fn config(&self) -> Option<Arc<Config>>;
@@ -28,7 +28,7 @@
     async fn version(&self, version: ConfVersion) -> Result<Option<Arc<Config>>>;
 
     /// The last patches settled, oldest first.
-    fn settled(&self) -> Vec<Settled>;
+    fn settled(&self) -> Vec<DecidedPatch>;
 
     /// The patch that is being decided, as far as this VM knows.
     fn pending(&self) -> Option<PatchId> {
--- a/crates/admin/src/reply.rs
+++ b/crates/admin/src/reply.rs
@@ -1,7 +1,7 @@
 //! Answers as JSON, and errors with their status.
 
 use bytes::Bytes;
-use gs_conf::Verdict;
+use gs_conf::PatchOutcome;
 use gs_types::prelude::*;
 use http_body_util::Full;
 use hyper::Response;
@@ -72,14 +72,14 @@
 ///
 /// A refusal is final and never 5xx, so that no client sends it again in vain. An undecided patch is
 /// 503 where sending it again with the same id helps.
-pub(crate) fn verdict(v: &Verdict) -> Reply {
+pub(crate) fn verdict(v: &PatchOutcome) -> Reply {
     let status = match v {
-        Verdict::Accepted { .. } | Verdict::Checked { .. } => StatusCode::OK,
-        Verdict::Refused { error, .. } => match status_of(error.kind()) {
+        PatchOutcome::Accepted { .. } | PatchOutcome::Checked { .. } => StatusCode::OK,
+        PatchOutcome::Refused { error, .. } => match status_of(error.kind()) {
             s if s.is_server_error() => StatusCode::CONFLICT,
             s => s,
         },
-        Verdict::Undecided { error } => status_of(error.kind()),
+        PatchOutcome::Undecided { error } => status_of(error.kind()),
     };
     let mut reply = json(status, v);
     if status.is_server_error() {
--- a/crates/admin/src/view.rs
+++ b/crates/admin/src/view.rs
@@ -1,6 +1,6 @@
 //! What a team may see.
 
-use gs_conf::Settled;
+use gs_conf::DecidedPatch;
 use gs_conf::redacted;
 use gs_types::prelude::*;
 
@@ -16,7 +16,7 @@
 }
 
 /// The settled patches as a team may see them: its own, or all for an admin team.
-pub(crate) fn settled(mut all: Vec<Settled>, team: &Team) -> Vec<Settled> {
+pub(crate) fn settled(mut all: Vec<DecidedPatch>, team: &Team) -> Vec<DecidedPatch> {
     all.retain(|s| team.admin || s.team == team.name);
     all
 }
--- a/crates/conf/src/action.rs
+++ b/crates/conf/src/action.rs
@@ -7,10 +7,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::event::Ask;
+use crate::event::CallId;
 use crate::message::Message;
-use crate::patch::Touched;
-use crate::verdict::Verdict;
+use crate::patch::AffectedTarget;
+use crate::verdict::PatchOutcome;
 
 /// Names one write, so that its result finds its purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
-    /// Read [`crate::CURRENT`]; answered by [`crate::Event::Read`].
+    /// Read [`crate::CURRENT_PATH`]; answered by [`crate::Event::Read`].
     Read,
     /// Write an object once, without a retry; answered by [`crate::Event::Wrote`].
     Write {
@@ -47,9 +47,9 @@
     ///
     /// A patch of these was prepared here and its outcome cannot be learned, so serving them by the
     /// version held may be serving them by one that is no longer in force.
-    Doubt(Vec<Touched>),
+    Doubt(Vec<AffectedTarget>),
     /// The word to the operator who waits for this call; given once.
-    Verdict(Ask, Verdict),
+    Verdict(CallId, PatchOutcome),
     /// Send [`crate::Event::Tick`] after this time; replaces the one asked before.
     Wake(Duration),
 }
--- a/crates/conf/src/book.rs
+++ b/crates/conf/src/book.rs
@@ -16,27 +16,27 @@
 use crate::follow::Fleet;
 use crate::follow::VmStatus;
 use crate::held::Held;
-use crate::message::Gossip;
 use crate::message::Message;
-use crate::options::BookOptions;
-use crate::patch::Touched;
+use crate::message::RecordSummary;
+use crate::options::ConfigManagerOptions;
+use crate::patch::AffectedTarget;
 use crate::proposal::Asked;
 use crate::proposal::Proposal;
 use crate::proposal::Writing;
-use crate::record::Settled;
+use crate::record::DecidedPatch;
 use crate::state::PatchEvent;
 use crate::state::PatchState;
 use crate::state::patch_chart;
 
 /// The newest configuration known on this VM, and the patches proposed on it.
-pub struct Book {
-    pub(crate) options: BookOptions,
+pub struct ConfigManager {
+    pub(crate) options: ConfigManagerOptions,
     pub(crate) chart: Chart<PatchState, PatchEvent>,
     pub(crate) rng: ChaCha8Rng,
     pub(crate) held: Option<Held>,
     pub(crate) doubt: Option<Doubt>,
     /// What was last given out as [`Action::Doubt`].
-    pub(crate) refused: Vec<Touched>,
+    pub(crate) refused: Vec<AffectedTarget>,
     pub(crate) fleet: Fleet,
     pub(crate) groups: Option<BTreeSet<GroupName>>,
     pub(crate) queue: VecDeque<Proposal>,
@@ -93,13 +93,13 @@
     }
 }
 
-impl Book {
+impl ConfigManager {
     /// Starts a book that holds nothing; feed it [`Event::Start`] first.
     ///
     /// # Errors
     ///
     /// [`ErrorKind::BadInput`] if the chart in the source is wrong, which a test rules out.
-    pub fn new(options: BookOptions) -> Result<Self> {
+    pub fn new(options: ConfigManagerOptions) -> Result<Self> {
         Ok(Self {
             chart: patch_chart()?,
             rng: ChaCha8Rng::seed_from_u64(options.seed),
@@ -159,7 +159,7 @@
 
     /// The last patches settled, oldest first.
     #[must_use]
-    pub fn settled(&self) -> &[Settled] {
+    pub fn decided_patches(&self) -> &[DecidedPatch] {
         self.held.as_ref().map_or(&[], |h| &h.record.settled)
     }
 
@@ -172,7 +172,7 @@
 
     /// Whether this VM holds the newest that the platform or its peers could show at its start.
     #[must_use]
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.start.ready
     }
 
@@ -180,19 +180,21 @@
     /// lookup, so that a process that was paused does not serve before its timers catch up.
     #[must_use]
     pub fn in_doubt(&self, now: Instant, front: &FrontName, lookup: &LookupName) -> bool {
-        self.doubts(now).iter().any(|t| t.covers(front, lookup))
+        self.in_doubt_targets(now)
+            .iter()
+            .any(|t| t.covers(front, lookup))
     }
 
     /// All lookups that must be refused now because a patch of them is in doubt here.
     #[must_use]
-    pub fn doubts(&self, now: Instant) -> &[Touched] {
+    pub fn in_doubt_targets(&self, now: Instant) -> &[AffectedTarget] {
         self.doubt.as_ref().map_or(&[], |d| d.refused(now))
     }
 
     /// The newest held, in short, to be carried by heartbeats too.
     #[must_use]
-    pub fn gossip(&self) -> Gossip {
-        self.held.as_ref().map(Held::gossip).unwrap_or_default()
+    pub fn summary(&self) -> RecordSummary {
+        self.held.as_ref().map(Held::summary).unwrap_or_default()
     }
 
     /// What each VM said that it has in force.
--- a/crates/conf/src/chores.rs
+++ b/crates/conf/src/chores.rs
@@ -7,13 +7,13 @@
 use rand::RngExt;
 
 use crate::action::Action;
-use crate::book::Book;
+use crate::book::ConfigManager;
 use crate::book::Cx;
 use crate::check::check_patch;
 use crate::event::WriteResult;
 use crate::message::Ack;
 use crate::message::Message;
-use crate::record::CURRENT;
+use crate::record::CURRENT_PATH;
 use crate::record::Record;
 use crate::state::PatchState;
 
@@ -30,7 +30,7 @@
 /// How much later each further VM withdraws a patch that its proposer left.
 const RANK_STEP: Duration = Duration::from_millis(300);
 
-impl Book {
+impl ConfigManager {
     pub(crate) fn on_tick(&mut self, cx: &mut Cx<'_>) {
         self.wake = None;
         self.acknowledge(cx);
@@ -44,7 +44,7 @@
         self.read_if_wanted(cx);
         self.become_ready(cx.now);
         self.extend_own_promise(cx.now);
-        let refused = self.doubts(cx.now);
+        let refused = self.in_doubt_targets(cx.now);
         if refused != self.refused {
             self.refused = refused.to_vec();
             cx.out.push(Action::Doubt(self.refused.clone()));
@@ -85,7 +85,7 @@
             return;
         }
         let waited = s.at.is_some_and(|at| now >= at + START_WAIT);
-        let shown = self.fleet.newest() <= self.gossip().object;
+        let shown = self.fleet.newest() <= self.summary().object;
         self.start.ready = s.confirmed || (s.platform_failed && waited && shown);
     }
 
@@ -95,7 +95,7 @@
             return;
         };
         let known = state != PatchState::Committing || self.heard_all(now);
-        let after = self.options.doubt_after;
+        let after = self.options.in_doubt_after;
         if let Some(d) = self.doubt.as_mut().filter(|_| known) {
             d.known_undecided(now, after);
         }
@@ -134,7 +134,7 @@
         self.next_gossip = Some(cx.now + GOSSIP_EVERY);
         if !self.start.ready {
             // The first one may have gone out before any peer was connected.
-            let object = self.gossip().object;
+            let object = self.summary().object;
             cx.out.push(Action::Broadcast(Message::Want { object }));
         }
         let mut peers: Vec<_> = self.fleet.members().to_vec();
@@ -142,7 +142,7 @@
         for _ in 0..GOSSIP_TO.min(peers.len()) {
             let at = self.rng.random_range(0..peers.len());
             let vm = peers.swap_remove(at);
-            let gossip = Message::Gossip(self.gossip());
+            let gossip = Message::Gossip(self.summary());
             cx.send(&vm, gossip);
         }
     }
@@ -210,7 +210,7 @@
         self.chore.sent = Some(content.clone());
         cx.out.push(Action::Write {
             id,
-            path: CURRENT.to_owned(),
+            path: CURRENT_PATH.to_owned(),
             if_version,
             content,
         });
--- a/crates/conf/src/decide.rs
+++ b/crates/conf/src/decide.rs
@@ -6,23 +6,23 @@
 use gs_types::prelude::*;
 
 use crate::action::Action;
-use crate::book::Book;
+use crate::book::ConfigManager;
 use crate::book::Cx;
 use crate::held::Held;
 use crate::message::Message;
 use crate::proposal::Proposal;
-use crate::record::CURRENT;
+use crate::record::CURRENT_PATH;
 use crate::record::history_path;
 use crate::state::PatchEvent;
 use crate::state::PatchState;
-use crate::verdict::Opponent;
-use crate::verdict::Verdict;
+use crate::verdict::Objection;
+use crate::verdict::PatchOutcome;
 
 /// How lately every VM must have been heard for a patch whose commit is under way to count as in
 /// force nowhere.
 pub(crate) const HEARD_WITHIN: Duration = Duration::from_secs(1);
 
-impl Book {
+impl ConfigManager {
     pub(crate) fn step_asking(&mut self, cx: &mut Cx<'_>, p: &mut Proposal) -> Option<PatchEvent> {
         let held = self.held.clone()?;
         if held.object != p.prepared {
@@ -55,7 +55,7 @@
         None
     }
 
-    fn no_answer(&self, p: &Proposal) -> (Error, Vec<Opponent>) {
+    fn no_answer(&self, p: &Proposal) -> (Error, Vec<Objection>) {
         let silent = p.silent(self.fleet.members(), &self.options.vm);
         if silent.is_empty() {
             let e = Error::new(ErrorKind::Unavailable, "the history could not be written");
@@ -69,7 +69,7 @@
         .at("ask VMs")
         .with_hint("mend or remove these VMs, and send the change under a new id");
         let wait = self.options.ack_wait;
-        let one = |vm: VmId| Opponent {
+        let one = |vm: VmId| Objection {
             vm,
             reason: format!("no acknowledgement within {wait:?}"),
         };
@@ -102,14 +102,14 @@
         for ask in p.take_late(cx.now) {
             let error = self.why_late(p);
             cx.out
-                .push(Action::Verdict(ask, Verdict::Undecided { error }));
+                .push(Action::Verdict(ask, PatchOutcome::Undecided { error }));
         }
         if p.writing.is_due(cx.now) {
             let next = p.next.clone()?;
             let pending = held.record.pending.clone()?;
             let mut record = held.record.with_config((*next).clone());
             record.settle(pending.settled(Some(next.version), None));
-            self.write(cx, p, CURRENT.to_owned(), p.prepared, record.encode());
+            self.write(cx, p, CURRENT_PATH.to_owned(), p.prepared, record.encode());
         }
         None
     }
@@ -126,7 +126,7 @@
         if p.writing.is_due(cx.now) {
             let reason = p.refusal.as_ref().map(|(e, _)| e.to_string());
             let record = held.record.withdrawn(&reason.unwrap_or_default());
-            self.write(cx, p, CURRENT.to_owned(), p.prepared, record.encode());
+            self.write(cx, p, CURRENT_PATH.to_owned(), p.prepared, record.encode());
         }
         None
     }
--- a/crates/conf/src/doubt.rs
+++ b/crates/conf/src/doubt.rs
@@ -7,7 +7,7 @@
 use gs_types::prelude::*;
 
 use crate::held::Held;
-use crate::patch::Touched;
+use crate::patch::AffectedTarget;
 use crate::record::Pending;
 
 /// How often an acknowledgement is sent again while the patch is undecided.
@@ -19,7 +19,7 @@
 ///
 /// The failure: this VM acknowledges, the proposer commits, and the word of it is cut off. Callers
 /// here would be served by a version that is no longer in force, and nobody here could know. So an
-/// acknowledgement is also a promise: without word for `doubt_after`, the lookups that the patch
+/// acknowledgement is also a promise: without word for `in_doubt_after`, the lookups that the patch
 /// changes are refused as not run until the outcome is learned. The proposer calls the patch
 /// accepted only after every VM has it in force or its promise has run out. It holds through a
 /// pause, as each lookup asks with the time of asking.
@@ -27,7 +27,7 @@
 pub(crate) struct Doubt {
     object: u64,
     proposer: VmId,
-    touched: Vec<Touched>,
+    touched: Vec<AffectedTarget>,
     safe_until: Instant,
     seq: u64,
     sent: VecDeque<(u64, Instant)>,
@@ -81,16 +81,16 @@
     ///
     /// The time counts from when the acknowledgement was sent, so that an answer that was long on
     /// its way extends nothing that the proposer counts as over.
-    pub(crate) fn holding(&mut self, seq: u64, doubt_after: Duration) {
+    pub(crate) fn holding(&mut self, seq: u64, in_doubt_after: Duration) {
         let Some((_, at)) = self.sent.iter().find(|(s, _)| *s == seq) else {
             return;
         };
-        self.safe_until = self.safe_until.max(*at + doubt_after);
+        self.safe_until = self.safe_until.max(*at + in_doubt_after);
     }
 
     /// The proposer is this VM, and knows at `now` that the patch is in force nowhere.
-    pub(crate) fn known_undecided(&mut self, now: Instant, doubt_after: Duration) {
-        self.safe_until = self.safe_until.max(now + doubt_after);
+    pub(crate) fn known_undecided(&mut self, now: Instant, in_doubt_after: Duration) {
+        self.safe_until = self.safe_until.max(now + in_doubt_after);
     }
 
     /// The proposer will never commit it.
@@ -99,7 +99,7 @@
     }
 
     /// What must be refused now.
-    pub(crate) fn refused(&self, now: Instant) -> &[Touched] {
+    pub(crate) fn refused(&self, now: Instant) -> &[AffectedTarget] {
         match !self.abandoned && now >= self.safe_until {
             true => &self.touched,
             false => &[],
--- a/crates/conf/src/drive.rs
+++ b/crates/conf/src/drive.rs
@@ -3,15 +3,15 @@
 use gs_types::prelude::*;
 
 use crate::action::Action;
-use crate::book::Book;
+use crate::book::ConfigManager;
 use crate::book::Cx;
 use crate::message::Message;
 use crate::proposal::Proposal;
 use crate::state::PatchEvent;
 use crate::state::PatchState;
-use crate::verdict::Verdict;
+use crate::verdict::PatchOutcome;
 
-impl Book {
+impl ConfigManager {
     /// Takes the proposal under way as far as it goes now, and the next ones after it.
     pub(crate) fn drive(&mut self, cx: &mut Cx<'_>) {
         self.drop_late(cx);
@@ -46,7 +46,7 @@
             for ask in p.take_late(cx.now) {
                 let error = error.clone();
                 cx.out
-                    .push(Action::Verdict(ask, Verdict::Undecided { error }));
+                    .push(Action::Verdict(ask, PatchOutcome::Undecided { error }));
             }
         }
         self.queue.retain(|p| !p.asks.is_empty());
@@ -90,7 +90,7 @@
         let verdict = match (p.made, p.refused()) {
             (Some(version), _) => self.accepted(p, version),
             (None, Some(refused)) => refused,
-            (None, None) => Verdict::Undecided {
+            (None, None) => PatchOutcome::Undecided {
                 error: self.why_late(p),
             },
         };
--- a/crates/conf/src/dump.rs
+++ b/crates/conf/src/dump.rs
@@ -6,14 +6,14 @@
 use gs_types::prelude::*;
 use serde::Serialize;
 
-use crate::book::Book;
+use crate::book::ConfigManager;
 use crate::follow::VmStatus;
-use crate::patch::Touched;
+use crate::patch::AffectedTarget;
 use crate::proposal::Proposal;
 
 /// The state of a book. It names patches and teams, and holds no key and no hash of one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct BookDump {
+pub struct ConfigManagerDump {
     /// Whether the newest was shown since the start.
     pub ready: bool,
     /// The configuration version in force; `None` if none is held.
@@ -23,7 +23,7 @@
     /// The patch that is being decided, as far as is known here.
     pub pending: Option<PatchId>,
     /// The lookups refused as the outcome of a patch of them is not known.
-    pub doubts: Vec<Touched>,
+    pub doubts: Vec<AffectedTarget>,
     /// The proposal under way here.
     pub proposal: Option<ProposalDump>,
     /// Proposals that wait for it.
@@ -62,20 +62,20 @@
     }
 }
 
-impl Book {
+impl ConfigManager {
     /// The state, for people.
     #[must_use]
-    pub fn dump(&self, now: Instant) -> BookDump {
+    pub fn dump(&self, now: Instant) -> ConfigManagerDump {
         let proposal = self.current.as_ref();
-        BookDump {
-            ready: self.ready(),
+        ConfigManagerDump {
+            ready: self.is_ready(),
             version: self.config().map(|c| c.version),
-            object: self.gossip().object,
+            object: self.summary().object,
             pending: self.pending().cloned(),
-            doubts: self.doubts(now).to_vec(),
+            doubts: self.in_doubt_targets(now).to_vec(),
             proposal: proposal.map(|p| ProposalDump::of(now, p)),
             queued: self.queue.len(),
-            settled: self.settled().len(),
+            settled: self.decided_patches().len(),
             fleet: self.fleet(now),
         }
     }
--- a/crates/conf/src/event.rs
+++ b/crates/conf/src/event.rs
@@ -13,7 +13,7 @@
 /// Names one call of [`Event::Propose`], so that its verdict finds the waiting operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Ask(pub u64);
+pub struct CallId(pub u64);
 
 /// One input of the book.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -24,7 +24,7 @@
     /// An operator of this team, whose key was checked, proposes a patch.
     Propose {
         /// Names the call.
-        ask: Ask,
+        ask: CallId,
         /// The team.
         team: TeamName,
         /// The patch.
@@ -32,7 +32,7 @@
         /// Only check it.
         dry_run: bool,
     },
-    /// What [`crate::CURRENT`] holds, from [`crate::Action::Read`] or from the watch.
+    /// What [`crate::CURRENT_PATH`] holds, from [`crate::Action::Read`] or from the watch.
     Read(ReadResult),
     /// How a write asked for by [`crate::Action::Write`] ended.
     Wrote(WriteId, WriteResult),
@@ -46,7 +46,7 @@
     Tick,
 }
 
-/// What reading [`crate::CURRENT`] gave.
+/// What reading [`crate::CURRENT_PATH`] gave.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReadResult {
--- a/crates/conf/src/follow.rs
+++ b/crates/conf/src/follow.rs
@@ -7,7 +7,7 @@
 use gs_types::prelude::*;
 use serde::Serialize;
 
-use crate::message::Gossip;
+use crate::message::RecordSummary;
 
 /// What a VM said that it has in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Fleet {
     members: Vec<VmId>,
-    heard: BTreeMap<VmId, (Gossip, Instant)>,
+    heard: BTreeMap<VmId, (RecordSummary, Instant)>,
 }
 
 impl Fleet {
@@ -41,7 +41,7 @@
     }
 
     /// Notes what a VM holds; an older word that was crossed or late changes nothing.
-    pub(crate) fn note(&mut self, now: Instant, vm: &VmId, gossip: Gossip) {
+    pub(crate) fn note(&mut self, now: Instant, vm: &VmId, gossip: RecordSummary) {
         let known = self.heard.get(vm).map_or(0, |(g, _)| g.object);
         if gossip.object >= known {
             self.heard.insert(vm.clone(), (gossip, now));
--- a/crates/conf/src/held.rs
+++ b/crates/conf/src/held.rs
@@ -5,8 +5,8 @@
 
 use gs_types::prelude::*;
 
-use crate::message::Gossip;
-use crate::record::CURRENT;
+use crate::message::RecordSummary;
+use crate::record::CURRENT_PATH;
 use crate::record::Record;
 
 /// The newest record that this VM knows, at the platform's version of its object.
@@ -47,15 +47,15 @@
         if held.is_none_or(|held| version >= held) {
             return Ok(self);
         }
-        let text = format!("{CURRENT}: version {version} is older than what is in force");
+        let text = format!("{CURRENT_PATH}: version {version} is older than what is in force");
         Err(Error::new(ErrorKind::BadInput, text)
             .at("follow configuration")
             .with_hint("restore the object with a higher version, from its history"))
     }
 
     /// It in short.
-    pub(crate) fn gossip(&self) -> Gossip {
-        Gossip {
+    pub(crate) fn summary(&self) -> RecordSummary {
+        RecordSummary {
             object: self.object,
             version: self.record.version,
             digest: self.digest,
--- a/crates/conf/src/inputs.rs
+++ b/crates/conf/src/inputs.rs
@@ -8,7 +8,7 @@
 
 use crate::action::Action;
 use crate::action::WriteId;
-use crate::book::Book;
+use crate::book::ConfigManager;
 use crate::book::Cx;
 use crate::doubt::Doubt;
 use crate::event::ReadResult;
@@ -16,16 +16,16 @@
 use crate::held::Held;
 use crate::judge::id_reused;
 use crate::message::Ack;
-use crate::message::Gossip;
 use crate::message::Message;
+use crate::message::RecordSummary;
 use crate::proposal::Asked;
 use crate::proposal::Proposal;
-use crate::verdict::Verdict;
+use crate::verdict::PatchOutcome;
 
 /// Proposals that wait for the one before them; more are told to come back.
 const QUEUE_MAX: usize = 64;
 
-impl Book {
+impl ConfigManager {
     pub(crate) fn on_start(&mut self, cx: &mut Cx<'_>) {
         self.start.at = Some(cx.now);
         self.reading.wanted = true;
@@ -38,14 +38,14 @@
             let verdict = self.dry_run(&asked.team, &asked.patch);
             return cx.out.push(Action::Verdict(asked.ask, verdict));
         }
-        let until = cx.now + self.options.verdict_after;
+        let until = cx.now + self.options.outcome_timeout;
         let digest = asked.patch.digest();
         let running = self.current.iter_mut().chain(self.queue.iter_mut());
         let mut same = running.filter(|p| p.patch.id == asked.patch.id);
         match same.next() {
             Some(p) if p.digest != digest => {
                 let error = id_reused(&asked.patch.id);
-                let verdict = Verdict::Undecided { error };
+                let verdict = PatchOutcome::Undecided { error };
                 return cx.out.push(Action::Verdict(asked.ask, verdict));
             }
             Some(p) if p.team == asked.team => {
@@ -62,11 +62,11 @@
             let error = Error::new(ErrorKind::TooMuch, "too many patches wait here")
                 .at("queue patch")
                 .with_hint("send it again with the same id in a few seconds");
-            let verdict = Verdict::Undecided { error };
+            let verdict = PatchOutcome::Undecided { error };
             return cx.out.push(Action::Verdict(asked.ask, verdict));
         }
         let nonce = self.rng.random();
-        let wait = self.options.verdict_after;
+        let wait = self.options.outcome_timeout;
         let p = Proposal::new(cx.now, asked, self.chart.initial(), wait, nonce);
         self.queue.push_back(p);
     }
@@ -120,7 +120,7 @@
             Message::Want { object } => self.on_want(cx, from, object),
             Message::Newest { object, content } => {
                 let reply = match self.learn(cx, object, content) {
-                    Ok(()) => Message::Gossip(self.gossip()),
+                    Ok(()) => Message::Gossip(self.summary()),
                     Err(e) => Message::Ack(Ack {
                         object,
                         seq: 0,
@@ -131,7 +131,7 @@
             }
             Message::Ack(ack) => self.on_ack(cx, from, ack),
             Message::Holding { object, seq } => {
-                let after = self.options.doubt_after;
+                let after = self.options.in_doubt_after;
                 let d = self.doubt.as_mut().filter(|d| d.object() == object);
                 if let Some(d) = d.filter(|d| d.proposer() == from) {
                     d.holding(seq, after);
@@ -146,9 +146,9 @@
         }
     }
 
-    fn on_gossip(&mut self, cx: &mut Cx<'_>, from: &VmId, theirs: Gossip) {
+    fn on_gossip(&mut self, cx: &mut Cx<'_>, from: &VmId, theirs: RecordSummary) {
         self.fleet.note(cx.now, from, theirs);
-        let ours = self.gossip();
+        let ours = self.summary();
         if theirs.object > ours.object {
             let object = ours.object;
             cx.send(from, Message::Want { object });
@@ -165,7 +165,7 @@
                 object: h.object,
                 content: h.content.clone(),
             },
-            _ => Message::Gossip(self.gossip()),
+            _ => Message::Gossip(self.summary()),
         };
         cx.send(from, reply);
     }
@@ -175,7 +175,7 @@
             let (object, content) = (h.object, h.content.clone());
             return cx.send(from, Message::Newest { object, content });
         }
-        let ours = self.gossip().object;
+        let ours = self.summary().object;
         if ack.object > ours {
             // The write that prepared it took effect, and only its answer is lost.
             return cx.send(from, Message::Want { object: ours });
@@ -206,7 +206,7 @@
             cx.out.push(Action::Apply(next.config.clone()));
         }
         let grace = match self.start.ready {
-            true => self.options.doubt_after,
+            true => self.options.in_doubt_after,
             false => Duration::ZERO,
         };
         let pending = next.record.pending.as_ref();
@@ -221,9 +221,9 @@
 
     /// Tells the VM that proposed the last patch what is in force here.
     fn report(&self, cx: &mut Cx<'_>) {
-        let last = self.settled().last().map(|s| &s.proposer);
+        let last = self.decided_patches().last().map(|s| &s.proposer);
         if let Some(proposer) = last.filter(|vm| **vm != self.options.vm) {
-            cx.send(proposer, Message::Gossip(self.gossip()));
+            cx.send(proposer, Message::Gossip(self.summary()));
         }
     }
 }
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,9 +1,9 @@
 //! Declared fronts and the patches that change them.
 //!
-//! [`Book`] is a plain state machine that runs on every VM: [`Event`]s in, [`Action`]s out, `now`
+//! [`ConfigManager`] is a plain state machine that runs on every VM: [`Event`]s in, [`Action`]s out, `now`
 //! passed in, no I/O. It follows the newest configuration that the platform or a peer can show,
-//! only ever forward, and it carries a [`Patch`] from proposal to [`Verdict`]. The commit point of
-//! a patch is one conditional write on the object [`CURRENT`]. `docs/DESIGN-patches.md` says what was
+//! only ever forward, and it carries a [`Patch`] from proposal to [`PatchOutcome`]. The commit point of
+//! a patch is one conditional write on the object [`CURRENT_PATH`]. `docs/DESIGN-patches.md` says what was
 //! weighed.
 
 mod action;
@@ -36,32 +36,32 @@
 pub use action::WriteId;
 pub use apply::apply;
 pub use apply::diff;
-pub use book::Book;
+pub use book::ConfigManager;
 pub use check::Problem;
 pub use check::Report;
 pub use check::check_config;
 pub use check::check_patch;
-pub use dump::BookDump;
+pub use dump::ConfigManagerDump;
 pub use dump::ProposalDump;
-pub use event::Ask;
+pub use event::CallId;
 pub use event::Event;
 pub use event::ReadResult;
 pub use event::WriteResult;
 pub use follow::VmStatus;
 pub use message::Ack;
-pub use message::Gossip;
 pub use message::Message;
-pub use options::BookOptions;
+pub use message::RecordSummary;
 pub use options::Bootstrap;
+pub use options::ConfigManagerOptions;
+pub use patch::AffectedTarget;
 pub use patch::Change;
 pub use patch::Patch;
-pub use patch::Touched;
-pub use record::CURRENT;
-pub use record::HISTORY;
-pub use record::OBJECT_MAX;
+pub use record::CURRENT_PATH;
+pub use record::DecidedPatch;
+pub use record::HISTORY_PREFIX;
+pub use record::OBJECT_MAX_BYTES;
 pub use record::Pending;
 pub use record::Record;
-pub use record::Settled;
 pub use record::history_path;
 pub use state::PatchEvent;
 pub use state::PatchState;
@@ -70,5 +70,5 @@
 pub use team::check_scope;
 pub use team::hash_key;
 pub use team::redacted;
-pub use verdict::Opponent;
-pub use verdict::Verdict;
+pub use verdict::Objection;
+pub use verdict::PatchOutcome;
--- a/crates/conf/src/message.rs
+++ b/crates/conf/src/message.rs
@@ -11,13 +11,13 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Message {
     /// The newest that the sender holds, in short.
-    Gossip(Gossip),
+    Gossip(RecordSummary),
     /// Asks for the newest that the receiver holds if its object version is above this.
     Want {
         /// The object version that the sender holds; 0 for none.
         object: u64,
     },
-    /// The content of [`crate::CURRENT`] at an object version.
+    /// The content of [`crate::CURRENT_PATH`] at an object version.
     Newest {
         /// The object version.
         object: u64,
@@ -43,7 +43,7 @@
 
 /// The newest configuration that a VM holds, in short.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Gossip {
+pub struct RecordSummary {
     /// The platform's version of the object; 0 for none.
     pub object: u64,
     /// The configuration version in force.
--- a/crates/conf/src/options.rs
+++ b/crates/conf/src/options.rs
@@ -8,7 +8,7 @@
 /// How a book is set up.
 ///
 /// ```
-/// let options = gs_conf::BookOptions::builder()
+/// let options = gs_conf::ConfigManagerOptions::builder()
 ///     .vm("vm-1".parse()?)
 ///     .incarnation(gs_types::prelude::Incarnation(1))
 ///     .seed(7)
@@ -17,7 +17,7 @@
 /// # Ok::<(), gs_types::error::Error>(())
 /// ```
 #[derive(Builder, Clone, Debug)]
-pub struct BookOptions {
+pub struct ConfigManagerOptions {
     /// This VM.
     pub vm: VmId,
     /// This run of its process.
@@ -32,13 +32,13 @@
     /// How long a VM that acknowledged goes on serving what the patch changes without word from
     /// the proposer or the platform.
     #[builder(default = Duration::from_millis(1_500))]
-    pub doubt_after: Duration,
+    pub in_doubt_after: Duration,
     /// How long a prepared patch may stand before any VM withdraws it for its proposer.
     #[builder(default = Duration::from_secs(3))]
     pub withdraw_after: Duration,
     /// How long an operator waits for a verdict at most.
     #[builder(default = Duration::from_secs(10))]
-    pub verdict_after: Duration,
+    pub outcome_timeout: Duration,
 }
 
 /// The first configuration: one admin team and no front.
--- a/crates/conf/src/patch.rs
+++ b/crates/conf/src/patch.rs
@@ -57,14 +57,14 @@
 
 /// What a patch changes for callers: a whole front, or one lookup of it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Touched {
+pub struct AffectedTarget {
     /// The front.
     pub front: FrontName,
     /// The lookup; `None` for every lookup of the front.
     pub lookup: Option<LookupName>,
 }
 
-impl Touched {
+impl AffectedTarget {
     /// Whether a request for this front and lookup is touched.
     #[must_use]
     pub fn covers(&self, front: &FrontName, lookup: &LookupName) -> bool {
@@ -82,7 +82,7 @@
 
     /// What the patch changes for callers; team changes touch no caller.
     #[must_use]
-    pub fn touched(&self) -> Vec<Touched> {
+    pub fn touched(&self) -> Vec<AffectedTarget> {
         let mut touched: Vec<_> = self.changes.iter().filter_map(Change::touched).collect();
         touched.sort();
         touched.dedup();
@@ -91,7 +91,7 @@
 }
 
 impl Change {
-    fn touched(&self) -> Option<Touched> {
+    fn touched(&self) -> Option<AffectedTarget> {
         let (front, lookup) = match self {
             Self::PutFront(f) => (&f.name, None),
             Self::RemoveFront(f) => (f, None),
@@ -99,7 +99,7 @@
             Self::RemoveLookup { front, lookup } => (front, Some(lookup.clone())),
             Self::PutTeam(_) | Self::RemoveTeam(_) => return None,
         };
-        Some(Touched {
+        Some(AffectedTarget {
             front: front.clone(),
             lookup,
         })
--- a/crates/conf/src/prepare.rs
+++ b/crates/conf/src/prepare.rs
@@ -5,19 +5,19 @@
 use gs_types::prelude::*;
 
 use crate::action::Action;
-use crate::book::Book;
+use crate::book::ConfigManager;
 use crate::book::Cx;
 use crate::held::Held;
 use crate::judge::Judgement;
 use crate::judge::judge;
 use crate::patch::Patch;
 use crate::proposal::Proposal;
-use crate::record::CURRENT;
+use crate::record::CURRENT_PATH;
 use crate::record::Pending;
 use crate::state::PatchEvent;
-use crate::verdict::Verdict;
+use crate::verdict::PatchOutcome;
 
-impl Book {
+impl ConfigManager {
     pub(crate) fn step_reading(&mut self, cx: &mut Cx<'_>, p: &mut Proposal) -> Option<PatchEvent> {
         let late = p.is_late(cx.now).then_some(PatchEvent::Late);
         let Some(held) = self.held.clone() else {
@@ -37,7 +37,7 @@
                 Some(PatchEvent::Settled)
             }
             Judgement::Undecided(error) => {
-                self.tell(cx, p, Verdict::Undecided { error });
+                self.tell(cx, p, PatchOutcome::Undecided { error });
                 Some(PatchEvent::Settled)
             }
             Judgement::Ahead => self.read_ahead(cx, p, &held).or(late),
@@ -55,31 +55,31 @@
     }
 
     /// The verdict of a dry run, by what is held now.
-    pub(crate) fn dry_run(&self, team: &TeamName, patch: &Patch) -> Verdict {
+    pub(crate) fn dry_run(&self, team: &TeamName, patch: &Patch) -> PatchOutcome {
         let Some(held) = &self.held else {
             let error = Error::new(ErrorKind::Unavailable, "this VM holds no configuration yet")
                 .at("dry run")
                 .with_hint("ask another VM, or again in a few seconds");
-            return Verdict::Undecided { error };
+            return PatchOutcome::Undecided { error };
         };
         match judge(held, team, patch, self.groups.as_ref()) {
-            Judgement::Fits(next, warnings) => Verdict::Checked {
+            Judgement::Fits(next, warnings) => PatchOutcome::Checked {
                 version: next.version,
                 warnings,
             },
-            Judgement::Accepted(version) => Verdict::Undecided {
+            Judgement::Accepted(version) => PatchOutcome::Undecided {
                 error: Error::new(
                     ErrorKind::Conflict,
                     format!("the patch was accepted and made version {version}"),
                 )
                 .at("dry run"),
             },
-            Judgement::Refused(error) => Verdict::Refused {
+            Judgement::Refused(error) => PatchOutcome::Refused {
                 error,
                 against: Vec::new(),
             },
-            Judgement::Undecided(error) => Verdict::Undecided { error },
-            Judgement::Ahead => Verdict::Undecided {
+            Judgement::Undecided(error) => PatchOutcome::Undecided { error },
+            Judgement::Ahead => PatchOutcome::Undecided {
                 error: ahead(patch, held),
             },
         }
@@ -97,11 +97,11 @@
             return None;
         }
         let error = ahead(&p.patch, held);
-        self.tell(cx, p, Verdict::Undecided { error });
+        self.tell(cx, p, PatchOutcome::Undecided { error });
         Some(PatchEvent::Settled)
     }
 
-    pub(crate) fn tell(&mut self, cx: &mut Cx<'_>, p: &mut Proposal, verdict: Verdict) {
+    pub(crate) fn tell(&mut self, cx: &mut Cx<'_>, p: &mut Proposal, verdict: PatchOutcome) {
         for ask in p.take_asks() {
             cx.out.push(Action::Verdict(ask, verdict.clone()));
         }
@@ -126,7 +126,7 @@
         if p.writing.is_due(cx.now) {
             let mut record = (*held.record).clone();
             record.pending = Some(self.pending_of(p));
-            self.write(cx, p, CURRENT.to_owned(), held.object, record.encode());
+            self.write(cx, p, CURRENT_PATH.to_owned(), held.object, record.encode());
         }
         None
     }
--- a/crates/conf/src/proposal.rs
+++ b/crates/conf/src/proposal.rs
@@ -8,12 +8,12 @@
 use gs_types::prelude::*;
 
 use crate::action::WriteId;
-use crate::event::Ask;
+use crate::event::CallId;
 use crate::message::Ack;
 use crate::patch::Patch;
 use crate::state::PatchState;
-use crate::verdict::Opponent;
-use crate::verdict::Verdict;
+use crate::verdict::Objection;
+use crate::verdict::PatchOutcome;
 
 /// The wait before a write is tried again; doubled each time.
 const RETRY: Duration = Duration::from_millis(40);
@@ -31,7 +31,7 @@
     /// When the state was entered.
     pub(crate) since: Instant,
     /// The operators' calls that wait, each with the time at which it waited long enough.
-    pub(crate) asks: Vec<(Ask, Instant)>,
+    pub(crate) asks: Vec<(CallId, Instant)>,
     /// The object's version that the patch was judged by and whose content is replaced.
     pub(crate) base: u64,
     /// The object's version by which it may be prepared, once nothing else is in the way.
@@ -43,7 +43,7 @@
     pub(crate) warnings: Vec<String>,
     pub(crate) acks: BTreeMap<VmId, AckSeen>,
     pub(crate) archived: bool,
-    pub(crate) refusal: Option<(Error, Vec<Opponent>)>,
+    pub(crate) refusal: Option<(Error, Vec<Objection>)>,
     /// The version it made, once committed.
     pub(crate) made: Option<ConfVersion>,
     /// Whether this book committed it, and not a resend through another VM.
@@ -91,7 +91,7 @@
 
 /// What an operator proposes.
 pub(crate) struct Asked {
-    pub(crate) ask: Ask,
+    pub(crate) ask: CallId,
     pub(crate) team: TeamName,
     pub(crate) patch: Patch,
     pub(crate) dry_run: bool,
@@ -102,7 +102,7 @@
         now: Instant,
         asked: Asked,
         state: PatchState,
-        verdict_after: Duration,
+        outcome_timeout: Duration,
         nonce: u64,
     ) -> Self {
         Self {
@@ -112,7 +112,7 @@
             nonce,
             state,
             since: now,
-            asks: vec![(asked.ask, now + verdict_after)],
+            asks: vec![(asked.ask, now + outcome_timeout)],
             base: 0,
             fits: None,
             prepared: 0,
@@ -135,12 +135,12 @@
     }
 
     /// Takes the calls that are to be answered with the verdict.
-    pub(crate) fn take_asks(&mut self) -> Vec<Ask> {
+    pub(crate) fn take_asks(&mut self) -> Vec<CallId> {
         self.asks.drain(..).map(|(ask, _)| ask).collect()
     }
 
     /// Takes the calls that have waited long enough.
-    pub(crate) fn take_late(&mut self, now: Instant) -> Vec<Ask> {
+    pub(crate) fn take_late(&mut self, now: Instant) -> Vec<CallId> {
         let late = self.asks.iter().filter(|(_, until)| now >= *until);
         let late = late.map(|(ask, _)| *ask).collect();
         self.asks.retain(|(_, until)| now < *until);
@@ -158,10 +158,10 @@
     }
 
     /// The VMs that stand against it by what they said.
-    pub(crate) fn opponents(&self) -> Vec<Opponent> {
+    pub(crate) fn opponents(&self) -> Vec<Objection> {
         let one = |(vm, ack): (&VmId, &AckSeen)| {
             let reason = ack.against.clone()?;
-            Some(Opponent {
+            Some(Objection {
                 vm: vm.clone(),
                 reason,
             })
@@ -178,9 +178,9 @@
     }
 
     /// The refusal as a verdict.
-    pub(crate) fn refused(&self) -> Option<Verdict> {
+    pub(crate) fn refused(&self) -> Option<PatchOutcome> {
         let (error, against) = self.refusal.clone()?;
-        Some(Verdict::Refused { error, against })
+        Some(PatchOutcome::Refused { error, against })
     }
     /// Notes an acknowledgement; the first word of a VM against it stays.
     pub(crate) fn note_ack(&mut self, now: Instant, from: &VmId, ack: Ack) {
--- a/crates/conf/src/record.rs
+++ b/crates/conf/src/record.rs
@@ -9,13 +9,13 @@
 use crate::patch::Patch;
 
 /// The object that holds the configuration in force.
-pub const CURRENT: &str = "config/current";
+pub const CURRENT_PATH: &str = "config/current";
 
 /// Where each replaced version is kept, under its number.
-pub const HISTORY: &str = "config/history/";
+pub const HISTORY_PREFIX: &str = "config/history/";
 
 /// The largest object that the platform takes, in bytes.
-pub const OBJECT_MAX: usize = 1_000_000;
+pub const OBJECT_MAX_BYTES: usize = 1_000_000;
 
 /// The longest reason kept with a refused patch, in characters.
 const REASON_MAX: usize = 200;
@@ -26,10 +26,10 @@
 /// The path of a replaced version.
 #[must_use]
 pub fn history_path(version: ConfVersion) -> String {
-    format!("{HISTORY}{version}")
+    format!("{HISTORY_PREFIX}{version}")
 }
 
-/// The content of [`CURRENT`]: a [`Config`], and what is needed to change it safely.
+/// The content of [`CURRENT_PATH`]: a [`Config`], and what is needed to change it safely.
 ///
 /// A plain [`Config`] as JSON parses too, so that an operator can put the first one by hand.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -48,7 +48,7 @@
     pub fronts: Vec<Front>,
     /// The last patches settled, oldest first.
     #[serde(default)]
-    pub settled: Vec<Settled>,
+    pub settled: Vec<DecidedPatch>,
     /// The patch that is being decided.
     #[serde(default)]
     pub pending: Option<Pending>,
@@ -62,7 +62,7 @@
     /// [`ErrorKind::BadInput`] if it is no record that this process understands.
     pub fn parse(content: &str) -> Result<Self> {
         serde_json::from_str(content).map_err(|e| {
-            Error::new(ErrorKind::BadInput, format!("{CURRENT}: {e}"))
+            Error::new(ErrorKind::BadInput, format!("{CURRENT_PATH}: {e}"))
                 .at("read configuration")
                 .with_hint("another build may have written it: run one build on every VM")
         })
@@ -109,12 +109,12 @@
 
     /// The word on a patch, if it is still remembered.
     #[must_use]
-    pub fn find_settled(&self, id: &PatchId) -> Option<&Settled> {
+    pub fn find_settled(&self, id: &PatchId) -> Option<&DecidedPatch> {
         self.settled.iter().rev().find(|s| s.id == *id)
     }
 
     /// Notes a settled patch, and forgets the oldest if there are too many.
-    pub(crate) fn settle(&mut self, settled: Settled) {
+    pub(crate) fn settle(&mut self, settled: DecidedPatch) {
         self.pending = None;
         self.settled.push(settled);
         let extra = self.settled.len().saturating_sub(SETTLED_MAX);
@@ -125,7 +125,7 @@
 /// A patch on which the word is final.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Settled {
+pub struct DecidedPatch {
     /// The patch.
     pub id: PatchId,
     /// A hash of its content, as an id may be used for one content only.
@@ -159,8 +159,12 @@
 
 impl Pending {
     /// The word on it.
-    pub(crate) fn settled(&self, version: Option<ConfVersion>, reason: Option<String>) -> Settled {
-        Settled {
+    pub(crate) fn settled(
+        &self,
+        version: Option<ConfVersion>,
+        reason: Option<String>,
+    ) -> DecidedPatch {
+        DecidedPatch {
             id: self.patch.id.clone(),
             digest: self.patch.digest(),
             team: self.team.clone(),
--- a/crates/conf/src/spread.rs
+++ b/crates/conf/src/spread.rs
@@ -5,13 +5,13 @@
 use gs_types::prelude::*;
 
 use crate::action::Action;
-use crate::book::Book;
+use crate::book::ConfigManager;
 use crate::book::Cx;
 use crate::decide::HEARD_WITHIN;
 use crate::message::Message;
 use crate::proposal::Proposal;
 use crate::state::PatchEvent;
-use crate::verdict::Verdict;
+use crate::verdict::PatchOutcome;
 
 /// How often what a VM has not answered is sent to it again.
 const PUSH_EVERY: Duration = Duration::from_millis(250);
@@ -21,7 +21,7 @@
 /// The largest content that is sent unasked, in bytes; peers fetch what is larger.
 const INLINE_MAX: usize = 64 << 10;
 
-impl Book {
+impl ConfigManager {
     pub(crate) fn step_spreading(
         &mut self,
         cx: &mut Cx<'_>,
@@ -44,19 +44,19 @@
     /// Once it is committed, its proposer extends no VM's promise. A resend's VM cannot know when
     /// that proposer learned of the commit, only that it heard from this one lately before it did.
     fn spread_wait(&self, p: &Proposal) -> Duration {
-        let promise = self.options.doubt_after + MARGIN;
+        let promise = self.options.in_doubt_after + MARGIN;
         match p.ours {
             true => promise,
             false => promise + HEARD_WITHIN * 2,
         }
     }
 
-    pub(crate) fn accepted(&self, p: &Proposal, version: ConfVersion) -> Verdict {
+    pub(crate) fn accepted(&self, p: &Proposal, version: ConfVersion) -> PatchOutcome {
         let members = self.fleet.members().iter();
         let (in_force, awaiting) = members
             .cloned()
             .partition(|vm| self.is_in_force(vm, version));
-        Verdict::Accepted {
+        PatchOutcome::Accepted {
             version,
             in_force,
             awaiting,
@@ -105,7 +105,7 @@
                 object: h.object,
                 content: h.content.clone(),
             },
-            _ => Message::Gossip(self.gossip()),
+            _ => Message::Gossip(self.summary()),
         }
     }
 }
--- a/crates/conf/src/verdict.rs
+++ b/crates/conf/src/verdict.rs
@@ -7,7 +7,7 @@
 /// The word on a patch, for its operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "verdict", rename_all = "kebab-case")]
-pub enum Verdict {
+pub enum PatchOutcome {
     /// It is committed, and no VM serves by the version before it.
     Accepted {
         /// The version that it made.
@@ -32,7 +32,7 @@
         /// Why.
         error: Error,
         /// Who stood against it.
-        against: Vec<Opponent>,
+        against: Vec<Objection>,
     },
     /// Not decided yet, or not known here. A resend with the same id is safe and gives the verdict.
     Undecided {
@@ -43,7 +43,7 @@
 
 /// A VM that stood against a patch, or the patch that was first.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Opponent {
+pub struct Objection {
     /// The VM.
     pub vm: VmId,
     /// What it said, or that it said nothing.
--- a/crates/conf/src/writes.rs
+++ b/crates/conf/src/writes.rs
@@ -7,7 +7,7 @@
 
 use crate::action::Action;
 use crate::action::WriteId;
-use crate::book::Book;
+use crate::book::ConfigManager;
 use crate::book::Cx;
 use crate::event::WriteResult;
 use crate::proposal::Proposal;
@@ -17,7 +17,7 @@
 /// Versions kept in the history.
 const HISTORY_KEEP: u64 = 1_000;
 
-impl Book {
+impl ConfigManager {
     pub(crate) fn write(
         &mut self,
         cx: &mut Cx<'_>,
--- a/crates/node/src/book_shell.rs
+++ b/crates/node/src/book_shell.rs
@@ -6,12 +6,12 @@
 use std::time::Duration;
 
 use gs_conf::Action;
-use gs_conf::Ask;
-use gs_conf::Book;
-use gs_conf::CURRENT;
+use gs_conf::CURRENT_PATH;
+use gs_conf::CallId;
+use gs_conf::ConfigManager;
 use gs_conf::Event;
+use gs_conf::PatchOutcome;
 use gs_conf::ReadResult;
-use gs_conf::Verdict;
 use gs_conf::WriteResult;
 use gs_store::Object;
 use gs_types::prelude::*;
@@ -27,12 +27,12 @@
 use gs_actor::Times;
 use gs_actor::lock;
 
-impl Machine<BookShell> for Book {
+impl Machine<BookShell> for ConfigManager {
     type Event = Event;
     type Action = Action;
 
     fn on(&mut self, at: Times<'_>, ev: Event, out: &mut Vec<Action>) {
-        Book::on(self, at.now, ev, out);
+        ConfigManager::on(self, at.now, ev, out);
     }
 
     fn tick() -> Event {
@@ -42,14 +42,14 @@
 
 /// The operators that wait for a verdict.
 #[derive(Default)]
-pub(crate) struct Asks(Mutex<HashMap<Ask, oneshot::Sender<Verdict>>>);
+pub(crate) struct Asks(Mutex<HashMap<CallId, oneshot::Sender<PatchOutcome>>>);
 
 impl Asks {
-    pub(crate) fn insert(&self, ask: Ask, tx: oneshot::Sender<Verdict>) {
+    pub(crate) fn insert(&self, ask: CallId, tx: oneshot::Sender<PatchOutcome>) {
         lock(&self.0).insert(ask, tx);
     }
 
-    fn settle(&self, ask: Ask, verdict: Verdict) {
+    fn settle(&self, ask: CallId, verdict: PatchOutcome) {
         if let Some(tx) = lock(&self.0).remove(&ask) {
             let _ = tx.send(verdict);
         }
@@ -64,12 +64,12 @@
     pub(crate) asks: Arc<Asks>,
 }
 
-impl Shell<Book> for BookShell {
+impl Shell<ConfigManager> for BookShell {
     fn perform(&mut self, action: Action, feed: &Feed<Event>) -> Option<Duration> {
         match action {
             Action::Read => {
                 let feed = feed.clone();
-                self.calls.read(CURRENT.to_owned(), move |r| {
+                self.calls.read(CURRENT_PATH.to_owned(), move |r| {
                     feed.push(Event::Read(found(r)))
                 });
             }
@@ -111,7 +111,7 @@
                 content: text.into(),
             },
             Err(e) => {
-                log::error!("event=config-not-text path={CURRENT} error=\"{e}\"");
+                log::error!("event=config-not-text path={CURRENT_PATH} error=\"{e}\"");
                 ReadResult::Failed
             }
         },
--- a/crates/node/src/desk.rs
+++ b/crates/node/src/desk.rs
@@ -9,7 +9,7 @@
 
 use async_trait::async_trait;
 use gs_clock::Clock;
-use gs_conf::Book;
+use gs_conf::ConfigManager;
 use gs_http::Desk;
 use gs_http::LookupReply;
 use gs_query::Arrival;
@@ -53,7 +53,7 @@
     pub(crate) next: AtomicU64,
     pub(crate) pending: Arc<Pending>,
     pub(crate) engine: Feed<Event>,
-    pub(crate) book: Shared<Book>,
+    pub(crate) book: Shared<ConfigManager>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) clock: Arc<dyn Clock>,
 }
--- a/crates/node/src/dumps.rs
+++ b/crates/node/src/dumps.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use gs_clock::Clock;
-use gs_conf::Book;
+use gs_conf::ConfigManager;
 use gs_http::Pool;
 use gs_http::ServerState;
 use gs_member::Membership;
@@ -37,7 +37,7 @@
     pub(crate) incarnation: Incarnation,
     pub(crate) clock: Arc<dyn Clock>,
     pub(crate) engine: Shared<Engine>,
-    pub(crate) book: Shared<Book>,
+    pub(crate) book: Shared<ConfigManager>,
     pub(crate) member: Shared<Membership>,
     pub(crate) once: Shared<Once>,
     pub(crate) pool: Arc<Pool>,
@@ -111,7 +111,7 @@
             "leaving": self.board.leaving(),
             "config": config,
             "in_force": lock(&self.book).fleet(now),
-            "in_doubt": lock(&self.book).doubts(now),
+            "in_doubt": lock(&self.book).in_doubt_targets(now),
             "platform_away_for": self.away_for(),
             "vms": vms,
             "lookups_in_flight": lock(&self.engine).in_flight(),
@@ -126,7 +126,7 @@
         !self.board.leaving()
             && self.board.groups_loaded()
             && self.board.shares_given()
-            && lock(&self.book).ready()
+            && lock(&self.book).is_ready()
     }
 
     /// The states of all VMs; one that does not answer in time stands with its error.
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,6 +1,6 @@
 //! One process of gentiansill: the decisions as actors, joined to sockets, the mesh and the platform.
 //!
-//! Each decision crate runs in one `xtra` actor ([`gs_query::Engine`], [`gs_conf::Book`],
+//! Each decision crate runs in one `xtra` actor ([`gs_query::Engine`], [`gs_conf::ConfigManager`],
 //! [`gs_member::Membership`], [`gs_once::Once`]). This crate carries their actions out and feeds
 //! what comes of them back as events; it holds no policy of its own.
 //!
--- a/crates/node/src/operators.rs
+++ b/crates/node/src/operators.rs
@@ -8,13 +8,13 @@
 use gs_admin::Fleet;
 use gs_admin::HistoryEntry;
 use gs_clock::Clock;
-use gs_conf::Ask;
-use gs_conf::Book;
+use gs_conf::CallId;
+use gs_conf::ConfigManager;
+use gs_conf::DecidedPatch;
 use gs_conf::Event;
-use gs_conf::HISTORY;
+use gs_conf::HISTORY_PREFIX;
 use gs_conf::Patch;
-use gs_conf::Settled;
-use gs_conf::Verdict;
+use gs_conf::PatchOutcome;
 use gs_conf::VmStatus;
 use gs_conf::history_path;
 use gs_store::Platform;
@@ -31,7 +31,7 @@
 
 /// What the process offers to operators.
 pub(crate) struct Operators {
-    pub(crate) book: Shared<Book>,
+    pub(crate) book: Shared<ConfigManager>,
     pub(crate) feed: Feed<Event>,
     pub(crate) asks: Arc<Asks>,
     pub(crate) next: AtomicU64,
@@ -43,8 +43,8 @@
 
 #[async_trait]
 impl Fleet for Operators {
-    async fn propose(&self, team: TeamName, patch: Patch, dry_run: bool) -> Verdict {
-        let ask = Ask(self.next.fetch_add(1, Ordering::Relaxed));
+    async fn propose(&self, team: TeamName, patch: Patch, dry_run: bool) -> PatchOutcome {
+        let ask = CallId(self.next.fetch_add(1, Ordering::Relaxed));
         let (tx, rx) = oneshot::channel();
         self.asks.insert(ask, tx);
         self.feed.push(Event::Propose {
@@ -53,7 +53,7 @@
             patch,
             dry_run,
         });
-        rx.await.unwrap_or_else(|_| Verdict::Undecided {
+        rx.await.unwrap_or_else(|_| PatchOutcome::Undecided {
             error: Error::new(ErrorKind::Unknown, "the process ended first").at("propose"),
         })
     }
@@ -74,16 +74,16 @@
         Ok(Some(Arc::new(config)))
     }
 
-    fn settled(&self) -> Vec<Settled> {
-        lock(&self.book).settled().to_vec()
+    fn settled(&self) -> Vec<DecidedPatch> {
+        lock(&self.book).decided_patches().to_vec()
     }
 
     async fn history(&self) -> Result<Vec<HistoryEntry>> {
-        let listing = self.platform.list(HISTORY).await?;
+        let listing = self.platform.list(HISTORY_PREFIX).await?;
         let mut all: Vec<HistoryEntry> = listing
             .objects
             .iter()
-            .filter_map(|o| o.path.strip_prefix(HISTORY)?.parse().ok())
+            .filter_map(|o| o.path.strip_prefix(HISTORY_PREFIX)?.parse().ok())
             .map(|version| HistoryEntry { version })
             .collect();
         all.sort_by_key(|e| e.version);
--- a/crates/node/src/options.rs
+++ b/crates/node/src/options.rs
@@ -5,8 +5,8 @@
 use std::time::SystemTime;
 
 use gs_clock::Clock;
-use gs_conf::Book;
-use gs_conf::BookOptions;
+use gs_conf::ConfigManager;
+use gs_conf::ConfigManagerOptions;
 use gs_http::Limits;
 use gs_http::PoolOptions;
 use gs_member::MemberSettings;
@@ -125,7 +125,7 @@
         Recording::start(file, &header, self.clock.now())
     }
 
-    pub(crate) fn book(&self) -> Result<Book> {
+    pub(crate) fn book(&self) -> Result<ConfigManager> {
         let bootstrap = self
             .settings
             .bootstrap
@@ -134,13 +134,13 @@
                 team: b.team.clone(),
                 key_sha256: b.key_sha256.to_string(),
             });
-        let options = BookOptions::builder()
+        let options = ConfigManagerOptions::builder()
             .vm(self.settings.vm.name.clone())
             .incarnation(self.incarnation)
             .seed(self.seed)
             .maybe_bootstrap(bootstrap)
             .build();
-        Book::new(options)
+        ConfigManager::new(options)
     }
 
     pub(crate) fn member(&self) -> MemberSettings {
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -6,7 +6,7 @@
 
 use gs_admin::Admin;
 use gs_admin::AdminOptions;
-use gs_conf::Book;
+use gs_conf::ConfigManager;
 use gs_http::Callers;
 use gs_http::Pool;
 use gs_http::Server;
@@ -88,7 +88,7 @@
 /// The decisions, shared between their actors and the readers of dumps.
 struct Machines {
     engine: Shared<Engine>,
-    book: Shared<Book>,
+    book: Shared<ConfigManager>,
     member: Shared<Membership>,
     once: Shared<Once>,
 }
@@ -96,7 +96,7 @@
 /// The decisions' mailboxes, before their actors start.
 struct Slots {
     engine: Slot<Engine, EngineShell>,
-    book: Slot<Book, BookShell>,
+    book: Slot<ConfigManager, BookShell>,
     member: Slot<Membership, MemberShell>,
     once: Slot<Once, OnceShell>,
 }
--- a/crates/node/src/watch.rs
+++ b/crates/node/src/watch.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gs_conf::Book;
-use gs_conf::CURRENT;
+use gs_conf::CURRENT_PATH;
+use gs_conf::ConfigManager;
 use gs_member::SeatTable;
 use gs_store::Holds;
 use gs_store::Platform;
@@ -43,15 +43,15 @@
     /// How long a watch waits for a change.
     pub(crate) wait: Duration,
     /// Tells which configuration is held already.
-    pub(crate) book: Shared<Book>,
+    pub(crate) book: Shared<ConfigManager>,
 }
 
 impl Follower {
     /// Starts every task that follows the platform.
     pub(crate) fn start(self) {
         let book = Arc::clone(&self.book);
-        let held: Holds = Arc::new(move |_, version| lock(&book).gossip().object >= version.0);
-        self.watch(CURRENT, Some(held), |f, u| {
+        let held: Holds = Arc::new(move |_, version| lock(&book).summary().object >= version.0);
+        self.watch(CURRENT_PATH, Some(held), |f, u| {
             f.feeds.book.push(gs_conf::Event::Read(found(Ok(u.object))));
         });
         self.watch(GROUPS, None, |f, u| f.group_changed(&u));
--- a/src/commands/patch.rs
+++ b/src/commands/patch.rs
@@ -10,7 +10,7 @@
 use clap::ArgMatches;
 use clap::Command;
 use clap::value_parser;
-use gs_conf::Verdict;
+use gs_conf::PatchOutcome;
 use gs_types::prelude::*;
 
 use super::admin;
@@ -84,7 +84,7 @@
 
 /// Sends the patch once. A verdict comes with any status; an answer without one is about the call
 /// and no word on the patch.
-fn send(client: &Client, path: &str, body: &str) -> Result<Verdict> {
+fn send(client: &Client, path: &str, body: &str) -> Result<PatchOutcome> {
     let reply = client.post(path, body.to_owned())?;
     match serde_json::from_value(reply.body.clone()) {
         Ok(verdict) => Ok(verdict),
@@ -100,7 +100,7 @@
 ///
 /// The platform keeps the patch's id with the version that it made, so a patch whose answer was lost
 /// is recognised and not applied a second time.
-fn wait(client: &Client, path: &str, body: &str, timeout: Duration) -> Result<Verdict> {
+fn wait(client: &Client, path: &str, body: &str, timeout: Duration) -> Result<PatchOutcome> {
     let start = Instant::now();
     loop {
         let last = send(client, path, body);
@@ -111,30 +111,30 @@
     }
 }
 
-fn settled(last: &Result<Verdict>) -> bool {
+fn settled(last: &Result<PatchOutcome>) -> bool {
     match last {
-        Ok(Verdict::Accepted { awaiting, .. }) => awaiting.is_empty(),
-        Ok(Verdict::Checked { .. } | Verdict::Refused { .. }) => true,
-        Ok(Verdict::Undecided { .. }) => false,
+        Ok(PatchOutcome::Accepted { awaiting, .. }) => awaiting.is_empty(),
+        Ok(PatchOutcome::Checked { .. } | PatchOutcome::Refused { .. }) => true,
+        Ok(PatchOutcome::Undecided { .. }) => false,
         Err(e) => !matches!(e.kind(), ErrorKind::Unavailable | ErrorKind::Unknown),
     }
 }
 
-fn exit(verdict: &Verdict) -> Exit {
+fn exit(verdict: &PatchOutcome) -> Exit {
     match verdict {
-        Verdict::Accepted { .. } | Verdict::Checked { .. } => Exit::Done,
-        Verdict::Refused { .. } => Exit::Refused,
-        Verdict::Undecided { .. } => Exit::Unknown,
+        PatchOutcome::Accepted { .. } | PatchOutcome::Checked { .. } => Exit::Done,
+        PatchOutcome::Refused { .. } => Exit::Refused,
+        PatchOutcome::Undecided { .. } => Exit::Unknown,
     }
 }
 
-fn show(verdict: &Verdict, json: bool) {
+fn show(verdict: &PatchOutcome, json: bool) {
     if json {
         output::json(&serde_json::to_value(verdict).unwrap_or_default());
         return;
     }
     match verdict {
-        Verdict::Accepted {
+        PatchOutcome::Accepted {
             version,
             in_force,
             awaiting,
@@ -147,18 +147,18 @@
             }
             warn(warnings);
         }
-        Verdict::Checked { version, warnings } => {
+        PatchOutcome::Checked { version, warnings } => {
             output::line(&format!("would be accepted: version {version}"));
             warn(warnings);
         }
-        Verdict::Refused { error, against } => {
+        PatchOutcome::Refused { error, against } => {
             output::line(&format!("refused: {error}"));
             for o in against {
                 output::line(&format!("against it: {}: {}", o.vm, o.reason));
             }
             hint(error);
         }
-        Verdict::Undecided { error } => {
+        PatchOutcome::Undecided { error } => {
             output::line(&format!("undecided: {error}"));
             output::line("send the same file again to learn its verdict; `--wait` does so");
             hint(error);
