--- a/crates/conf/src/action.rs
+++ b/crates/conf/src/action.rs
@@ -1,4 +1,4 @@
-//! What the book asks its shell to do.
+//! The outputs of the configuration manager.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,15 +10,17 @@
 use crate::event::CallId;
 use crate::message::Message;
 use crate::patch::AffectedTarget;
-use crate::verdict::PatchOutcome;
+use crate::patch_outcome::PatchOutcome;
 
-/// Names one write, so that its result finds its purpose.
+/// Identifies a write, so that its result can be matched to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct WriteId(pub u64);
 
-/// One output of the book; the shell carries them out in order, so that a VM never tells a peer that
-/// a version is in force before it is.
+/// An output of the configuration manager.
+///
+/// The I/O driver (shell) performs them in order, so that a VM never reports to a peer that a version
+/// is in force before it is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
@@ -26,7 +28,7 @@
     Read,
     /// Write an object once, without a retry; answered by [`crate::Event::Wrote`].
     Write {
-        /// Names the write.
+        /// The id of the write.
         id: WriteId,
         /// The object's path.
         path: String,
@@ -35,21 +37,21 @@
         /// The content.
         content: Arc<str>,
     },
-    /// Delete an object whatever its version; it may be tried once, and may fail.
+    /// Delete an object at any version; tried once, and may fail.
     Prune(String),
-    /// Send a message to a peer; it may be lost.
+    /// Send a message to a peer; the message may be lost.
     Send(VmId, Message),
-    /// Send a message to every peer; it may be lost.
+    /// Send a message to every peer; the message may be lost.
     Broadcast(Message),
-    /// This version is in force here from now on.
+    /// Put this version in force on this VM.
     Apply(Arc<Config>),
-    /// Refuse these lookups as not run until told otherwise; replaces the list given before.
+    /// Refuse these lookups as not run until the next such action; replaces the previous list.
     ///
-    /// A patch of these was prepared here and its outcome cannot be learned, so serving them by the
-    /// version held may be serving them by one that is no longer in force.
+    /// A prepared patch changes them and its outcome is unknown here, so the version known to this VM
+    /// may no longer be in force for them.
     Doubt(Vec<AffectedTarget>),
-    /// The word to the operator who waits for this call; given once.
+    /// Send the outcome to the operator's call; sent once per call.
     Verdict(CallId, PatchOutcome),
-    /// Send [`crate::Event::Tick`] after this time; replaces the one asked before.
+    /// Send [`crate::Event::Tick`] after this time; replaces the previous timer.
     Wake(Duration),
 }
--- a/crates/conf/src/drive.rs
+++ b/crates/conf/src/advance.rs
@@ -1,20 +1,20 @@
-//! The life of the proposal that is under way.
+//! Progress of the current proposal through its states.
 
 use gs_types::prelude::*;
 
 use crate::action::Action;
-use crate::book::ConfigManager;
-use crate::book::Cx;
+use crate::manager::ConfigManager;
+use crate::manager::Cx;
 use crate::message::Message;
+use crate::patch_outcome::PatchOutcome;
 use crate::proposal::Proposal;
 use crate::state::PatchEvent;
 use crate::state::PatchState;
-use crate::verdict::PatchOutcome;
 
 impl ConfigManager {
-    /// Takes the proposal under way as far as it goes now, and the next ones after it.
-    pub(crate) fn drive(&mut self, cx: &mut Cx<'_>) {
-        self.drop_late(cx);
+    /// Advances the current proposal as far as possible now, and then the queued ones.
+    pub(crate) fn advance_proposals(&mut self, cx: &mut Cx<'_>) {
+        self.expire_queued_calls(cx);
         loop {
             let next = || self.queue.pop_front();
             let Some(mut p) = self.current.take().or_else(next) else {
@@ -30,26 +30,29 @@
                 self.current = Some(p);
                 return;
             }
-            if p.asks.is_empty() {
+            if p.calls.is_empty() {
                 continue;
             }
-            self.finish(cx, &mut p);
+            self.answer_calls(cx, &mut p);
         }
     }
 
-    /// Tells operators in the queue that have waited long enough.
-    fn drop_late(&mut self, cx: &mut Cx<'_>) {
-        let error = Error::new(ErrorKind::Unavailable, "other patches took too long")
-            .at("queue patch")
-            .with_hint("send it again with the same id");
+    /// Answers the calls in the queue that have expired.
+    fn expire_queued_calls(&mut self, cx: &mut Cx<'_>) {
+        let error = Error::new(
+            ErrorKind::Unavailable,
+            "the call timed out while other patches were being decided",
+        )
+        .at("queue patch")
+        .with_hint("send it again with the same id");
         for p in &mut self.queue {
-            for ask in p.take_late(cx.now) {
+            for call in p.take_expired_calls(cx.now) {
                 let error = error.clone();
                 cx.out
-                    .push(Action::Verdict(ask, PatchOutcome::Undecided { error }));
+                    .push(Action::Verdict(call, PatchOutcome::Undecided { error }));
             }
         }
-        self.queue.retain(|p| !p.asks.is_empty());
+        self.queue.retain(|p| !p.calls.is_empty());
     }
 
     fn step(&mut self, cx: &mut Cx<'_>, p: &mut Proposal) -> Option<PatchEvent> {
@@ -67,42 +70,48 @@
     fn enter(&mut self, cx: &mut Cx<'_>, p: &mut Proposal, state: PatchState) {
         p.state = state;
         p.since = cx.now;
-        p.pushed = None;
-        p.writing.restart();
+        p.last_sent = None;
+        p.write_retry.reset();
         match state {
-            PatchState::Asking | PatchState::Spreading => self.spread(cx, p),
+            PatchState::Asking | PatchState::Spreading => self.broadcast_latest(cx, p),
             PatchState::Withdrawing => {
-                let object = p.prepared;
+                let object = p.prepared_object;
                 cx.out
                     .push(Action::Broadcast(Message::Abandoned { object }));
-                if let Some(d) = self.doubt.as_mut().filter(|d| d.object() == object) {
-                    d.abandon();
+                if let Some(d) = self
+                    .in_doubt_patch
+                    .as_mut()
+                    .filter(|d| d.object() == object)
+                {
+                    d.mark_abandoned();
                 }
-                // Final already: only this VM could commit it, and it never will.
-                self.finish(cx, p);
+                // The outcome is final: only this VM could commit the patch, and it never will.
+                self.answer_calls(cx, p);
             }
             _ => {}
         }
     }
 
-    /// Tells the operators who wait what there is to tell.
-    pub(crate) fn finish(&mut self, cx: &mut Cx<'_>, p: &mut Proposal) {
-        let verdict = match (p.made, p.refused()) {
+    /// Sends the outcome to the calls that wait for it.
+    pub(crate) fn answer_calls(&mut self, cx: &mut Cx<'_>, p: &mut Proposal) {
+        let outcome = match (p.committed_version, p.refusal_outcome()) {
             (Some(version), _) => self.accepted(p, version),
             (None, Some(refused)) => refused,
             (None, None) => PatchOutcome::Undecided {
-                error: self.why_late(p),
+                error: self.undecided_error(p),
             },
         };
-        for ask in p.take_asks() {
-            cx.out.push(Action::Verdict(ask, verdict.clone()));
+        for call in p.take_calls() {
+            cx.out.push(Action::Verdict(call, outcome.clone()));
         }
     }
 
-    pub(crate) fn why_late(&self, p: &Proposal) -> Error {
+    pub(crate) fn undecided_error(&self, p: &Proposal) -> Error {
         let text = match p.state {
-            PatchState::Committing => "the platform took the commit and its answer is lost",
-            _ if self.held.is_none() => "this VM holds no configuration yet",
+            PatchState::Committing => {
+                "the commit was sent to the platform and its result is unknown"
+            }
+            _ if self.latest.is_none() => "this VM holds no configuration yet",
             _ if self.fleet.members().is_empty() => "this VM has no list of VMs yet",
             _ if self.pending().is_some_and(|id| *id != p.patch.id) => {
                 "another patch is still being decided"
--- a/crates/conf/src/apply.rs
+++ b/crates/conf/src/apply.rs
@@ -1,19 +1,19 @@
-//! Applying a patch, and the patch between two versions.
+//! Application of a patch, and the difference between two versions.
 
 use gs_types::prelude::*;
 
 use crate::patch::Change;
 use crate::patch::Patch;
 
-/// Makes the next version: every change in order, or none.
+/// Returns the next version, with every change applied in order, or with none.
 ///
 /// # Errors
 ///
 /// [`ErrorKind::Conflict`] if the patch is against another version, [`ErrorKind::BadInput`] if it
-/// removes or changes what is not declared. The step names the change by its place in the patch.
+/// removes or changes what is not declared. The step names the position of the change in the patch.
 pub fn apply(cfg: &Config, patch: &Patch) -> Result<Config> {
     if patch.against != cfg.version {
-        return Err(stale(cfg, patch));
+        return Err(outdated_error(cfg, patch));
     }
     let mut next = cfg.clone();
     for (i, change) in patch.changes.iter().enumerate() {
@@ -24,7 +24,8 @@
     Ok(next)
 }
 
-/// The changes that lead from one configuration to another, fronts replaced whole where they differ.
+/// Returns the changes that lead from one configuration to another: new fronts are put completely,
+/// changed ones by lookup.
 #[must_use]
 pub fn diff(from: &Config, to: &Config) -> Vec<Change> {
     let mut changes = Vec::new();
@@ -76,7 +77,7 @@
         Change::PutFront(f) => put(&mut cfg.fronts, f, |x| x.name == f.name),
         Change::RemoveFront(name) => {
             return remove(&mut cfg.fronts, |x| x.name == *name)
-                .map_err(|()| missing("front", name.as_str()));
+                .map_err(|()| not_declared_error("front", name.as_str()));
         }
         Change::PutLookup { front, lookup } => {
             let f = front_mut(cfg, front)?;
@@ -85,12 +86,12 @@
         Change::RemoveLookup { front, lookup } => {
             let f = front_mut(cfg, front)?;
             return remove(&mut f.lookups, |x| x.name == *lookup)
-                .map_err(|()| missing("lookup", lookup.as_str()));
+                .map_err(|()| not_declared_error("lookup", lookup.as_str()));
         }
         Change::PutTeam(t) => put(&mut cfg.teams, t, |x| x.name == t.name),
         Change::RemoveTeam(name) => {
             return remove(&mut cfg.teams, |x| x.name == *name)
-                .map_err(|()| missing("team", name.as_str()));
+                .map_err(|()| not_declared_error("team", name.as_str()));
         }
     }
     Ok(())
@@ -100,7 +101,7 @@
     cfg.fronts
         .iter_mut()
         .find(|f| f.name == *name)
-        .ok_or_else(|| missing("front", name.as_str()))
+        .ok_or_else(|| not_declared_error("front", name.as_str()))
 }
 
 fn put<T: Clone>(list: &mut Vec<T>, item: &T, same: impl Fn(&T) -> bool) {
@@ -116,7 +117,7 @@
     Ok(())
 }
 
-fn missing(what: &str, name: &str) -> Error {
+fn not_declared_error(what: &str, name: &str) -> Error {
     Error::new(
         ErrorKind::BadInput,
         format!("{what} `{name}` is not declared"),
@@ -124,7 +125,7 @@
     .with_hint("read the version that the patch is against, and name what it declares")
 }
 
-fn stale(cfg: &Config, patch: &Patch) -> Error {
+fn outdated_error(cfg: &Config, patch: &Patch) -> Error {
     let by = cfg.patch.as_ref().map_or_else(
         || "the first configuration".to_owned(),
         |p| format!("patch `{p}`"),
--- a/crates/conf/src/decide.rs
+++ b/crates/conf/src/decide.rs
@@ -1,4 +1,4 @@
-//! A prepared proposal: the acknowledgements, the commit, or the withdrawal.
+//! The steps of a prepared proposal: acknowledgements, commit and withdrawal.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -6,83 +6,84 @@
 use gs_types::prelude::*;
 
 use crate::action::Action;
-use crate::book::ConfigManager;
-use crate::book::Cx;
-use crate::held::Held;
+use crate::latest_record::LatestRecord;
+use crate::manager::ConfigManager;
+use crate::manager::Cx;
 use crate::message::Message;
+use crate::patch_outcome::Objection;
+use crate::patch_outcome::PatchOutcome;
 use crate::proposal::Proposal;
 use crate::record::CURRENT_PATH;
 use crate::record::history_path;
 use crate::state::PatchEvent;
 use crate::state::PatchState;
-use crate::verdict::Objection;
-use crate::verdict::PatchOutcome;
 
-/// How lately every VM must have been heard for a patch whose commit is under way to count as in
-/// force nowhere.
-pub(crate) const HEARD_WITHIN: Duration = Duration::from_secs(1);
+/// The greatest age of every VM's last acknowledgement at which a patch whose commit is in flight
+/// counts as in force nowhere.
+pub(crate) const ACK_AGE_MAX: Duration = Duration::from_secs(1);
 
 impl ConfigManager {
     pub(crate) fn step_asking(&mut self, cx: &mut Cx<'_>, p: &mut Proposal) -> Option<PatchEvent> {
-        let held = self.held.clone()?;
-        if held.object != p.prepared {
-            return self.outcome(&held, p);
+        let latest = self.latest.clone()?;
+        if latest.object != p.prepared_object {
+            return self.replacement_event(&latest, p);
         }
         let me = &self.options.vm;
-        let opponents = p.opponents();
-        if !opponents.is_empty() {
-            let error = Error::new(ErrorKind::BadInput, "a VM stands against the patch");
-            p.refusal = Some((error.at("ask VMs"), opponents));
+        let objections = p.objections();
+        if !objections.is_empty() {
+            let error = Error::new(ErrorKind::BadInput, "a VM rejects the patch");
+            p.refusal = Some((error.at("ask VMs"), objections));
             return Some(PatchEvent::Opposed);
         }
-        let agreed = p.all_acked_since(self.fleet.members(), me, None);
+        let agreed = p.is_acked_by_all_since(self.fleet.members(), me, None);
         if agreed && p.archived {
             return Some(PatchEvent::Agreed);
         }
         if cx.now >= p.since + self.options.ack_wait {
-            p.refusal = Some(self.no_answer(p));
+            p.refusal = Some(self.missing_ack_refusal(p));
             return Some(PatchEvent::Opposed);
         }
-        if !p.archived && p.writing.is_due(cx.now) {
-            // Kept before it is replaced, so that the history never lacks a version.
-            let content = serde_json::to_string(&*held.config).unwrap_or_default();
-            let path = history_path(held.record.version);
-            self.write(cx, p, path, 0, content.into());
+        if !p.archived && p.write_retry.is_due(cx.now) {
+            // Archived before it is replaced, so that the history never lacks a version.
+            let content = serde_json::to_string(&*latest.config).unwrap_or_default();
+            let path = history_path(latest.record.version);
+            self.start_write(cx, p, path, 0, content.into());
         }
-        self.push(cx, p, |book, p, vm| {
-            *vm != book.options.vm && !p.acks.contains_key(vm)
+        self.resend_latest(cx, p, |manager, p, vm| {
+            *vm != manager.options.vm && !p.acks.contains_key(vm)
         });
         None
     }
 
-    fn no_answer(&self, p: &Proposal) -> (Error, Vec<Objection>) {
-        let silent = p.silent(self.fleet.members(), &self.options.vm);
-        if silent.is_empty() {
+    fn missing_ack_refusal(&self, p: &Proposal) -> (Error, Vec<Objection>) {
+        let unacknowledged = p.unacknowledged(self.fleet.members(), &self.options.vm);
+        if unacknowledged.is_empty() {
             let e = Error::new(ErrorKind::Unavailable, "the history could not be written");
             return (e.at("write history"), Vec::new());
         }
-        let names: Vec<_> = silent.iter().map(VmId::as_str).collect();
+        let names: Vec<_> = unacknowledged.iter().map(VmId::as_str).collect();
         let error = Error::new(
             ErrorKind::Unavailable,
             format!("no acknowledgement from {}", names.join(", ")),
         )
         .at("ask VMs")
-        .with_hint("mend or remove these VMs, and send the change under a new id");
+        .with_hint("repair or remove these VMs, and send the change under a new id");
         let wait = self.options.ack_wait;
         let one = |vm: VmId| Objection {
             vm,
             reason: format!("no acknowledgement within {wait:?}"),
         };
-        (error, silent.into_iter().map(one).collect())
+        (error, unacknowledged.into_iter().map(one).collect())
     }
 
-    /// What became of a prepared patch, once a newer record than the one that prepared it is known.
-    fn outcome(&self, held: &Held, p: &mut Proposal) -> Option<PatchEvent> {
-        if let Some(event) = self.settled_event(held, p) {
+    /// Returns the event for a prepared patch once a newer record than the one that prepared it is
+    /// known.
+    fn replacement_event(&self, latest: &LatestRecord, p: &mut Proposal) -> Option<PatchEvent> {
+        if let Some(event) = self.decision_event(latest, p) {
             return Some(event);
         }
-        // Whoever replaces a prepared patch settles it, so only a write by hand leads here.
-        let error = Error::new(ErrorKind::Conflict, "the object was written by hand");
+        // Every VM that replaces a prepared patch records its decision, so only a manual write leads here.
+        let error = Error::new(ErrorKind::Conflict, "the object was modified manually");
         p.refusal
             .get_or_insert((error.at("decide patch"), Vec::new()));
         Some(PatchEvent::Settled)
@@ -93,23 +94,29 @@
         cx: &mut Cx<'_>,
         p: &mut Proposal,
     ) -> Option<PatchEvent> {
-        let held = self.held.clone()?;
-        if held.object != p.prepared {
-            let event = self.outcome(&held, p);
-            p.ours = event == Some(PatchEvent::Committed);
+        let latest = self.latest.clone()?;
+        if latest.object != p.prepared_object {
+            let event = self.replacement_event(&latest, p);
+            p.committed_here = event == Some(PatchEvent::Committed);
             return event;
         }
-        for ask in p.take_late(cx.now) {
-            let error = self.why_late(p);
+        for call in p.take_expired_calls(cx.now) {
+            let error = self.undecided_error(p);
             cx.out
-                .push(Action::Verdict(ask, PatchOutcome::Undecided { error }));
+                .push(Action::Verdict(call, PatchOutcome::Undecided { error }));
         }
-        if p.writing.is_due(cx.now) {
-            let next = p.next.clone()?;
-            let pending = held.record.pending.clone()?;
-            let mut record = held.record.with_config((*next).clone());
-            record.settle(pending.settled(Some(next.version), None));
-            self.write(cx, p, CURRENT_PATH.to_owned(), p.prepared, record.encode());
+        if p.write_retry.is_due(cx.now) {
+            let next = p.next_config.clone()?;
+            let pending = latest.record.pending.clone()?;
+            let mut record = latest.record.with_config((*next).clone());
+            record.record_decision(pending.decided(Some(next.version), None));
+            self.start_write(
+                cx,
+                p,
+                CURRENT_PATH.to_owned(),
+                p.prepared_object,
+                record.encode(),
+            );
         }
         None
     }
@@ -119,36 +126,44 @@
         cx: &mut Cx<'_>,
         p: &mut Proposal,
     ) -> Option<PatchEvent> {
-        let held = self.held.clone()?;
-        if held.object != p.prepared {
+        let latest = self.latest.clone()?;
+        if latest.object != p.prepared_object {
             return Some(PatchEvent::Settled);
         }
-        if p.writing.is_due(cx.now) {
+        if p.write_retry.is_due(cx.now) {
             let reason = p.refusal.as_ref().map(|(e, _)| e.to_string());
-            let record = held.record.withdrawn(&reason.unwrap_or_default());
-            self.write(cx, p, CURRENT_PATH.to_owned(), p.prepared, record.encode());
+            let record = latest.record.withdrawn(&reason.unwrap_or_default());
+            self.start_write(
+                cx,
+                p,
+                CURRENT_PATH.to_owned(),
+                p.prepared_object,
+                record.encode(),
+            );
         }
         None
     }
 
-    /// What the proposer answers to an acknowledgement.
-    pub(crate) fn answer_ack(&mut self, now: Instant, object: u64, seq: u64) -> Option<Message> {
-        self.held.as_ref().filter(|h| h.object == object)?;
-        match self.own_pending()? {
+    /// Returns the proposer's reply to an acknowledgement.
+    pub(crate) fn reply_to_ack(&mut self, now: Instant, object: u64, seq: u64) -> Option<Message> {
+        self.latest.as_ref().filter(|r| r.object == object)?;
+        match self.own_pending_state()? {
             PatchState::Preparing | PatchState::Asking => Some(Message::Holding { object, seq }),
-            // The commit may have taken effect; but as long as every VM is heard and none has
-            // learned of it, it is in force nowhere.
-            PatchState::Committing if self.heard_all(now) => Some(Message::Holding { object, seq }),
+            // The commit may have taken effect, but while every VM acknowledges recently and none has
+            // learned of the commit, it is in force nowhere.
+            PatchState::Committing if self.has_recent_acks_from_all(now) => {
+                Some(Message::Holding { object, seq })
+            }
             PatchState::Withdrawing | PatchState::Done => Some(Message::Abandoned { object }),
             _ => None,
         }
     }
 
-    /// Where the pending patch stands if this process proposed it.
+    /// Returns the state of the pending patch if this process proposed it.
     ///
-    /// One that it dropped counts as withdrawing: only this process could commit it.
-    pub(crate) fn own_pending(&self) -> Option<PatchState> {
-        let pending = self.held.as_ref()?.record.pending.as_ref()?;
+    /// A patch that it dropped counts as withdrawing, because only this process could commit it.
+    pub(crate) fn own_pending_state(&self) -> Option<PatchState> {
+        let pending = self.latest.as_ref()?.record.pending.as_ref()?;
         let options = &self.options;
         if pending.proposer != options.vm || pending.incarnation != options.incarnation {
             return None;
@@ -157,12 +172,12 @@
         Some(live.map_or(PatchState::Withdrawing, |p| p.state))
     }
 
-    /// Whether every VM was heard lately, still holding the prepared patch as undecided.
-    pub(crate) fn heard_all(&self, now: Instant) -> bool {
+    /// Whether every VM recently acknowledged the prepared patch as undecided.
+    pub(crate) fn has_recent_acks_from_all(&self, now: Instant) -> bool {
         let Some(p) = &self.current else {
             return false;
         };
-        let since = now.checked_sub(HEARD_WITHIN);
-        p.all_acked_since(self.fleet.members(), &self.options.vm, since)
+        let since = now.checked_sub(ACK_AGE_MAX);
+        p.is_acked_by_all_since(self.fleet.members(), &self.options.vm, since)
     }
 }
--- a/crates/conf/src/dump.rs
+++ b/crates/conf/src/dump.rs
@@ -1,4 +1,4 @@
-//! The state of a book, for people.
+//! The state of the configuration manager for operators.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -6,42 +6,44 @@
 use gs_types::prelude::*;
 use serde::Serialize;
 
-use crate::book::ConfigManager;
-use crate::follow::VmStatus;
+use crate::fleet::VmStatus;
+use crate::manager::ConfigManager;
 use crate::patch::AffectedTarget;
 use crate::proposal::Proposal;
 
-/// The state of a book. It names patches and teams, and holds no key and no hash of one.
+/// The state of the configuration manager.
+///
+/// It names patches and teams, and contains no key and no hash of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ConfigManagerDump {
-    /// Whether the newest was shown since the start.
+    /// Whether the newest configuration is known since the start.
     pub ready: bool,
-    /// The configuration version in force; `None` if none is held.
+    /// The configuration version in force; `None` if there is none.
     pub version: Option<ConfVersion>,
-    /// The platform's version of the object held; 0 for none.
+    /// The platform's version of the newest known object; 0 for none.
     pub object: u64,
-    /// The patch that is being decided, as far as is known here.
+    /// The patch that is being decided, as far as known here.
     pub pending: Option<PatchId>,
-    /// The lookups refused as the outcome of a patch of them is not known.
+    /// The lookups refused because the outcome of a patch that changes them is unknown.
     pub doubts: Vec<AffectedTarget>,
-    /// The proposal under way here.
+    /// The current proposal of this VM.
     pub proposal: Option<ProposalDump>,
-    /// Proposals that wait for it.
+    /// The number of queued proposals.
     pub queued: usize,
-    /// Patches settled that are remembered.
+    /// The number of decided patches in the record.
     pub settled: usize,
-    /// What each VM has in force.
+    /// The version that each VM has in force.
     pub fleet: Vec<VmStatus>,
 }
 
-/// A proposal under way.
+/// A proposal in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ProposalDump {
     /// The patch.
     pub id: PatchId,
     /// The team.
     pub team: TeamName,
-    /// The state of its chart.
+    /// Its state by the state machine definition `charts/patch.toml`.
     pub state: &'static str,
     /// How long it has been in this state.
     #[serde(with = "humantime_serde")]
@@ -63,7 +65,7 @@
 }
 
 impl ConfigManager {
-    /// The state, for people.
+    /// Returns the state for operators.
     #[must_use]
     pub fn dump(&self, now: Instant) -> ConfigManagerDump {
         let proposal = self.current.as_ref();
--- a/crates/conf/src/event.rs
+++ b/crates/conf/src/event.rs
@@ -1,4 +1,4 @@
-//! What the book is told.
+//! The inputs of the configuration manager.
 
 use std::sync::Arc;
 
@@ -10,43 +10,43 @@
 use crate::message::Message;
 use crate::patch::Patch;
 
-/// Names one call of [`Event::Propose`], so that its verdict finds the waiting operator.
+/// Identifies a call of [`Event::Propose`], so that its outcome reaches the waiting operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct CallId(pub u64);
 
-/// One input of the book.
+/// An input of the configuration manager.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
-    /// The process starts; the first event.
+    /// The process starts; always the first event.
     Start,
-    /// An operator of this team, whose key was checked, proposes a patch.
+    /// An operator of an authenticated team proposes a patch.
     Propose {
-        /// Names the call.
+        /// The id of the call.
         ask: CallId,
         /// The team.
         team: TeamName,
         /// The patch.
         patch: Patch,
-        /// Only check it.
+        /// Whether the patch is only checked.
         dry_run: bool,
     },
-    /// What [`crate::CURRENT_PATH`] holds, from [`crate::Action::Read`] or from the watch.
+    /// The result of reading [`crate::CURRENT_PATH`], from [`crate::Action::Read`] or from the watch.
     Read(ReadResult),
-    /// How a write asked for by [`crate::Action::Write`] ended.
+    /// The result of a write requested by [`crate::Action::Write`].
     Wrote(WriteId, WriteResult),
-    /// A peer's message.
+    /// A message from a peer.
     Message(VmId, Message),
-    /// Every VM that may take lookups, by the platform's list, this one among them.
+    /// All VMs that may serve lookups, from the platform's list, including this one.
     Members(Vec<VmId>),
-    /// The groups that the platform holds; a lookup on another group is warned about.
+    /// The groups on the platform; a lookup on another group causes a warning.
     Groups(Vec<GroupName>),
-    /// A timer asked for by [`crate::Action::Wake`] is due.
+    /// The timer requested by [`crate::Action::Wake`] has expired.
     Tick,
 }
 
-/// What reading [`crate::CURRENT_PATH`] gave.
+/// The result of reading [`crate::CURRENT_PATH`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReadResult {
@@ -57,22 +57,22 @@
         /// Its content.
         content: Arc<str>,
     },
-    /// The platform says that there is none.
+    /// The object does not exist.
     Missing,
     /// The platform did not answer.
     Failed,
 }
 
-/// How a conditional write ended.
+/// The result of a conditional write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WriteResult {
-    /// It took effect, and the object has this version.
+    /// It took effect and the object has this version.
     Done(u64),
-    /// The object has another version than the condition named.
+    /// The object had another version than the condition required.
     Conflict,
-    /// It may or may not have taken effect, or may yet.
+    /// It may have taken effect, or may still take effect.
     Unknown,
-    /// It was not made: the platform refused it, or was not reached at all.
+    /// It did not take effect: the platform rejected it or was unreachable.
     Failed,
 }
--- a/crates/conf/src/inputs.rs
+++ b/crates/conf/src/inputs.rs
@@ -1,4 +1,4 @@
-//! What a book does with each event.
+//! Handlers of the events of the configuration manager.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,82 +8,82 @@
 
 use crate::action::Action;
 use crate::action::WriteId;
-use crate::book::ConfigManager;
-use crate::book::Cx;
-use crate::doubt::Doubt;
 use crate::event::ReadResult;
 use crate::event::WriteResult;
-use crate::held::Held;
-use crate::judge::id_reused;
+use crate::in_doubt::InDoubtPatch;
+use crate::latest_record::LatestRecord;
+use crate::manager::ConfigManager;
+use crate::manager::Cx;
 use crate::message::Ack;
 use crate::message::Message;
 use crate::message::RecordSummary;
-use crate::proposal::Asked;
+use crate::patch_eligibility::id_reused_error;
+use crate::patch_outcome::PatchOutcome;
 use crate::proposal::Proposal;
-use crate::verdict::PatchOutcome;
+use crate::proposal::ProposeCall;
 
-/// Proposals that wait for the one before them; more are told to come back.
+/// The most queued proposals; the caller of a further one is asked to retry.
 const QUEUE_MAX: usize = 64;
 
 impl ConfigManager {
     pub(crate) fn on_start(&mut self, cx: &mut Cx<'_>) {
-        self.start.at = Some(cx.now);
-        self.reading.wanted = true;
+        self.start.started_at = Some(cx.now);
+        self.read_state.wanted = true;
         cx.out.push(Action::Broadcast(Message::Want { object: 0 }));
     }
 
-    pub(crate) fn on_propose(&mut self, cx: &mut Cx<'_>, asked: Asked) {
-        if asked.dry_run {
-            // At once, as it waits for no other patch and asks nobody.
-            let verdict = self.dry_run(&asked.team, &asked.patch);
-            return cx.out.push(Action::Verdict(asked.ask, verdict));
+    pub(crate) fn on_propose(&mut self, cx: &mut Cx<'_>, request: ProposeCall) {
+        if request.dry_run {
+            // Answered immediately, as it depends on no other patch and no other VM.
+            let outcome = self.dry_run(&request.team, &request.patch);
+            return cx.out.push(Action::Verdict(request.call, outcome));
         }
         let until = cx.now + self.options.outcome_timeout;
-        let digest = asked.patch.digest();
+        let digest = request.patch.digest();
         let running = self.current.iter_mut().chain(self.queue.iter_mut());
-        let mut same = running.filter(|p| p.patch.id == asked.patch.id);
+        let mut same = running.filter(|p| p.patch.id == request.patch.id);
         match same.next() {
             Some(p) if p.digest != digest => {
-                let error = id_reused(&asked.patch.id);
-                let verdict = PatchOutcome::Undecided { error };
-                return cx.out.push(Action::Verdict(asked.ask, verdict));
+                let error = id_reused_error(&request.patch.id);
+                let outcome = PatchOutcome::Undecided { error };
+                return cx.out.push(Action::Verdict(request.call, outcome));
             }
-            Some(p) if p.team == asked.team => {
-                // A refusal that was told before its withdrawal is written is told again.
-                match p.refused() {
-                    Some(verdict) => cx.out.push(Action::Verdict(asked.ask, verdict)),
-                    None => p.asks.push((asked.ask, until)),
+            Some(p) if p.team == request.team => {
+                // The refusal is final before its withdrawal is written, so it is sent again.
+                match p.refusal_outcome() {
+                    Some(outcome) => cx.out.push(Action::Verdict(request.call, outcome)),
+                    None => p.calls.push((request.call, until)),
                 }
                 return;
             }
             _ => {}
         }
         if self.queue.len() >= QUEUE_MAX {
-            let error = Error::new(ErrorKind::TooMuch, "too many patches wait here")
+            let error = Error::new(ErrorKind::TooMuch, "too many patches are queued on this VM")
                 .at("queue patch")
-                .with_hint("send it again with the same id in a few seconds");
-            let verdict = PatchOutcome::Undecided { error };
-            return cx.out.push(Action::Verdict(asked.ask, verdict));
+                .with_hint("retry with the same id in a few seconds");
+            let outcome = PatchOutcome::Undecided { error };
+            return cx.out.push(Action::Verdict(request.call, outcome));
         }
         let nonce = self.rng.random();
         let wait = self.options.outcome_timeout;
-        let p = Proposal::new(cx.now, asked, self.chart.initial(), wait, nonce);
+        let p = Proposal::new(cx.now, request, self.chart.initial(), wait, nonce);
         self.queue.push_back(p);
     }
 
     pub(crate) fn on_read(&mut self, cx: &mut Cx<'_>, result: ReadResult) {
-        self.reading.out = false;
+        self.read_state.in_flight = false;
         match result {
             ReadResult::Found { object, content } => {
-                self.reading.answered = Some(cx.now);
-                self.reading.retry.restart();
+                self.read_state.answered_at = Some(cx.now);
+                self.read_state.retry.reset();
                 self.start.confirmed = true;
-                self.chore.missing = false;
+                self.shared_write.config_missing = false;
                 let _ = self.learn(cx, object, content);
             }
             ReadResult::Missing => {
-                self.reading.answered = Some(cx.now);
-                self.chore.missing = self.held.is_none();
+                self.read_state.answered_at = Some(cx.now);
+                self.shared_write.config_missing = self.latest.is_none();
                 self.retry_read(cx);
             }
             ReadResult::Failed => {
@@ -94,29 +94,29 @@
     }
 
     fn retry_read(&mut self, cx: &mut Cx<'_>) {
-        // Only what waits for a read asks again; a platform that is away is not asked for nothing.
+        // Retried only while something waits for a read, to spare a platform that is unreachable.
         let jitter = self.rng.random();
-        self.reading.retry.again(cx.now, jitter);
-        self.reading.wanted = !self.start.confirmed || self.current.is_some();
+        self.read_state.retry.schedule_retry(cx.now, jitter);
+        self.read_state.wanted = !self.start.confirmed || self.current.is_some();
     }
 
     pub(crate) fn on_wrote(&mut self, cx: &mut Cx<'_>, id: WriteId, result: WriteResult) {
-        if self.chore.writing.out == Some(id) {
-            self.chore_wrote(cx, result);
+        if self.shared_write.write_retry.in_flight == Some(id) {
+            self.on_shared_write(cx, result);
             return;
         }
         let Some(mut p) = self.current.take() else {
             return;
         };
-        if p.writing.out == Some(id) {
-            self.proposal_wrote(cx, &mut p, result);
+        if p.write_retry.in_flight == Some(id) {
+            self.on_proposal_write(cx, &mut p, result);
         }
         self.current = Some(p);
     }
 
     pub(crate) fn on_message(&mut self, cx: &mut Cx<'_>, from: &VmId, message: Message) {
         match message {
-            Message::Gossip(g) => self.on_gossip(cx, from, g),
+            Message::Gossip(summary) => self.on_summary(cx, from, summary),
             Message::Want { object } => self.on_want(cx, from, object),
             Message::Newest { object, content } => {
                 let reply = match self.learn(cx, object, content) {
@@ -131,23 +131,29 @@
             }
             Message::Ack(ack) => self.on_ack(cx, from, ack),
             Message::Holding { object, seq } => {
-                let after = self.options.in_doubt_after;
-                let d = self.doubt.as_mut().filter(|d| d.object() == object);
+                let in_doubt_after = self.options.in_doubt_after;
+                let d = self
+                    .in_doubt_patch
+                    .as_mut()
+                    .filter(|d| d.object() == object);
                 if let Some(d) = d.filter(|d| d.proposer() == from) {
-                    d.holding(seq, after);
+                    d.extend_from_ack(seq, in_doubt_after);
                 }
             }
             Message::Abandoned { object } => {
-                let d = self.doubt.as_mut().filter(|d| d.object() == object);
+                let d = self
+                    .in_doubt_patch
+                    .as_mut()
+                    .filter(|d| d.object() == object);
                 if let Some(d) = d.filter(|d| d.proposer() == from) {
-                    d.abandon();
+                    d.mark_abandoned();
                 }
             }
         }
     }
 
-    fn on_gossip(&mut self, cx: &mut Cx<'_>, from: &VmId, theirs: RecordSummary) {
-        self.fleet.note(cx.now, from, theirs);
+    fn on_summary(&mut self, cx: &mut Cx<'_>, from: &VmId, theirs: RecordSummary) {
+        self.fleet.note_summary(cx.now, from, theirs);
         let ours = self.summary();
         if theirs.object > ours.object {
             let object = ours.object;
@@ -160,10 +166,10 @@
     }
 
     fn on_want(&mut self, cx: &mut Cx<'_>, from: &VmId, object: u64) {
-        let reply = match &self.held {
-            Some(h) if h.object > object => Message::Newest {
-                object: h.object,
-                content: h.content.clone(),
+        let reply = match &self.latest {
+            Some(r) if r.object > object => Message::Newest {
+                object: r.object,
+                content: r.content.clone(),
             },
             _ => Message::Gossip(self.summary()),
         };
@@ -171,37 +177,41 @@
     }
 
     fn on_ack(&mut self, cx: &mut Cx<'_>, from: &VmId, ack: Ack) {
-        if let Some(h) = self.held.as_ref().filter(|h| h.object > ack.object) {
-            let (object, content) = (h.object, h.content.clone());
+        if let Some(r) = self.latest.as_ref().filter(|r| r.object > ack.object) {
+            let (object, content) = (r.object, r.content.clone());
             return cx.send(from, Message::Newest { object, content });
         }
         let ours = self.summary().object;
         if ack.object > ours {
-            // The write that prepared it took effect, and only its answer is lost.
+            // The write that prepared it took effect, and only its reply was lost.
             return cx.send(from, Message::Want { object: ours });
         }
         let (object, seq) = (ack.object, ack.seq);
-        if let Some(p) = self.current.as_mut().filter(|p| p.prepared == object) {
+        if let Some(p) = self
+            .current
+            .as_mut()
+            .filter(|p| p.prepared_object == object)
+        {
             p.note_ack(cx.now, from, ack);
         }
-        if let Some(reply) = self.answer_ack(cx.now, object, seq) {
+        if let Some(reply) = self.reply_to_ack(cx.now, object, seq) {
             cx.send(from, reply);
         }
     }
 
-    /// Learns a record from the platform, a peer or a write of its own.
+    /// Applies a record from the platform, a peer or a write of this VM, if it is newer.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::BadInput`] if it cannot be read or would lead back; what is held stays.
+    /// [`ErrorKind::BadInput`] if it is invalid or of an older version; the known record stays.
     pub(crate) fn learn(&mut self, cx: &mut Cx<'_>, object: u64, content: Arc<str>) -> Result<()> {
-        if self.held.as_ref().is_some_and(|h| h.object >= object) {
+        if self.latest.as_ref().is_some_and(|r| r.object >= object) {
             return Ok(());
         }
-        let next = Held::read(cx.now, object, content)
-            .and_then(|next| next.follow(self.held.as_ref()))
+        let next = LatestRecord::parse(cx.now, object, content)
+            .and_then(|next| next.checked_after(self.latest.as_ref()))
             .inspect_err(|e| log::error!("event=config-ignored object={object} error=\"{e}\""))?;
-        let before = self.held.as_ref().map(|h| h.record.version);
+        let before = self.latest.as_ref().map(|r| r.record.version);
         if before != Some(next.record.version) {
             cx.out.push(Action::Apply(next.config.clone()));
         }
@@ -210,17 +220,17 @@
             false => Duration::ZERO,
         };
         let pending = next.record.pending.as_ref();
-        self.doubt = pending.map(|p| Doubt::new(&next, p, grace));
-        self.held = Some(next);
-        self.chore.writing.restart();
-        self.chore.missing = false;
+        self.in_doubt_patch = pending.map(|p| InDoubtPatch::new(&next, p, grace));
+        self.latest = Some(next);
+        self.shared_write.write_retry.reset();
+        self.shared_write.config_missing = false;
         self.acknowledge(cx);
-        self.report(cx);
+        self.send_summary_to_proposer(cx);
         Ok(())
     }
 
-    /// Tells the VM that proposed the last patch what is in force here.
-    fn report(&self, cx: &mut Cx<'_>) {
+    /// Sends the summary to the VM that proposed the last decided patch.
+    fn send_summary_to_proposer(&self, cx: &mut Cx<'_>) {
         let last = self.decided_patches().last().map(|s| &s.proposer);
         if let Some(proposer) = last.filter(|vm| **vm != self.options.vm) {
             cx.send(proposer, Message::Gossip(self.summary()));
--- a/crates/conf/src/held.rs
+++ b/crates/conf/src/latest_record.rs
@@ -1,4 +1,4 @@
-//! The newest record that this VM knows.
+//! The newest record known to this VM.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -9,20 +9,24 @@
 use crate::record::CURRENT_PATH;
 use crate::record::Record;
 
-/// The newest record that this VM knows, at the platform's version of its object.
+/// The newest record known to this VM, with the platform's version of its object.
 #[derive(Clone, Debug)]
-pub(crate) struct Held {
+pub(crate) struct LatestRecord {
     pub(crate) object: u64,
     pub(crate) content: Arc<str>,
     pub(crate) record: Arc<Record>,
     pub(crate) config: Arc<Config>,
-    pub(crate) learned: Instant,
+    pub(crate) learned_at: Instant,
     digest: u64,
 }
 
-impl Held {
-    /// Reads a record.
-    pub(crate) fn read(now: Instant, object: u64, content: Arc<str>) -> Result<Self> {
+impl LatestRecord {
+    /// Parses a record.
+    ///
+    /// # Errors
+    ///
+    /// [`ErrorKind::BadInput`] if the content is not a valid record.
+    pub(crate) fn parse(now: Instant, object: u64, content: Arc<str>) -> Result<Self> {
         let record = Record::parse(&content)?;
         Ok(Self {
             object,
@@ -30,21 +34,21 @@
             content,
             config: Arc::new(record.config()),
             record: Arc::new(record),
-            learned: now,
+            learned_at: now,
         })
     }
 
-    /// Itself if it may follow `before`: the configuration's version never falls.
+    /// Returns the record if it may replace `before`: the configuration version must not decrease.
     ///
-    /// The object's version alone would do, but for an object that was removed and made anew by
-    /// hand: following that would take back patches that were accepted.
+    /// The object version alone would suffice, except for an object that was removed and created again
+    /// manually: applying that one would revert accepted patches.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::BadInput`] if the version falls.
-    pub(crate) fn follow(self, before: Option<&Self>) -> Result<Self> {
-        let (version, held) = (self.record.version, before.map(|b| b.record.version));
-        if held.is_none_or(|held| version >= held) {
+    /// [`ErrorKind::BadInput`] if the version decreases.
+    pub(crate) fn checked_after(self, before: Option<&Self>) -> Result<Self> {
+        let (version, in_force) = (self.record.version, before.map(|b| b.record.version));
+        if in_force.is_none_or(|in_force| version >= in_force) {
             return Ok(self);
         }
         let text = format!("{CURRENT_PATH}: version {version} is older than what is in force");
@@ -53,7 +57,7 @@
             .with_hint("restore the object with a higher version, from its history"))
     }
 
-    /// It in short.
+    /// Returns its summary.
     pub(crate) fn summary(&self) -> RecordSummary {
         RecordSummary {
             object: self.object,
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,42 +1,41 @@
-//! Declared fronts and the patches that change them.
+//! The configuration of fronts and teams, and the patches that change it.
 //!
-//! [`ConfigManager`] is a plain state machine that runs on every VM: [`Event`]s in, [`Action`]s out, `now`
-//! passed in, no I/O. It follows the newest configuration that the platform or a peer can show,
-//! only ever forward, and it carries a [`Patch`] from proposal to [`PatchOutcome`]. The commit point of
-//! a patch is one conditional write on the object [`CURRENT_PATH`]. `docs/DESIGN-patches.md` says what was
-//! weighed.
+//! [`ConfigManager`] is a plain state machine that runs on every VM: [`Event`]s in, [`Action`]s out,
+//! `now` passed in, no I/O. It applies the newest configuration that the platform or a peer provides
+//! and never returns to an older version, and it carries a [`Patch`] from proposal to
+//! [`PatchOutcome`]. The commit point of a patch is one conditional write on the object
+//! [`CURRENT_PATH`]. The design and its alternatives are described in `docs/DESIGN-patches.md`.
 
 mod action;
+mod advance;
 mod apply;
-mod book;
+mod background;
 mod check;
-mod chores;
 mod decide;
-mod doubt;
-mod drive;
+mod distribute;
 mod dump;
 mod event;
-mod follow;
-mod held;
+mod fleet;
+mod in_doubt;
 mod inputs;
-mod judge;
+mod latest_record;
+mod manager;
 mod message;
 mod options;
 mod patch;
+mod patch_eligibility;
+mod patch_outcome;
 mod prepare;
 mod proposal;
 mod record;
-mod spread;
 mod state;
 mod team;
-mod verdict;
 mod writes;
 
 pub use action::Action;
 pub use action::WriteId;
 pub use apply::apply;
 pub use apply::diff;
-pub use book::ConfigManager;
 pub use check::Problem;
 pub use check::Report;
 pub use check::check_config;
@@ -47,7 +46,8 @@
 pub use event::Event;
 pub use event::ReadResult;
 pub use event::WriteResult;
-pub use follow::VmStatus;
+pub use fleet::VmStatus;
+pub use manager::ConfigManager;
 pub use message::Ack;
 pub use message::Message;
 pub use message::RecordSummary;
@@ -56,6 +56,8 @@
 pub use patch::AffectedTarget;
 pub use patch::Change;
 pub use patch::Patch;
+pub use patch_outcome::Objection;
+pub use patch_outcome::PatchOutcome;
 pub use record::CURRENT_PATH;
 pub use record::DecidedPatch;
 pub use record::HISTORY_PREFIX;
@@ -70,5 +72,3 @@
 pub use team::check_scope;
 pub use team::hash_key;
 pub use team::redacted;
-pub use verdict::Objection;
-pub use verdict::PatchOutcome;
--- a/crates/conf/src/message.rs
+++ b/crates/conf/src/message.rs
@@ -1,4 +1,4 @@
-//! What books tell each other.
+//! The messages between the configuration managers of the VMs.
 
 use std::sync::Arc;
 
@@ -6,15 +6,17 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// A message between the books of two VMs. Any may be lost, doubled, late or crossed.
+/// A message between the configuration managers of two VMs.
+///
+/// Any message may be lost, duplicated, delayed or reordered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Message {
-    /// The newest that the sender holds, in short.
+    /// The summary of the sender's newest record.
     Gossip(RecordSummary),
-    /// Asks for the newest that the receiver holds if its object version is above this.
+    /// Requests the receiver's newest record if its object version is above this.
     Want {
-        /// The object version that the sender holds; 0 for none.
+        /// The sender's object version; 0 for none.
         object: u64,
     },
     /// The content of [`crate::CURRENT_PATH`] at an object version.
@@ -24,14 +26,14 @@
         /// The content.
         content: Arc<str>,
     },
-    /// The sender checked the prepared patch that it learned at this object version.
+    /// The sender checked the prepared patch of this object version.
     Ack(Ack),
-    /// The prepared patch of this object version is in force nowhere and still undecided; from the
-    /// VM that proposed it, in answer to the [`Ack`] with this number.
+    /// The prepared patch of this object version is in force nowhere and still undecided; sent by the
+    /// VM that proposed it in reply to the [`Ack`] with this number.
     Holding {
         /// The object version.
         object: u64,
-        /// The [`Ack::seq`] that this answers.
+        /// The [`Ack::seq`] that this replies to.
         seq: u64,
     },
     /// The sender will never commit the patch that it prepared at this object version.
@@ -41,7 +43,7 @@
     },
 }
 
-/// The newest configuration that a VM holds, in short.
+/// The summary of the newest record known to a VM.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordSummary {
     /// The platform's version of the object; 0 for none.
@@ -52,13 +54,13 @@
     pub digest: u64,
 }
 
-/// The answer to a prepared patch.
+/// The acknowledgement or rejection of a prepared patch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ack {
-    /// The object version at which it was learned.
+    /// The object version at which the patch became known.
     pub object: u64,
-    /// Counts the acknowledgements that this VM sent for it.
+    /// The number of this acknowledgement, counted per VM and patch.
     pub seq: u64,
-    /// Why this VM stands against it; `None` if it does not.
+    /// Why this VM rejects it; `None` if it does not.
     pub against: Option<String>,
 }
--- a/crates/conf/src/options.rs
+++ b/crates/conf/src/options.rs
@@ -1,11 +1,11 @@
-//! How a book is set up.
+//! Options of the configuration manager.
 
 use std::time::Duration;
 
 use bon::Builder;
 use gs_types::prelude::*;
 
-/// How a book is set up.
+/// Options of the configuration manager.
 ///
 /// ```
 /// let options = gs_conf::ConfigManagerOptions::builder()
@@ -20,28 +20,28 @@
 pub struct ConfigManagerOptions {
     /// This VM.
     pub vm: VmId,
-    /// This run of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
     /// Seeds nonces and jitter; different in every incarnation.
     pub seed: u64,
-    /// What to create if the platform says that there is no configuration.
+    /// The configuration to create if the platform reports that there is none.
     pub bootstrap: Option<Bootstrap>,
-    /// How long VMs may take to acknowledge a patch before it is refused with their names.
+    /// How long VMs may take to acknowledge a patch before it is refused naming them.
     #[builder(default = Duration::from_millis(1_500))]
     pub ack_wait: Duration,
-    /// How long a VM that acknowledged goes on serving what the patch changes without word from
-    /// the proposer or the platform.
+    /// How long a VM that acknowledged a patch continues to serve the lookups that it changes without
+    /// a message from the proposer or the platform.
     #[builder(default = Duration::from_millis(1_500))]
     pub in_doubt_after: Duration,
-    /// How long a prepared patch may stand before any VM withdraws it for its proposer.
+    /// How long a patch may stay prepared before any VM withdraws it for its proposer.
     #[builder(default = Duration::from_secs(3))]
     pub withdraw_after: Duration,
-    /// How long an operator waits for a verdict at most.
+    /// The longest time that an operator's call waits for an outcome.
     #[builder(default = Duration::from_secs(10))]
     pub outcome_timeout: Duration,
 }
 
-/// The first configuration: one admin team and no front.
+/// The first configuration, with one admin team and no front.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Bootstrap {
     /// The name of the first admin team.
--- a/crates/conf/src/patch.rs
+++ b/crates/conf/src/patch.rs
@@ -1,13 +1,13 @@
-//! A patch: a list of changes against one numbered version.
+//! Patches: lists of changes against a numbered version.
 
 use gs_types::prelude::*;
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What an operator asks to change.
+/// A list of changes that an operator proposes.
 ///
-/// The id is the operator's: a resend with the same id and content is the same patch, is applied at
-/// most once and gets the same verdict.
+/// The operator chooses the id: a resend with the same id and content is the same patch, is applied
+/// at most once and gets the same outcome.
 ///
 /// ```
 /// let patch: gs_conf::Patch = serde_json::from_str(
@@ -19,9 +19,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Patch {
-    /// The operator's id for it.
+    /// The id chosen by the operator.
     pub id: PatchId,
-    /// The version that the operator looked at; the patch makes the next one, or is refused.
+    /// The version that the patch is based on; the patch creates the next one or is refused.
     pub against: ConfVersion,
     /// The changes, applied in order.
     pub changes: Vec<Change>,
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Change {
-    /// Declare a front, or replace it whole.
+    /// Declare a front, or replace it completely.
     PutFront(Front),
     /// Remove a front that is declared.
     RemoveFront(FrontName),
@@ -49,13 +49,13 @@
         /// The lookup.
         lookup: LookupName,
     },
-    /// Add a team or replace it; for admin teams.
+    /// Add a team or replace it; admin teams only.
     PutTeam(Team),
-    /// Remove a team; for admin teams.
+    /// Remove a team; admin teams only.
     RemoveTeam(TeamName),
 }
 
-/// What a patch changes for callers: a whole front, or one lookup of it.
+/// A front or lookup that a patch changes for callers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AffectedTarget {
     /// The front.
@@ -65,7 +65,7 @@
 }
 
 impl AffectedTarget {
-    /// Whether a request for this front and lookup is touched.
+    /// Whether a request for this front and lookup is affected.
     #[must_use]
     pub fn covers(&self, front: &FrontName, lookup: &LookupName) -> bool {
         self.front == *front && self.lookup.as_ref().is_none_or(|l| l == lookup)
@@ -73,25 +73,25 @@
 }
 
 impl Patch {
-    /// A hash of its content, equal for every resend.
+    /// Returns a hash of its content, which is equal for every resend.
     #[must_use]
     pub fn digest(&self) -> u64 {
         let json = serde_json::to_string(self).unwrap_or_default();
         Fingerprint::of(&[&json]).0
     }
 
-    /// What the patch changes for callers; team changes touch no caller.
+    /// Returns the fronts and lookups that the patch changes; team changes affect no caller.
     #[must_use]
-    pub fn touched(&self) -> Vec<AffectedTarget> {
-        let mut touched: Vec<_> = self.changes.iter().filter_map(Change::touched).collect();
-        touched.sort();
-        touched.dedup();
-        touched
+    pub fn affected(&self) -> Vec<AffectedTarget> {
+        let mut affected: Vec<_> = self.changes.iter().filter_map(Change::affected).collect();
+        affected.sort();
+        affected.dedup();
+        affected
     }
 }
 
 impl Change {
-    fn touched(&self) -> Option<AffectedTarget> {
+    fn affected(&self) -> Option<AffectedTarget> {
         let (front, lookup) = match self {
             Self::PutFront(f) => (&f.name, None),
             Self::RemoveFront(f) => (f, None),
--- a/crates/conf/src/prepare.rs
+++ b/crates/conf/src/prepare.rs
@@ -1,109 +1,120 @@
-//! A proposal up to the write that prepares it.
+//! The steps of a proposal up to the write that prepares it.
 
 use std::sync::Arc;
 
 use gs_types::prelude::*;
 
 use crate::action::Action;
-use crate::book::ConfigManager;
-use crate::book::Cx;
-use crate::held::Held;
-use crate::judge::Judgement;
-use crate::judge::judge;
+use crate::latest_record::LatestRecord;
+use crate::manager::ConfigManager;
+use crate::manager::Cx;
 use crate::patch::Patch;
+use crate::patch_eligibility::PatchEligibility;
+use crate::patch_eligibility::patch_eligibility;
+use crate::patch_outcome::PatchOutcome;
 use crate::proposal::Proposal;
 use crate::record::CURRENT_PATH;
 use crate::record::Pending;
 use crate::state::PatchEvent;
-use crate::verdict::PatchOutcome;
 
 impl ConfigManager {
     pub(crate) fn step_reading(&mut self, cx: &mut Cx<'_>, p: &mut Proposal) -> Option<PatchEvent> {
-        let late = p.is_late(cx.now).then_some(PatchEvent::Late);
-        let Some(held) = self.held.clone() else {
-            self.reading.wanted = true;
+        let late = p.are_calls_expired(cx.now).then_some(PatchEvent::Late);
+        let Some(latest) = self.latest.clone() else {
+            self.read_state.wanted = true;
             return late;
         };
-        if p.fits == Some(held.object) && !self.may_prepare(&held) {
+        if p.eligible_object == Some(latest.object) && !self.can_prepare(&latest) {
             return late;
         }
-        match judge(&held, &p.team, &p.patch, self.groups.as_ref()) {
-            Judgement::Accepted(version) => {
-                p.made = Some(version);
+        match patch_eligibility(&latest, &p.team, &p.patch, self.groups.as_ref()) {
+            PatchEligibility::Accepted(version) => {
+                p.committed_version = Some(version);
                 Some(PatchEvent::Committed)
             }
-            Judgement::Refused(error) => {
+            PatchEligibility::Refused(error) => {
                 p.refusal = Some((error, Vec::new()));
                 Some(PatchEvent::Settled)
             }
-            Judgement::Undecided(error) => {
-                self.tell(cx, p, PatchOutcome::Undecided { error });
+            PatchEligibility::Undecided(error) => {
+                self.send_outcome(cx, p, PatchOutcome::Undecided { error });
                 Some(PatchEvent::Settled)
             }
-            Judgement::Ahead => self.read_ahead(cx, p, &held).or(late),
-            Judgement::Fits(next, warnings) if self.may_prepare(&held) => {
-                p.next = Some(Arc::new(*next));
+            PatchEligibility::Ahead => self.read_newer_version(cx, p, &latest).or(late),
+            PatchEligibility::Eligible(next, warnings) if self.can_prepare(&latest) => {
+                p.next_config = Some(Arc::new(*next));
                 p.warnings = warnings;
-                p.base = held.object;
+                p.base_object = latest.object;
                 Some(PatchEvent::Fits)
             }
-            Judgement::Fits(..) => {
-                p.fits = Some(held.object);
+            PatchEligibility::Eligible(..) => {
+                p.eligible_object = Some(latest.object);
                 late
             }
         }
     }
 
-    /// The verdict of a dry run, by what is held now.
+    /// Returns the outcome of a dry run against the newest known record.
     pub(crate) fn dry_run(&self, team: &TeamName, patch: &Patch) -> PatchOutcome {
-        let Some(held) = &self.held else {
+        let Some(latest) = &self.latest else {
             let error = Error::new(ErrorKind::Unavailable, "this VM holds no configuration yet")
                 .at("dry run")
-                .with_hint("ask another VM, or again in a few seconds");
+                .with_hint("try another VM, or retry in a few seconds");
             return PatchOutcome::Undecided { error };
         };
-        match judge(held, team, patch, self.groups.as_ref()) {
-            Judgement::Fits(next, warnings) => PatchOutcome::Checked {
+        match patch_eligibility(latest, team, patch, self.groups.as_ref()) {
+            PatchEligibility::Eligible(next, warnings) => PatchOutcome::Checked {
                 version: next.version,
                 warnings,
             },
-            Judgement::Accepted(version) => PatchOutcome::Undecided {
+            PatchEligibility::Accepted(version) => PatchOutcome::Undecided {
                 error: Error::new(
                     ErrorKind::Conflict,
-                    format!("the patch was accepted and made version {version}"),
+                    format!("the patch was accepted and created version {version}"),
                 )
                 .at("dry run"),
             },
-            Judgement::Refused(error) => PatchOutcome::Refused {
+            PatchEligibility::Refused(error) => PatchOutcome::Refused {
                 error,
                 against: Vec::new(),
             },
-            Judgement::Undecided(error) => PatchOutcome::Undecided { error },
-            Judgement::Ahead => PatchOutcome::Undecided {
-                error: ahead(patch, held),
+            PatchEligibility::Undecided(error) => PatchOutcome::Undecided { error },
+            PatchEligibility::Ahead => PatchOutcome::Undecided {
+                error: ahead_error(patch, latest),
             },
         }
     }
 
-    /// Whether no other patch is being decided, and it is known whom to ask.
-    fn may_prepare(&self, held: &Held) -> bool {
-        held.record.pending.is_none() && !self.fleet.members().is_empty()
+    /// Whether no other patch is being decided and the list of VMs is known.
+    fn can_prepare(&self, latest: &LatestRecord) -> bool {
+        latest.record.pending.is_none() && !self.fleet.members().is_empty()
     }
 
-    /// The patch is against a version that is not held: only a fresh read tells if there is one.
-    fn read_ahead(&mut self, cx: &mut Cx<'_>, p: &mut Proposal, held: &Held) -> Option<PatchEvent> {
-        if self.reading.answered.is_none_or(|at| at <= p.since) {
-            self.reading.wanted = true;
+    /// Handles a patch against a version that is not known here: only a fresh read shows whether it
+    /// exists.
+    fn read_newer_version(
+        &mut self,
+        cx: &mut Cx<'_>,
+        p: &mut Proposal,
+        latest: &LatestRecord,
+    ) -> Option<PatchEvent> {
+        if self.read_state.answered_at.is_none_or(|at| at <= p.since) {
+            self.read_state.wanted = true;
             return None;
         }
-        let error = ahead(&p.patch, held);
-        self.tell(cx, p, PatchOutcome::Undecided { error });
+        let error = ahead_error(&p.patch, latest);
+        self.send_outcome(cx, p, PatchOutcome::Undecided { error });
         Some(PatchEvent::Settled)
     }
 
-    pub(crate) fn tell(&mut self, cx: &mut Cx<'_>, p: &mut Proposal, verdict: PatchOutcome) {
-        for ask in p.take_asks() {
-            cx.out.push(Action::Verdict(ask, verdict.clone()));
+    pub(crate) fn send_outcome(
+        &mut self,
+        cx: &mut Cx<'_>,
+        p: &mut Proposal,
+        outcome: PatchOutcome,
+    ) {
+        for call in p.take_calls() {
+            cx.out.push(Action::Verdict(call, outcome.clone()));
         }
     }
 
@@ -112,26 +123,32 @@
         cx: &mut Cx<'_>,
         p: &mut Proposal,
     ) -> Option<PatchEvent> {
-        let held = self.held.clone()?;
-        if self.is_ours(&held, p) {
-            p.prepared = held.object;
+        let latest = self.latest.clone()?;
+        if self.is_own_pending(&latest, p) {
+            p.prepared_object = latest.object;
             return Some(PatchEvent::Prepared);
         }
-        if held.object > p.base {
-            return self.settled_event(&held, p).or(Some(PatchEvent::Beaten));
+        if latest.object > p.base_object {
+            return self.decision_event(&latest, p).or(Some(PatchEvent::Beaten));
         }
-        if p.is_late(cx.now) {
+        if p.are_calls_expired(cx.now) {
             return Some(PatchEvent::Late);
         }
-        if p.writing.is_due(cx.now) {
-            let mut record = (*held.record).clone();
-            record.pending = Some(self.pending_of(p));
-            self.write(cx, p, CURRENT_PATH.to_owned(), held.object, record.encode());
+        if p.write_retry.is_due(cx.now) {
+            let mut record = (*latest.record).clone();
+            record.pending = Some(self.new_pending(p));
+            self.start_write(
+                cx,
+                p,
+                CURRENT_PATH.to_owned(),
+                latest.object,
+                record.encode(),
+            );
         }
         None
     }
 
-    fn pending_of(&self, p: &Proposal) -> Pending {
+    fn new_pending(&self, p: &Proposal) -> Pending {
         Pending {
             patch: p.patch.clone(),
             team: p.team.clone(),
@@ -141,8 +158,8 @@
         }
     }
 
-    fn is_ours(&self, held: &Held, p: &Proposal) -> bool {
-        let pending = held.record.pending.as_ref();
+    fn is_own_pending(&self, latest: &LatestRecord, p: &Proposal) -> bool {
+        let pending = latest.record.pending.as_ref();
         pending.is_some_and(|x| {
             x.nonce == p.nonce
                 && x.proposer == self.options.vm
@@ -150,27 +167,31 @@
         })
     }
 
-    /// What the record says about a patch that another write may have settled.
-    pub(crate) fn settled_event(&self, held: &Held, p: &mut Proposal) -> Option<PatchEvent> {
-        let settled = held.record.find_settled(&p.patch.id)?;
-        if settled.digest != p.digest {
+    /// Returns the event for a patch whose decision is in the record, for example by another VM's write.
+    pub(crate) fn decision_event(
+        &self,
+        latest: &LatestRecord,
+        p: &mut Proposal,
+    ) -> Option<PatchEvent> {
+        let decided = latest.record.find_decided(&p.patch.id)?;
+        if decided.digest != p.digest {
             return None;
         }
-        if let Some(version) = settled.version {
-            p.made = Some(version);
+        if let Some(version) = decided.version {
+            p.committed_version = Some(version);
             return Some(PatchEvent::Committed);
         }
-        let reason = settled.reason.clone().unwrap_or_default();
+        let reason = decided.reason.clone().unwrap_or_default();
         let error = Error::new(ErrorKind::Unavailable, reason).at("decide patch");
         p.refusal.get_or_insert((error, Vec::new()));
         Some(PatchEvent::Settled)
     }
 }
 
-fn ahead(patch: &Patch, held: &Held) -> Error {
+fn ahead_error(patch: &Patch, latest: &LatestRecord) -> Error {
     let text = format!(
         "the patch is against version {}, and {} is the newest",
-        patch.against, held.record.version
+        patch.against, latest.record.version
     );
     Error::new(ErrorKind::BadInput, text)
         .at("check version")
--- a/crates/conf/src/proposal.rs
+++ b/crates/conf/src/proposal.rs
@@ -1,4 +1,4 @@
-//! One proposal on the VM that an operator gave it to.
+//! A proposal on the VM that received the operator's call, and the retries of its writes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,16 +11,16 @@
 use crate::event::CallId;
 use crate::message::Ack;
 use crate::patch::Patch;
+use crate::patch_outcome::Objection;
+use crate::patch_outcome::PatchOutcome;
 use crate::state::PatchState;
-use crate::verdict::Objection;
-use crate::verdict::PatchOutcome;
 
-/// The wait before a write is tried again; doubled each time.
-const RETRY: Duration = Duration::from_millis(40);
-/// The longest wait before a write is tried again.
-const RETRY_MAX: Duration = Duration::from_secs(1);
+/// The delay before the first retry of a write; doubled each time.
+const RETRY_DELAY_MIN: Duration = Duration::from_millis(40);
+/// The longest delay before a retry of a write.
+const RETRY_DELAY_MAX: Duration = Duration::from_secs(1);
 
-/// A proposal, from the operator's call to its verdict and what is left to clear up after it.
+/// A proposal, from the operator's call to its outcome and the cleanup after it.
 #[derive(Clone, Debug)]
 pub(crate) struct Proposal {
     pub(crate) patch: Patch,
@@ -30,68 +30,70 @@
     pub(crate) state: PatchState,
     /// When the state was entered.
     pub(crate) since: Instant,
-    /// The operators' calls that wait, each with the time at which it waited long enough.
-    pub(crate) asks: Vec<(CallId, Instant)>,
-    /// The object's version that the patch was judged by and whose content is replaced.
-    pub(crate) base: u64,
-    /// The object's version by which it may be prepared, once nothing else is in the way.
-    pub(crate) fits: Option<u64>,
-    /// The object's version that shows it as prepared.
-    pub(crate) prepared: u64,
-    /// The new configuration, once it is judged.
-    pub(crate) next: Option<Arc<Config>>,
+    /// The operators' calls that wait for the outcome, each with the time at which it expires.
+    pub(crate) calls: Vec<(CallId, Instant)>,
+    /// The object version that the patch was evaluated against and whose content it replaces.
+    pub(crate) base_object: u64,
+    /// The object version against which it was found eligible while another patch blocks it.
+    pub(crate) eligible_object: Option<u64>,
+    /// The object version that contains it as prepared.
+    pub(crate) prepared_object: u64,
+    /// The new configuration, once the patch is found eligible.
+    pub(crate) next_config: Option<Arc<Config>>,
     pub(crate) warnings: Vec<String>,
-    pub(crate) acks: BTreeMap<VmId, AckSeen>,
+    pub(crate) acks: BTreeMap<VmId, ReceivedAck>,
     pub(crate) archived: bool,
     pub(crate) refusal: Option<(Error, Vec<Objection>)>,
-    /// The version it made, once committed.
-    pub(crate) made: Option<ConfVersion>,
-    /// Whether this book committed it, and not a resend through another VM.
-    pub(crate) ours: bool,
-    pub(crate) writing: Writing,
-    /// What the write that is out would make of the object.
-    pub(crate) sent: Option<Arc<str>>,
-    pub(crate) pushed: Option<Instant>,
+    /// The version that it created, once committed.
+    pub(crate) committed_version: Option<ConfVersion>,
+    /// Whether this VM committed it, and not another VM that received a resend.
+    pub(crate) committed_here: bool,
+    pub(crate) write_retry: RetryState,
+    /// The content of the write in flight.
+    pub(crate) sent_content: Option<Arc<str>>,
+    pub(crate) last_sent: Option<Instant>,
 }
 
-/// An acknowledgement as it came in.
+/// A received acknowledgement.
 #[derive(Clone, Debug)]
-pub(crate) struct AckSeen {
+pub(crate) struct ReceivedAck {
     pub(crate) at: Instant,
     pub(crate) against: Option<String>,
 }
 
-/// The write that a proposal waits for.
+/// The write in flight, if any, and the backoff of retries; the backoff is used for reads too.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Writing {
-    pub(crate) out: Option<WriteId>,
+pub(crate) struct RetryState {
+    pub(crate) in_flight: Option<WriteId>,
     tries: u32,
-    due: Option<Instant>,
+    retry_at: Option<Instant>,
 }
 
-impl Writing {
-    /// Whether the write may be sent now.
+impl RetryState {
+    /// Whether the write or read may be sent now.
     pub(crate) fn is_due(&self, now: Instant) -> bool {
-        self.out.is_none() && self.due.is_none_or(|d| now >= d)
+        self.in_flight.is_none() && self.retry_at.is_none_or(|d| now >= d)
     }
 
-    /// Another write comes next.
-    pub(crate) fn restart(&mut self) {
+    /// Resets the state for a different write.
+    pub(crate) fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// It failed or may have; it is sent again later. `jitter` is between 0 and 1.
-    pub(crate) fn again(&mut self, now: Instant, jitter: f64) {
-        let wait = RETRY.saturating_mul(1 << self.tries.min(8)).min(RETRY_MAX);
-        self.out = None;
+    /// Schedules a retry after the write or read failed or may have failed; `jitter` is between 0 and 1.
+    pub(crate) fn schedule_retry(&mut self, now: Instant, jitter: f64) {
+        let wait = RETRY_DELAY_MIN
+            .saturating_mul(1 << self.tries.min(8))
+            .min(RETRY_DELAY_MAX);
+        self.in_flight = None;
         self.tries += 1;
-        self.due = Some(now + wait / 2 + (wait / 2).mul_f64(jitter));
+        self.retry_at = Some(now + wait / 2 + (wait / 2).mul_f64(jitter));
     }
 }
 
-/// What an operator proposes.
-pub(crate) struct Asked {
-    pub(crate) ask: CallId,
+/// An operator's call that proposes a patch.
+pub(crate) struct ProposeCall {
+    pub(crate) call: CallId,
     pub(crate) team: TeamName,
     pub(crate) patch: Patch,
     pub(crate) dry_run: bool,
@@ -100,66 +102,71 @@
 impl Proposal {
     pub(crate) fn new(
         now: Instant,
-        asked: Asked,
+        request: ProposeCall,
         state: PatchState,
         outcome_timeout: Duration,
         nonce: u64,
     ) -> Self {
         Self {
-            digest: asked.patch.digest(),
-            patch: asked.patch,
-            team: asked.team,
+            digest: request.patch.digest(),
+            patch: request.patch,
+            team: request.team,
             nonce,
             state,
             since: now,
-            asks: vec![(asked.ask, now + outcome_timeout)],
-            base: 0,
-            fits: None,
-            prepared: 0,
-            next: None,
+            calls: vec![(request.call, now + outcome_timeout)],
+            base_object: 0,
+            eligible_object: None,
+            prepared_object: 0,
+            next_config: None,
             warnings: Vec::new(),
             acks: BTreeMap::new(),
             archived: false,
             refusal: None,
-            made: None,
-            ours: false,
-            writing: Writing::default(),
-            sent: None,
-            pushed: None,
+            committed_version: None,
+            committed_here: false,
+            write_retry: RetryState::default(),
+            sent_content: None,
+            last_sent: None,
         }
     }
 
-    /// Whether every operator has waited long enough or has had the verdict.
-    pub(crate) fn is_late(&self, now: Instant) -> bool {
-        self.asks.iter().all(|(_, until)| now >= *until)
+    /// Whether no call waits for the outcome any longer: each has expired or was answered.
+    pub(crate) fn are_calls_expired(&self, now: Instant) -> bool {
+        self.calls.iter().all(|(_, until)| now >= *until)
     }
 
-    /// Takes the calls that are to be answered with the verdict.
-    pub(crate) fn take_asks(&mut self) -> Vec<CallId> {
-        self.asks.drain(..).map(|(ask, _)| ask).collect()
+    /// Removes and returns all calls, to be answered with the outcome.
+    pub(crate) fn take_calls(&mut self) -> Vec<CallId> {
+        self.calls.drain(..).map(|(call, _)| call).collect()
     }
 
-    /// Takes the calls that have waited long enough.
-    pub(crate) fn take_late(&mut self, now: Instant) -> Vec<CallId> {
-        let late = self.asks.iter().filter(|(_, until)| now >= *until);
-        let late = late.map(|(ask, _)| *ask).collect();
-        self.asks.retain(|(_, until)| now < *until);
-        late
+    /// Removes and returns the expired calls.
+    pub(crate) fn take_expired_calls(&mut self, now: Instant) -> Vec<CallId> {
+        let expired = self.calls.iter().filter(|(_, until)| now >= *until);
+        let expired = expired.map(|(call, _)| *call).collect();
+        self.calls.retain(|(_, until)| now < *until);
+        expired
     }
 
-    /// Whether every one of these VMs was heard from since a time, and none stands against it.
-    pub(crate) fn all_acked_since(&self, vms: &[VmId], me: &VmId, since: Option<Instant>) -> bool {
+    /// Whether each of these VMs acknowledged the patch since a time and none rejects it.
+    pub(crate) fn is_acked_by_all_since(
+        &self,
+        vms: &[VmId],
+        me: &VmId,
+        since: Option<Instant>,
+    ) -> bool {
         let acked = |vm| {
-            let ack: Option<&AckSeen> = self.acks.get(vm);
+            let ack: Option<&ReceivedAck> = self.acks.get(vm);
             ack.is_some_and(|a| a.against.is_none() && since.is_none_or(|s| a.at >= s))
         };
-        // An empty list is a list that is not known, and no reason to ask nobody.
+        // An empty list means that the VMs are not known, not that there are none.
         !vms.is_empty() && vms.iter().filter(|vm| *vm != me).all(acked)
     }
 
-    /// The VMs that stand against it by what they said.
-    pub(crate) fn opponents(&self) -> Vec<Objection> {
-        let one = |(vm, ack): (&VmId, &AckSeen)| {
+    /// Returns the VMs that reject it with their reasons.
+    pub(crate) fn objections(&self) -> Vec<Objection> {
+        let one = |(vm, ack): (&VmId, &ReceivedAck)| {
             let reason = ack.against.clone()?;
             Some(Objection {
                 vm: vm.clone(),
@@ -169,22 +176,23 @@
         self.acks.iter().filter_map(one).collect()
     }
 
-    /// The VMs that have not acknowledged.
-    pub(crate) fn silent(&self, vms: &[VmId], me: &VmId) -> Vec<VmId> {
-        let silent = vms
+    /// Returns the VMs that have not acknowledged it.
+    pub(crate) fn unacknowledged(&self, vms: &[VmId], me: &VmId) -> Vec<VmId> {
+        let missing = vms
             .iter()
             .filter(|vm| *vm != me && !self.acks.contains_key(vm));
-        silent.cloned().collect()
+        missing.cloned().collect()
     }
 
-    /// The refusal as a verdict.
-    pub(crate) fn refused(&self) -> Option<PatchOutcome> {
+    /// Returns the refusal as an outcome.
+    pub(crate) fn refusal_outcome(&self) -> Option<PatchOutcome> {
         let (error, against) = self.refusal.clone()?;
         Some(PatchOutcome::Refused { error, against })
     }
-    /// Notes an acknowledgement; the first word of a VM against it stays.
+
+    /// Records an acknowledgement; the first rejection of a VM is kept.
     pub(crate) fn note_ack(&mut self, now: Instant, from: &VmId, ack: Ack) {
-        let seen = AckSeen {
+        let seen = ReceivedAck {
             at: now,
             against: ack.against,
         };
--- a/crates/conf/src/record.rs
+++ b/crates/conf/src/record.rs
@@ -1,4 +1,4 @@
-//! What the platform's object holds.
+//! The record stored in the platform's object.
 
 use std::sync::Arc;
 
@@ -8,36 +8,36 @@
 
 use crate::patch::Patch;
 
-/// The object that holds the configuration in force.
+/// The path of the object with the configuration in force.
 pub const CURRENT_PATH: &str = "config/current";
 
-/// Where each replaced version is kept, under its number.
+/// The prefix of the paths of replaced versions, followed by their number.
 pub const HISTORY_PREFIX: &str = "config/history/";
 
-/// The largest object that the platform takes, in bytes.
+/// The largest object that the platform accepts, in bytes.
 pub const OBJECT_MAX_BYTES: usize = 1_000_000;
 
-/// The longest reason kept with a refused patch, in characters.
-const REASON_MAX: usize = 200;
+/// The longest reason recorded for a refused patch, in characters.
+const REASON_MAX_CHARS: usize = 200;
 
-/// How many settled patches the record remembers for resends.
-pub const SETTLED_MAX: usize = 128;
+/// The number of decided patches in the record, which are kept for resends.
+pub const DECIDED_MAX: usize = 128;
 
-/// The path of a replaced version.
+/// Returns the path of a replaced version.
 #[must_use]
 pub fn history_path(version: ConfVersion) -> String {
     format!("{HISTORY_PREFIX}{version}")
 }
 
-/// The content of [`CURRENT_PATH`]: a [`Config`], and what is needed to change it safely.
+/// The content of [`CURRENT_PATH`]: a [`Config`] with its pending and decided patches.
 ///
-/// A plain [`Config`] as JSON parses too, so that an operator can put the first one by hand.
+/// A plain [`Config`] as JSON is valid too, so that an operator can write the first one manually.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Record {
     /// The number of this version.
     pub version: ConfVersion,
-    /// The patch that made it.
+    /// The patch that created it.
     #[serde(default)]
     pub patch: Option<PatchId>,
     /// The teams.
@@ -46,7 +46,7 @@
     /// The fronts.
     #[serde(default)]
     pub fronts: Vec<Front>,
-    /// The last patches settled, oldest first.
+    /// The last decided patches, oldest first.
     #[serde(default)]
     pub settled: Vec<DecidedPatch>,
     /// The patch that is being decided.
@@ -55,26 +55,26 @@
 }
 
 impl Record {
-    /// Reads the content of the object.
+    /// Parses the content of the object.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::BadInput`] if it is no record that this process understands.
+    /// [`ErrorKind::BadInput`] if the content is not a record that this build supports.
     pub fn parse(content: &str) -> Result<Self> {
         serde_json::from_str(content).map_err(|e| {
             Error::new(ErrorKind::BadInput, format!("{CURRENT_PATH}: {e}"))
                 .at("read configuration")
-                .with_hint("another build may have written it: run one build on every VM")
+                .with_hint("another build may have written it: run the same build on every VM")
         })
     }
 
-    /// The content of the object.
+    /// Returns the content of the object.
     pub(crate) fn encode(&self) -> Arc<str> {
-        // Of these types only a map with keys that are no text could fail, and there is none.
+        // Serialisation could only fail for a map with keys that are not strings, and there is none.
         serde_json::to_string(self).unwrap_or_default().into()
     }
 
-    /// The configuration, without what settles patches.
+    /// Returns the configuration without pending and decided patches.
     #[must_use]
     pub fn config(&self) -> Config {
         Config {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The record after this one, with this configuration in force.
+    /// Returns the next record, with this configuration in force.
     pub(crate) fn with_config(&self, cfg: Config) -> Self {
         Self {
             version: cfg.version,
@@ -97,44 +97,44 @@
         }
     }
 
-    /// The record with its pending patch refused; as it is if none is pending.
+    /// Returns the record with its pending patch refused; unchanged if none is pending.
     pub(crate) fn withdrawn(&self, reason: &str) -> Self {
         let mut next = self.clone();
         if let Some(p) = &self.pending {
-            let reason = reason.chars().take(REASON_MAX).collect();
-            next.settle(p.settled(None, Some(reason)));
+            let reason = reason.chars().take(REASON_MAX_CHARS).collect();
+            next.record_decision(p.decided(None, Some(reason)));
         }
         next
     }
 
-    /// The word on a patch, if it is still remembered.
+    /// Returns the decision on a patch, if it is still recorded.
     #[must_use]
-    pub fn find_settled(&self, id: &PatchId) -> Option<&DecidedPatch> {
+    pub fn find_decided(&self, id: &PatchId) -> Option<&DecidedPatch> {
         self.settled.iter().rev().find(|s| s.id == *id)
     }
 
-    /// Notes a settled patch, and forgets the oldest if there are too many.
-    pub(crate) fn settle(&mut self, settled: DecidedPatch) {
+    /// Records a decided patch and removes the oldest if there are too many.
+    pub(crate) fn record_decision(&mut self, decided: DecidedPatch) {
         self.pending = None;
-        self.settled.push(settled);
-        let extra = self.settled.len().saturating_sub(SETTLED_MAX);
+        self.settled.push(decided);
+        let extra = self.settled.len().saturating_sub(DECIDED_MAX);
         self.settled.drain(..extra);
     }
 }
 
-/// A patch on which the word is final.
+/// A patch with a final outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DecidedPatch {
     /// The patch.
     pub id: PatchId,
-    /// A hash of its content, as an id may be used for one content only.
+    /// A hash of its content, because an id may be used for one content only.
     pub digest: u64,
     /// The team that proposed it.
     pub team: TeamName,
     /// The VM that proposed it.
     pub proposer: VmId,
-    /// The version that it made; `None` if it was refused.
+    /// The version that it created; `None` if it was refused.
     pub version: Option<ConfVersion>,
     /// Why it was refused.
     #[serde(default)]
@@ -151,15 +151,16 @@
     pub team: TeamName,
     /// The VM that proposed it, the only one that may commit it.
     pub proposer: VmId,
-    /// The run of its process.
+    /// The incarnation of the proposer's process.
     pub incarnation: Incarnation,
-    /// Tells this proposal from every other, so that a lost answer is decided by reading back.
+    /// Distinguishes this proposal from all others, so that reading the object shows whether a write
+    /// with a lost reply took effect.
     pub nonce: u64,
 }
 
 impl Pending {
-    /// The word on it.
-    pub(crate) fn settled(
+    /// Returns the decision on it.
+    pub(crate) fn decided(
         &self,
         version: Option<ConfVersion>,
         reason: Option<String>,
--- a/crates/conf/src/state.rs
+++ b/crates/conf/src/state.rs
@@ -1,4 +1,4 @@
-//! The chart of one proposal.
+//! The states and events of a proposal.
 
 use gs_chart::Chart;
 use gs_types::prelude::*;
@@ -6,55 +6,55 @@
 use strum::EnumString;
 use strum::IntoStaticStr;
 
-/// Where a proposal stands.
+/// The state of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, EnumIter, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum PatchState {
     /// Waits for a record without another pending patch.
     Reading,
-    /// The write that prepares it is out.
+    /// The write that prepares it is in flight.
     Preparing,
-    /// The VMs are asked, and the version in force is copied to its history object.
+    /// Waits for acknowledgements; the version in force is copied to its history object.
     Asking,
-    /// The write that commits it is out: the point of no return.
+    /// The write that commits it is in flight; from here on it may take effect.
     Committing,
-    /// Committed; VMs put it in force.
+    /// Committed; the VMs put it in force.
     Spreading,
-    /// Refused; the write that withdraws it is out.
+    /// Refused; the write that withdraws it is in flight.
     Withdrawing,
     /// Nothing is left to do.
     Done,
 }
 
-/// What happens to a proposal.
+/// An event that can change the state of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, EnumIter, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum PatchEvent {
-    /// The record read allows it.
+    /// The record allows it.
     Fits,
-    /// The record read or the rules rule it out, or its id is settled.
+    /// It is not eligible, or the patch with its id is decided.
     Settled,
-    /// The record now shows it as pending.
+    /// The record contains it as pending.
     Prepared,
-    /// Another write was first.
+    /// Another write took effect first.
     Beaten,
     /// Every VM acknowledged and the history is written.
     Agreed,
-    /// A VM stands against it or said nothing in time.
+    /// A VM rejects it or did not acknowledge it in time.
     Opposed,
-    /// The record shows it as accepted.
+    /// The record contains it as accepted.
     Committed,
     /// Every VM has it in force, or has stopped serving what it changes.
     Everywhere,
-    /// The operator has waited long enough.
+    /// All calls that wait for it have expired.
     Late,
 }
 
-/// The chart of a proposal, from `charts/patch.toml`.
+/// Returns the state machine of a proposal, defined by `charts/patch.toml`.
 ///
 /// # Errors
 ///
-/// [`ErrorKind::BadInput`] if the file does not fit the enums; a test shows that it does.
+/// [`ErrorKind::BadInput`] if the definition does not match the enums, which a test rules out.
 pub fn patch_chart() -> Result<Chart<PatchState, PatchEvent>> {
     Chart::parse(include_str!("../../../charts/patch.toml"))
 }
--- a/crates/conf/src/team.rs
+++ b/crates/conf/src/team.rs
@@ -1,4 +1,4 @@
-//! Who may change what.
+//! Authentication of teams and the check of what they may change.
 
 use gs_types::prelude::*;
 use sha2::Digest;
@@ -8,19 +8,19 @@
 use crate::patch::Change;
 use crate::patch::Patch;
 
-/// What is shown in place of the hash of a key.
-const NOT_SHOWN: &str = "(not shown)";
+/// The text shown in place of the hash of a key.
+const REDACTED_KEY_HASH: &str = "(not shown)";
 
-/// The SHA-256 of a team's key in hexadecimal, as the configuration keeps it.
+/// Returns the SHA-256 of a team's key in hexadecimal, as stored in the configuration.
 #[must_use]
 pub fn hash_key(key: &str) -> String {
     hex::encode(Sha256::digest(key.as_bytes()))
 }
 
-/// Finds the team that a key belongs to.
+/// Returns the team with this name if the key is correct.
 ///
-/// The hashes are compared in constant time, and an unknown team costs as much as a known one, so
-/// that neither the time nor the error tells which of name and key was wrong.
+/// The hashes are compared in constant time, and an unknown team takes as long as a known one, so
+/// that neither the time nor the error reveals whether the name or the key was wrong.
 ///
 /// # Errors
 ///
@@ -38,12 +38,12 @@
     }
 }
 
-/// The configuration as it may be shown: the hashes of keys are left out.
+/// Returns the configuration with the hashes of keys redacted.
 #[must_use]
 pub fn redacted(cfg: &Config) -> Config {
     let mut shown = cfg.clone();
     for t in &mut shown.teams {
-        t.key_sha256 = NOT_SHOWN.to_owned();
+        t.key_sha256 = REDACTED_KEY_HASH.to_owned();
     }
     shown
 }
@@ -52,7 +52,7 @@
 ///
 /// # Errors
 ///
-/// [`ErrorKind::Forbidden`] with the place of the first change that the team may not make.
+/// [`ErrorKind::Forbidden`] with the position of the first change that the team may not make.
 pub fn check_scope(cfg: &Config, team: &TeamName, patch: &Patch) -> Result<()> {
     let Some(t) = cfg.teams.iter().find(|t| t.name == *team) else {
         return Err(Error::new(
--- a/crates/conf/src/writes.rs
+++ b/crates/conf/src/writes.rs
@@ -7,18 +7,18 @@
 
 use crate::action::Action;
 use crate::action::WriteId;
-use crate::book::ConfigManager;
-use crate::book::Cx;
 use crate::event::WriteResult;
+use crate::manager::ConfigManager;
+use crate::manager::Cx;
 use crate::proposal::Proposal;
 use crate::record::history_path;
 use crate::state::PatchState;
 
-/// Versions kept in the history.
-const HISTORY_KEEP: u64 = 1_000;
+/// The number of versions kept in the history.
+const HISTORY_VERSIONS_MAX: u64 = 1_000;
 
 impl ConfigManager {
-    pub(crate) fn write(
+    pub(crate) fn start_write(
         &mut self,
         cx: &mut Cx<'_>,
         p: &mut Proposal,
@@ -26,9 +26,9 @@
         if_version: u64,
         content: Arc<str>,
     ) {
-        let id = self.next_write();
-        p.writing.out = Some(id);
-        p.sent = Some(content.clone());
+        let id = self.next_write_id();
+        p.write_retry.in_flight = Some(id);
+        p.sent_content = Some(content.clone());
         cx.out.push(Action::Write {
             id,
             path,
@@ -37,46 +37,47 @@
         });
     }
 
-    pub(crate) fn next_write(&mut self) -> WriteId {
-        self.last_write += 1;
-        WriteId(self.last_write)
+    pub(crate) fn next_write_id(&mut self) -> WriteId {
+        self.last_write_id += 1;
+        WriteId(self.last_write_id)
     }
 
-    pub(crate) fn proposal_wrote(
+    pub(crate) fn on_proposal_write(
         &mut self,
         cx: &mut Cx<'_>,
         p: &mut Proposal,
         result: WriteResult,
     ) {
-        p.writing.out = None;
+        p.write_retry.in_flight = None;
         let archive = p.state == PatchState::Asking;
         match result {
-            // A version is archived under its number, and always with the same content.
+            // A version is archived under its number and always with the same content, so a conflict
+            // means that it is archived already.
             WriteResult::Done(_) | WriteResult::Conflict if archive => p.archived = true,
             WriteResult::Done(object) => {
-                let content = p.sent.take();
+                let content = p.sent_content.take();
                 let _ = self.learn(cx, object, content.unwrap_or_default());
                 self.prune(cx);
             }
-            // Ours may be the write that was first: reading back tells.
+            // The conflicting write may be an earlier try of this one; reading the object shows it.
             WriteResult::Conflict => {
-                self.reading.wanted = true;
+                self.read_state.wanted = true;
                 let jitter = self.rng.random();
-                p.writing.again(cx.now, jitter);
+                p.write_retry.schedule_retry(cx.now, jitter);
             }
             WriteResult::Unknown | WriteResult::Failed => {
                 let jitter = self.rng.random();
-                p.writing.again(cx.now, jitter);
+                p.write_retry.schedule_retry(cx.now, jitter);
             }
         }
     }
 
-    /// Drops the version that the history no longer keeps.
+    /// Deletes the version that exceeds the history.
     fn prune(&mut self, cx: &mut Cx<'_>) {
-        let Some(held) = self.held.as_ref().filter(|h| h.record.pending.is_none()) else {
+        let Some(latest) = self.latest.as_ref().filter(|r| r.record.pending.is_none()) else {
             return;
         };
-        if let Some(old) = held.record.version.0.checked_sub(HISTORY_KEEP) {
+        if let Some(old) = latest.record.version.0.checked_sub(HISTORY_VERSIONS_MAX) {
             cx.out.push(Action::Prune(history_path(ConfVersion(old))));
         }
     }
