--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,67 +1,69 @@
-//! Declared fronts and the patches that change them.
+//! The configuration of fronts and teams, and the patches that change it.
 //!
-//! [`Book`] is a plain state machine that runs on every VM: [`Event`]s in, [`Action`]s out, `now`
-//! passed in, no I/O. It follows the newest configuration that the platform or a peer can show,
-//! only ever forward, and it carries a [`Patch`] from proposal to [`Verdict`]. The commit point of
-//! a patch is one conditional write on the object [`CURRENT`]. `docs/DESIGN-patches.md` says what was
-//! weighed.
+//! [`ConfigManager`] is a plain state machine that runs on every VM: [`Event`]s in, [`Action`]s out,
+//! `now` passed in, no I/O. It applies the newest configuration that the platform or a peer provides
+//! and never returns to an older version, and it carries a [`Patch`] from proposal to
+//! [`PatchOutcome`]. The commit point of a patch is one conditional write on the object
+//! [`CURRENT_PATH`]. The design and its alternatives are described in `docs/DESIGN-patches.md`.
 
 mod action;
+mod advance;
 mod apply;
-mod book;
+mod background;
 mod check;
-mod chores;
 mod decide;
-mod doubt;
-mod drive;
+mod distribute;
 mod dump;
 mod event;
-mod follow;
-mod held;
+mod fleet;
+mod in_doubt;
 mod inputs;
-mod judge;
+mod latest_record;
+mod manager;
 mod message;
 mod options;
 mod patch;
+mod patch_eligibility;
+mod patch_outcome;
 mod prepare;
 mod proposal;
 mod record;
-mod spread;
 mod state;
 mod team;
-mod verdict;
 mod writes;
 
 pub use action::Action;
 pub use action::WriteId;
 pub use apply::apply;
 pub use apply::diff;
-pub use book::Book;
 pub use check::Problem;
 pub use check::Report;
 pub use check::check_config;
 pub use check::check_patch;
-pub use dump::BookDump;
+pub use dump::ConfigManagerDump;
 pub use dump::ProposalDump;
-pub use event::Ask;
+pub use event::CallId;
 pub use event::Event;
 pub use event::ReadResult;
 pub use event::WriteResult;
-pub use follow::VmStatus;
+pub use fleet::VmStatus;
+pub use manager::ConfigManager;
 pub use message::Ack;
-pub use message::Gossip;
 pub use message::Message;
-pub use options::BookOptions;
+pub use message::RecordSummary;
 pub use options::Bootstrap;
+pub use options::ConfigManagerOptions;
+pub use patch::AffectedTarget;
 pub use patch::Change;
 pub use patch::Patch;
-pub use patch::Touched;
-pub use record::CURRENT;
-pub use record::HISTORY;
-pub use record::OBJECT_MAX;
+pub use patch_outcome::Objection;
+pub use patch_outcome::PatchOutcome;
+pub use record::CURRENT_PATH;
+pub use record::DecidedPatch;
+pub use record::HISTORY_PREFIX;
+pub use record::OBJECT_MAX_BYTES;
 pub use record::Pending;
 pub use record::Record;
-pub use record::Settled;
 pub use record::history_path;
 pub use state::PatchEvent;
 pub use state::PatchState;
@@ -70,5 +72,3 @@
 pub use team::check_scope;
 pub use team::hash_key;
 pub use team::redacted;
-pub use verdict::Opponent;
-pub use verdict::Verdict;
--- a/crates/query/src/core.rs
+++ b/crates/query/src/core.rs
@@ -185,7 +185,7 @@
 
     /// Handles a server's own report that it drains: moves its queue and notifies every peer.
     pub(crate) fn on_own_drain(&mut self, server: ServerIdx, out: &mut Vec<Action>) {
-        if self.servers.drain_own(server) {
+        if self.servers.drain_self_reported(server) {
             self.on_drained(server, "own", true, out);
         }
     }
--- a/crates/query/src/finish.rs
+++ b/crates/query/src/finish.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use gs_limit::Ended;
+use gs_limit::LookupEnd;
 use gs_types::prelude::*;
 
 use crate::action::Action;
@@ -148,9 +148,9 @@
         self.orphan_attempts(now, lk);
         self.disarm(lk);
         self.crash_suspects.release_canary(lk.fingerprint, lk.seq);
-        self.admission.ended(
+        self.admission.on_lookup_end(
             now,
-            &Ended {
+            &LookupEnd {
                 in_time: now < lk.answer_by,
                 congested: lk.is_congested || waited,
             },
--- a/crates/query/src/lifecycle.rs
+++ b/crates/query/src/lifecycle.rs
@@ -168,7 +168,7 @@
         let pin = group
             .view
             .pin(&self.servers, lk.snapshot_min, Some(lk.snapshot.id))
-            .filter(|p| p.readiness != Readiness::Thin);
+            .filter(|p| p.readiness != Readiness::Incomplete);
         let Some(pin) = pin.filter(|_| !may_not_restart) else {
             return false;
         };
@@ -220,7 +220,7 @@
             let waited = now.saturating_duration_since(a.dispatched_at);
             let mean = self.servers.view(a.server).latency().mean();
             if mean.is_none_or(|mean| waited > mean) {
-                self.servers.took(now, a.server, waited);
+                self.servers.record_latency(now, a.server, waited);
                 let distance = if self.servers.view(a.server).is_local() {
                     Distance::Near
                 } else {
--- a/crates/query/src/server_reply.rs
+++ b/crates/query/src/server_reply.rs
@@ -33,7 +33,7 @@
             reply,
             PartReply::NotSent | PartReply::Late | PartReply::Cancelled
         ) {
-            self.servers.heard(now, server);
+            self.servers.note_contact(now, server);
         }
     }
 
@@ -89,7 +89,7 @@
         server: ServerIdx,
         holds: &[SnapshotId],
     ) {
-        if self.servers.said_holds(now, server, holds) {
+        if self.servers.set_held_snapshots(now, server, holds) {
             self.changed_servers.push(server);
         }
     }
--- a/crates/query/src/timers.rs
+++ b/crates/query/src/timers.rs
@@ -104,7 +104,7 @@
         dispatched_at: Instant,
     ) {
         if now.saturating_duration_since(dispatched_at) >= loss_timeout(lk) {
-            self.servers.unanswered(now, server, dispatched_at);
+            self.servers.note_unanswered(now, server, dispatched_at);
         }
     }
 
@@ -155,7 +155,7 @@
             self.retry_or_abandon(now, lk, pos, ShardFailure::Failed, out);
             return true;
         }
-        if self.admission.overloaded(now) {
+        if self.admission.is_overloaded(now) {
             return false;
         }
         let Some(server) = self.choose_hedge_server(now, lk, pos) else {
