--- a/crates/chart/src/chart.rs
+++ b/crates/chart/src/chart.rs
@@ -74,7 +74,7 @@
 
     /// Whether `state` is final.
     #[must_use]
-    pub fn is_last(&self, state: S) -> bool {
+    pub fn is_final(&self, state: S) -> bool {
         self.rows.iter().any(|r| r.state == state && r.last)
     }
 
--- a/crates/chart/src/lib.rs
+++ b/crates/chart/src/lib.rs
@@ -34,9 +34,9 @@
 //! ```
 
 mod chart;
-mod draw;
 mod file;
+mod mermaid;
 
 pub use chart::Chart;
 pub use chart::Label;
-pub use draw::draw;
+pub use mermaid::to_mermaid;
--- a/crates/chart/src/draw.rs
+++ b/crates/chart/src/mermaid.rs
@@ -11,7 +11,7 @@
 /// # Errors
 ///
 /// [`ErrorKind::BadInput`](gs_types::error::ErrorKind::BadInput) if the text is no chart.
-pub fn draw(text: &str) -> Result<String, Error> {
+pub fn to_mermaid(text: &str) -> Result<String, Error> {
     let chart = ChartFile::parse(text)?;
     let mut s = String::from("stateDiagram-v2\n");
     for state in chart.state.iter().filter(|s| s.name.contains('-')) {
--- a/crates/conf/src/advance.rs
+++ b/crates/conf/src/advance.rs
@@ -26,7 +26,7 @@
                 };
                 self.enter(cx, &mut p, state);
             }
-            if !self.chart.is_last(p.state) {
+            if !self.chart.is_final(p.state) {
                 self.current = Some(p);
                 return;
             }
--- a/crates/edge/src/request_log.rs
+++ b/crates/edge/src/request_log.rs
@@ -7,7 +7,7 @@
 use gs_actor::lock;
 use gs_relay::Outcome;
 use gs_relay::RequestReport;
-use gs_types::pace::Pace;
+use gs_types::log_rate_limit::LogRateLimit;
 use gs_types::prelude::*;
 
 use crate::metrics::Metrics;
@@ -18,14 +18,14 @@
 
 /// Logs what operators need to know of requests that went wrong, and records the latency of all.
 pub(crate) struct RequestLog {
-    rate_limit: Mutex<Pace>,
+    rate_limit: Mutex<LogRateLimit>,
     metrics: Arc<Metrics>,
 }
 
 impl RequestLog {
     pub(crate) fn new(metrics: Arc<Metrics>) -> Self {
         Self {
-            rate_limit: Mutex::new(Pace::new(LOGGED_REQUESTS_PER_S_MAX)),
+            rate_limit: Mutex::new(LogRateLimit::new(LOGGED_REQUESTS_PER_S_MAX)),
             metrics,
         }
     }
@@ -37,7 +37,7 @@
         if outcome == WHOLE {
             return;
         }
-        let Some(suppressed) = lock(&self.rate_limit).take(Instant::now()) else {
+        let Some(suppressed) = lock(&self.rate_limit).try_acquire(Instant::now()) else {
             return;
         };
         let (whole, parts) = e.parts;
--- a/crates/once/src/claim_requests.rs
+++ b/crates/once/src/claim_requests.rs
@@ -101,7 +101,7 @@
         let p = self.map.get_mut(id)?;
         let next = self.chart.next(p.state, event)?;
         p.state = next;
-        if !self.chart.is_last(next) {
+        if !self.chart.is_final(next) {
             return None;
         }
         let p = self.map.remove(id)?;
--- a/crates/query/src/incomplete_log.rs
+++ b/crates/query/src/incomplete_log.rs
@@ -23,7 +23,7 @@
         if !log::log_enabled!(log::Level::Info) {
             return;
         }
-        let Some(left_out) = self.incomplete_log_limit.take(now) else {
+        let Some(left_out) = self.incomplete_log_limit.try_acquire(now) else {
             return;
         };
         let hedge = &self.groups[lk.group].hedge;
--- a/crates/settings/src/faults.rs
+++ b/crates/settings/src/faults.rs
@@ -81,7 +81,7 @@
 
     /// The bytes of the file that are at fault; `None` if the file as a whole is.
     #[must_use]
-    pub fn place(&self) -> Option<Range<usize>> {
+    pub fn span(&self) -> Option<Range<usize>> {
         self.place.as_ref().map(|p| p.0.clone())
     }
 
@@ -129,10 +129,10 @@
 impl Faults {
     pub(crate) fn new(name: &str, text: &str, mut faults: Vec<Fault>) -> Self {
         let mut text = text.to_owned();
-        for place in faults.iter().filter(|f| f.hidden).filter_map(Fault::place) {
+        for place in faults.iter().filter(|f| f.hidden).filter_map(Fault::span) {
             text.replace_range(place.clone(), &"*".repeat(place.len()));
         }
-        faults.sort_by_key(|f| f.place().map_or(0, |p| p.start));
+        faults.sort_by_key(|f| f.span().map_or(0, |p| p.start));
         let found = faults.len();
         faults.truncate(SHOWN);
         Self {
--- a/crates/settings/src/keys.rs
+++ b/crates/settings/src/keys.rs
@@ -13,11 +13,11 @@
     /// Its name there.
     pub name: &'static str,
     /// What it takes.
-    pub kind: Kind,
+    pub kind: ValueKind,
     /// What happens without it.
     pub presence: Presence,
     /// What it does.
-    pub text: &'static str,
+    pub description: &'static str,
 }
 
 impl fmt::Display for Key {
@@ -39,7 +39,7 @@
 
 /// What a key takes, with its range; both ends belong to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
+pub enum ValueKind {
     /// A name of a VM, data centre or region.
     Name,
     /// An IP number and a port.
@@ -64,22 +64,22 @@
     Choice(&'static [&'static str]),
 }
 
-impl Kind {
+impl ValueKind {
     /// How a value is written.
     #[must_use]
     pub fn form(self) -> &'static str {
         match self {
-            Kind::Name => "a name in quotes, such as \"hobart-1\"",
-            Kind::Address => "an IP number and a port in quotes, such as \"10.0.0.1:8080\"",
-            Kind::Ip => "an IP number in quotes, such as \"10.0.0.1\"",
-            Kind::Hash => "64 digits of 0-9 and a-f in quotes",
-            Kind::Path => "a path in quotes, such as \"mesh.secret\"",
-            Kind::Duration(..) => "a duration in quotes, such as \"250ms\" or \"2s\"",
-            Kind::Size(..) => "a size in quotes, such as \"64KB\" or \"1MB\"",
-            Kind::Count(..) => "a whole number",
-            Kind::Rate(..) => "a number of events a second, such as 20",
-            Kind::Fraction(..) => "a fraction, such as 0.03",
-            Kind::Choice(_) => "one of the words in quotes",
+            ValueKind::Name => "a name in quotes, such as \"hobart-1\"",
+            ValueKind::Address => "an IP number and a port in quotes, such as \"10.0.0.1:8080\"",
+            ValueKind::Ip => "an IP number in quotes, such as \"10.0.0.1\"",
+            ValueKind::Hash => "64 digits of 0-9 and a-f in quotes",
+            ValueKind::Path => "a path in quotes, such as \"mesh.secret\"",
+            ValueKind::Duration(..) => "a duration in quotes, such as \"250ms\" or \"2s\"",
+            ValueKind::Size(..) => "a size in quotes, such as \"64KB\" or \"1MB\"",
+            ValueKind::Count(..) => "a whole number",
+            ValueKind::Rate(..) => "a number of events a second, such as 20",
+            ValueKind::Fraction(..) => "a fraction, such as 0.03",
+            ValueKind::Choice(_) => "one of the words in quotes",
         }
     }
 
@@ -87,17 +87,17 @@
     #[must_use]
     pub fn unit(self) -> &'static str {
         match self {
-            Kind::Name => "name",
-            Kind::Address => "IP number and port",
-            Kind::Ip => "IP number",
-            Kind::Hash => "SHA-256",
-            Kind::Path => "path",
-            Kind::Duration(..) => "duration",
-            Kind::Size(..) => "size",
-            Kind::Count(..) => "count",
-            Kind::Rate(..) => "per second",
-            Kind::Fraction(..) => "fraction",
-            Kind::Choice(_) => "word",
+            ValueKind::Name => "name",
+            ValueKind::Address => "IP number and port",
+            ValueKind::Ip => "IP number",
+            ValueKind::Hash => "SHA-256",
+            ValueKind::Path => "path",
+            ValueKind::Duration(..) => "duration",
+            ValueKind::Size(..) => "size",
+            ValueKind::Count(..) => "count",
+            ValueKind::Rate(..) => "per second",
+            ValueKind::Fraction(..) => "fraction",
+            ValueKind::Choice(_) => "word",
         }
     }
 
@@ -105,22 +105,22 @@
     #[must_use]
     pub fn range(self) -> String {
         match self {
-            Kind::Name => format!(
+            ValueKind::Name => format!(
                 "1 to {} of a-z, 0-9, `-`, `_`, `.`",
-                gs_types::ids::NAME_MAX
+                gs_types::ids::NAME_MAX_BYTES
             ),
-            Kind::Address => "port not 0".to_owned(),
-            Kind::Ip => "IPv4 or IPv6".to_owned(),
-            Kind::Hash => "64 digits of 0-9, a-f".to_owned(),
-            Kind::Path => "a readable or writable file".to_owned(),
-            Kind::Duration(min, max) => {
+            ValueKind::Address => "port not 0".to_owned(),
+            ValueKind::Ip => "IPv4 or IPv6".to_owned(),
+            ValueKind::Hash => "64 digits of 0-9, a-f".to_owned(),
+            ValueKind::Path => "a readable or writable file".to_owned(),
+            ValueKind::Duration(min, max) => {
                 let form = humantime::format_duration;
                 format!("{} to {}", form(min), form(max))
             }
-            Kind::Size(min, max) => format!("{min} to {max}"),
-            Kind::Count(min, max) => format!("{min} to {max}"),
-            Kind::Rate(min, max) | Kind::Fraction(min, max) => format!("{min} to {max}"),
-            Kind::Choice(words) => words.join(", "),
+            ValueKind::Size(min, max) => format!("{min} to {max}"),
+            ValueKind::Count(min, max) => format!("{min} to {max}"),
+            ValueKind::Rate(min, max) | ValueKind::Fraction(min, max) => format!("{min} to {max}"),
+            ValueKind::Choice(words) => words.join(", "),
         }
     }
 }
@@ -136,16 +136,16 @@
 const fn key(
     section: &'static str,
     name: &'static str,
-    kind: Kind,
+    kind: ValueKind,
     presence: Presence,
-    text: &'static str,
+    description: &'static str,
 ) -> Key {
     Key {
         section,
         name,
         kind,
         presence,
-        text,
+        description,
     }
 }
 
@@ -156,75 +156,75 @@
 /// Every key, in the order of the docs.
 #[rustfmt::skip]
 pub const KEYS: &[Key] = &[
-    key("vm", "name", Kind::Name, Presence::Required,
+    key("vm", "name", ValueKind::Name, Presence::Required,
         "The VM's name, unique among live VMs."),
-    key("vm", "data-centre", Kind::Name, Presence::Required,
+    key("vm", "data-centre", ValueKind::Name, Presence::Required,
         "The data centre it stands in."),
-    key("vm", "region", Kind::Name, Presence::Required,
+    key("vm", "region", ValueKind::Name, Presence::Required,
         "The region of the data centre."),
-    key("listen", "callers", Kind::Address, Presence::Required,
+    key("listen", "callers", ValueKind::Address, Presence::Required,
         "Where callers are served."),
-    key("listen", "admin", Kind::Address, Presence::Required,
+    key("listen", "admin", ValueKind::Address, Presence::Required,
         "Where operators, metrics and health checks are served."),
-    key("listen", "mesh", Kind::Address, Presence::Required,
+    key("listen", "mesh", ValueKind::Address, Presence::Required,
         "Where the other VMs connect."),
-    key("source", "ip", Kind::Ip, Presence::Unset,
+    key("source", "ip", ValueKind::Ip, Presence::Unset,
         "The local address that outgoing connections start from; the system's choice without it."),
-    key("platform", "addr", Kind::Address, Presence::Required,
+    key("platform", "addr", ValueKind::Address, Presence::Required,
         "The platform's object service."),
-    key("platform", "timeout", Kind::Duration(ms(10), secs(30)), Presence::Default("\"500ms\""),
+    key("platform", "timeout", ValueKind::Duration(ms(10), secs(30)), Presence::Default("\"500ms\""),
         "The longest that one call may take; a watch's own wait is not counted."),
-    key("platform", "watch-wait", Kind::Duration(ms(100), secs(300)), Presence::Default("\"10s\""),
+    key("platform", "watch-wait", ValueKind::Duration(ms(100), secs(300)), Presence::Default("\"10s\""),
         "How long a watch waits for a change."),
-    key("platform", "reads-per-second", Kind::Rate(0.1, 10_000.0), Presence::Default("200"),
+    key("platform", "reads-per-second", ValueKind::Rate(0.1, 10_000.0), Presence::Default("200"),
         "This process's part of the platform's reads, lists and watches."),
-    key("platform", "writes-per-second", Kind::Rate(0.1, 10_000.0), Presence::Default("30"),
+    key("platform", "writes-per-second", ValueKind::Rate(0.1, 10_000.0), Presence::Default("30"),
         "This process's part of the platform's writes and deletes."),
-    key("mesh", "secret-file", Kind::Path, Presence::Required,
+    key("mesh", "secret-file", ValueKind::Path, Presence::Required,
         "The file with the secret that every VM shares: 16 bytes to 4KB, a last line break not \
          counted."),
-    key("mesh", "heartbeat", Kind::Duration(ms(50), ms(500)), Presence::Default("\"250ms\""),
+    key("mesh", "heartbeat", ValueKind::Duration(ms(50), ms(500)), Presence::Default("\"250ms\""),
         "The time between two heartbeats; a VM silent for 1.5 s is suspected."),
-    key("callers", "body", Kind::Size(Bytes(KB), Bytes(16 * MB)), Presence::Default("\"64KB\""),
+    key("callers", "body", ValueKind::Size(Bytes(KB), Bytes(16 * MB)), Presence::Default("\"64KB\""),
         "The largest request body."),
-    key("callers", "headers", Kind::Size(Bytes(8 * KB), Bytes(MB)), Presence::Default("\"16KB\""),
+    key("callers", "headers", ValueKind::Size(Bytes(8 * KB), Bytes(MB)), Presence::Default("\"16KB\""),
         "The largest request head."),
-    key("callers", "header-timeout", Kind::Duration(ms(10), secs(60)), Presence::Default("\"2s\""),
+    key("callers", "header-timeout", ValueKind::Duration(ms(10), secs(60)), Presence::Default("\"2s\""),
         "The longest that a request's head may take to arrive."),
-    key("callers", "body-timeout", Kind::Duration(ms(10), secs(60)), Presence::Default("\"2s\""),
+    key("callers", "body-timeout", ValueKind::Duration(ms(10), secs(60)), Presence::Default("\"2s\""),
         "The longest that a request's body may take to arrive."),
-    key("callers", "in-flight", Kind::Count(1, 1_000_000), Presence::Default("2000"),
+    key("callers", "in-flight", ValueKind::Count(1, 1_000_000), Presence::Default("2000"),
         "The most lookups in flight; more are refused at once."),
-    key("callers", "connections", Kind::Count(1, 1_000_000), Presence::Default("4096"),
+    key("callers", "connections", ValueKind::Count(1, 1_000_000), Presence::Default("4096"),
         "The most connections of callers held open."),
-    key("tuning", "policy", Kind::Choice(&["chosen", "baseline"]), Presence::Default("\"chosen\""),
+    key("tuning", "policy", ValueKind::Choice(&["chosen", "baseline"]), Presence::Default("\"chosen\""),
         "Which set of decisions runs; `baseline` is for measurements only."),
-    key("tuning", "extra-budget", Kind::Fraction(0.0, 1.0), Presence::Default("0.03"),
+    key("tuning", "extra-budget", ValueKind::Fraction(0.0, 1.0), Presence::Default("0.03"),
         "Hedges and retries together, allowed for each first attempt."),
-    key("tuning", "seed", Kind::Count(0, i64::MAX as u64), Presence::Unset,
+    key("tuning", "seed", ValueKind::Count(0, i64::MAX as u64), Presence::Unset,
         "The seed of the decisions' random numbers; drawn at start without it."),
-    key("shutdown", "lag", Kind::Duration(ms(0), secs(60)), Presence::Default("\"2s\""),
+    key("shutdown", "lag", ValueKind::Duration(ms(0), secs(60)), Presence::Default("\"2s\""),
         "How long new requests are still taken after the process says that it is not ready."),
-    key("shutdown", "deadline", Kind::Duration(ms(100), secs(600)), Presence::Default("\"30s\""),
+    key("shutdown", "deadline", ValueKind::Duration(ms(100), secs(600)), Presence::Default("\"30s\""),
         "When the process exits whatever is still in flight; longer than `lag`."),
-    key("servers", "poll", Kind::Duration(ms(50), secs(60)), Presence::Default("\"1s\""),
+    key("servers", "poll", ValueKind::Duration(ms(50), secs(60)), Presence::Default("\"1s\""),
         "The time between two looks at a backend server's health and load endpoint."),
-    key("servers", "connect-timeout", Kind::Duration(ms(1), secs(10)), Presence::Default("\"100ms\""),
+    key("servers", "connect-timeout", ValueKind::Duration(ms(1), secs(10)), Presence::Default("\"100ms\""),
         "The longest that a new connection to a backend server may take."),
-    key("claims", "window", Kind::Duration(secs(60), secs(30 * 24 * HOUR)), Presence::Default("\"24h\""),
+    key("claims", "window", ValueKind::Duration(secs(60), secs(30 * 24 * HOUR)), Presence::Default("\"24h\""),
         "How old an idempotency key may be; an older one is refused for ever."),
-    key("claims", "skew", Kind::Duration(ms(0), secs(600)), Presence::Default("\"30s\""),
+    key("claims", "skew", ValueKind::Duration(ms(0), secs(600)), Presence::Default("\"30s\""),
         "How far the clocks of callers and VMs may differ; shorter than `window`."),
-    key("bootstrap", "team", Kind::Name, Presence::Unset,
+    key("bootstrap", "team", ValueKind::Name, Presence::Unset,
         "The first admin team, made if the platform holds no configuration yet; with `key-sha256`."),
-    key("bootstrap", "key-sha256", Kind::Hash, Presence::Unset,
+    key("bootstrap", "key-sha256", ValueKind::Hash, Presence::Unset,
         "The hash of that team's key; with `team`."),
-    key("log", "level", Kind::Choice(&["off", "error", "warn", "info", "debug", "trace"]),
+    key("log", "level", ValueKind::Choice(&["off", "error", "warn", "info", "debug", "trace"]),
         Presence::Default("\"info\""),
         "How much is logged on stderr, one key=value line an event."),
-    key("record", "file", Kind::Path, Presence::Unset,
+    key("record", "file", ValueKind::Path, Presence::Unset,
         "The trace to write, `{vm}` in it being the VM's name; nothing is recorded without it."),
-    key("runtime", "workers", Kind::Count(1, 256), Presence::Default("2"),
+    key("runtime", "workers", ValueKind::Count(1, 256), Presence::Default("2"),
         "Worker threads."),
 ];
 
--- a/crates/settings/src/load.rs
+++ b/crates/settings/src/load.rs
@@ -16,7 +16,7 @@
 use crate::settings::Settings;
 
 /// The largest settings file read, in bytes; what is longer is not one.
-pub const MAX_FILE: u64 = 256 << 10;
+pub const FILE_MAX_BYTES: u64 = 256 << 10;
 
 /// Reads and checks a settings file, and the secret file that it names.
 ///
@@ -63,13 +63,13 @@
 fn read(path: &Path) -> Result<Vec<u8>, Fault> {
     let file = File::open(path).map_err(|e| cannot_read(path, &e))?;
     let mut buf = Vec::new();
-    file.take(MAX_FILE + 1)
+    file.take(FILE_MAX_BYTES + 1)
         .read_to_end(&mut buf)
         .map_err(|e| cannot_read(path, &e))?;
-    if buf.len() as u64 > MAX_FILE {
+    if buf.len() as u64 > FILE_MAX_BYTES {
         return Err(Fault::new(
             FaultKind::TooLarge,
-            format!("{} is larger than {MAX_FILE} bytes", path.display()),
+            format!("{} is larger than {FILE_MAX_BYTES} bytes", path.display()),
             "name a settings file",
         ));
     }
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -13,7 +13,7 @@
 use crate::faults::FaultKind;
 use crate::fraction::Fraction;
 use crate::keys::Key;
-use crate::keys::Kind;
+use crate::keys::ValueKind;
 
 /// Why a value is refused; its place and its key are added by the reader.
 pub(crate) struct Problem {
@@ -44,7 +44,7 @@
         let f = Fault::new(self.kind, format!("`{key}` {}", self.text), hint);
         let f = f.at(place, "this value");
         match key.kind {
-            Kind::Hash => f.hide(),
+            ValueKind::Hash => f.hide(),
             _ => f,
         }
     }
@@ -114,7 +114,7 @@
     let s = text(v, key)?;
     let d = humantime::parse_duration(&s).map_err(|e| bad_value(format!("{e} in `{s:.64}`")))?;
     match key.kind {
-        Kind::Duration(min, max) if d < min || d > max => {
+        ValueKind::Duration(min, max) if d < min || d > max => {
             Err(out_of_range(humantime::format_duration(d)))
         }
         _ => Ok(d),
@@ -129,7 +129,7 @@
         _ => return Err(wrong_type(v)),
     };
     match key.kind {
-        Kind::Size(min, max) if b < min || b > max => Err(out_of_range(b)),
+        ValueKind::Size(min, max) if b < min || b > max => Err(out_of_range(b)),
         _ => Ok(b),
     }
 }
@@ -138,7 +138,7 @@
 pub(crate) fn count(v: &DeValue<'_>, key: &Key) -> Result<u64, Problem> {
     let n = integer(v)?;
     match key.kind {
-        Kind::Count(min, max) if n < min || n > max => Err(out_of_range(n)),
+        ValueKind::Count(min, max) if n < min || n > max => Err(out_of_range(n)),
         _ => Ok(n),
     }
 }
@@ -160,7 +160,7 @@
 pub(crate) fn rate(v: &DeValue<'_>, key: &Key) -> Result<PerSecond, Problem> {
     let n = number(v)?;
     match key.kind {
-        Kind::Rate(min, max) if !(min..=max).contains(&n) => Err(out_of_range(n)),
+        ValueKind::Rate(min, max) if !(min..=max).contains(&n) => Err(out_of_range(n)),
         _ => Ok(PerSecond(n)),
     }
 }
@@ -169,7 +169,7 @@
 pub(crate) fn fraction(v: &DeValue<'_>, key: &Key) -> Result<Fraction, Problem> {
     let n = number(v)?;
     match key.kind {
-        Kind::Fraction(min, max) if !(min..=max).contains(&n) => Err(out_of_range(n)),
+        ValueKind::Fraction(min, max) if !(min..=max).contains(&n) => Err(out_of_range(n)),
         _ => Fraction::new(n).map_err(|_| out_of_range(n)),
     }
 }
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -11,20 +11,21 @@
 use crate::error::ErrorKind;
 
 /// Longest name accepted, in bytes.
-pub const NAME_MAX: usize = 64;
+pub const NAME_MAX_BYTES: usize = 64;
 
-/// Checks that `s` is 1 to [`NAME_MAX`] bytes of `a-z`, `0-9`, `-`, `_` or `.`.
+/// Checks that `s` is 1 to [`NAME_MAX_BYTES`] bytes of `a-z`, `0-9`, `-`, `_` or `.`.
 fn check_name(what: &'static str, s: &str) -> Result<(), Error> {
     let ok = !s.is_empty()
-        && s.len() <= NAME_MAX
+        && s.len() <= NAME_MAX_BYTES
         && s.bytes()
             .all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b"-_.".contains(&b));
     if ok {
         return Ok(());
     }
     Err(
-        Error::new(ErrorKind::BadInput, format!("`{s:.80}` is not a {what}"))
-            .with_hint(format!("use 1 to {NAME_MAX} of a-z, 0-9, `-`, `_` and `.`")),
+        Error::new(ErrorKind::BadInput, format!("`{s:.80}` is not a {what}")).with_hint(format!(
+            "use 1 to {NAME_MAX_BYTES} of a-z, 0-9, `-`, `_` and `.`"
+        )),
     )
 }
 
--- a/crates/types/src/pace.rs
+++ b/crates/types/src/log_rate_limit.rs
@@ -10,22 +10,22 @@
 /// ```
 /// use std::time::Instant;
 ///
-/// use gs_types::pace::Pace;
+/// use gs_types::log_rate_limit::LogRateLimit;
 ///
 /// let now = Instant::now();
-/// let mut pace = Pace::new(1);
-/// assert_eq!(pace.take(now), Some(0));
-/// assert_eq!(pace.take(now), None);
+/// let mut limit = LogRateLimit::new(1);
+/// assert_eq!(limit.try_acquire(now), Some(0));
+/// assert_eq!(limit.try_acquire(now), None);
 /// ```
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct LogRateLimit {
     per_second: u32,
     second: Option<Instant>,
     taken: u32,
     left_out: u64,
 }
 
-impl Pace {
+impl LogRateLimit {
     /// Lets so many through in a second.
     #[must_use]
     pub fn new(per_second: u32) -> Self {
@@ -38,7 +38,7 @@
     }
 
     /// Lets one through and gives how many were left out since the last; `None` if it is one too many.
-    pub fn take(&mut self, now: Instant) -> Option<u64> {
+    pub fn try_acquire(&mut self, now: Instant) -> Option<u64> {
         let since = |at: Instant| now.saturating_duration_since(at);
         if self
             .second
--- a/src/failure.rs
+++ b/src/failure.rs
@@ -77,7 +77,7 @@
     serde_json::json!({
         "kind": f.kind().to_string(),
         "error": f.to_string(),
-        "place": f.place().map(|p| [p.start, p.end]),
+        "place": f.span().map(|p| [p.start, p.end]),
         "hint": f.hint(),
     })
 }
