--- a/crates/edge/src/announcer.rs
+++ b/crates/edge/src/announcer.rs
@@ -7,7 +7,7 @@
 use gs_follow::PollSchedule;
 use gs_relay::Event;
 use gs_relay::Leases;
-use gs_relay::Listed;
+use gs_relay::ListedAnnouncement;
 use gs_relay::PeerVm;
 use gs_relay::renewal_interval;
 use gs_store::Backoff;
@@ -145,7 +145,7 @@
 
     /// Publishes the VMs that are live, and removes expired announcements.
     async fn apply_list(&self, state: &mut AnnouncementState, listed: Vec<VmAnnouncement>) {
-        let names: Vec<Listed> = listed.iter().map(as_listed).collect();
+        let names: Vec<ListedAnnouncement> = listed.iter().map(as_listed).collect();
         let now = Instant::now().into_std();
         let check = state.leases.check(now, &self.me.name, &names);
         let live = listed.into_iter().map(|a| a.vm);
@@ -186,7 +186,7 @@
     }
 
     /// Removes the expired announcement of a VM.
-    async fn remove_expired(&self, l: &Listed) {
+    async fn remove_expired(&self, l: &ListedAnnouncement) {
         let removed = self.directory.remove_vm(&l.vm, Revision(l.revision)).await;
         match removed {
             Ok(()) => log::info!(
@@ -224,8 +224,8 @@
     }
 }
 
-fn as_listed(a: &VmAnnouncement) -> Listed {
-    Listed {
+fn as_listed(a: &VmAnnouncement) -> ListedAnnouncement {
+    ListedAnnouncement {
         vm: a.vm.name.clone(),
         revision: a.at.0,
     }
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -18,7 +18,7 @@
 use gs_relay::CallerRequest;
 use gs_relay::DelegatedParts;
 use gs_relay::Dispatch;
-use gs_relay::Missing;
+use gs_relay::MissingPart;
 use gs_relay::OpaqueRequest;
 use gs_relay::Outcome;
 use gs_relay::Page;
@@ -154,7 +154,7 @@
 }
 
 /// Formats a missing shard for [`MISSING_SHARDS`].
-fn format_missing(missing: &Missing) -> String {
+fn format_missing(missing: &MissingPart) -> String {
     let names = missing
         .possible_servers
         .servers()
@@ -169,11 +169,11 @@
 }
 
 /// Parses the shards missing from a page; returns `None` if one is malformed.
-fn parse_missing(text: &str) -> Option<SmallVec<[Missing; 4]>> {
+fn parse_missing(text: &str) -> Option<SmallVec<[MissingPart; 4]>> {
     let each = text.split(';').filter(|m| !m.is_empty());
     each.map(|m| {
         let (shard, servers) = m.split_once('=')?;
-        Some(Missing {
+        Some(MissingPart {
             shard: shard.parse().ok()?,
             possible_servers: parse_possible_servers(servers)?,
         })
--- a/crates/edge/src/settings.rs
+++ b/crates/edge/src/settings.rs
@@ -5,8 +5,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use gs_relay::ANSWER_MARGIN;
-use gs_relay::ANSWER_WORK;
+use gs_relay::ANSWER_CPU_TIME;
+use gs_relay::ANSWER_NETWORK_MARGIN;
 use gs_relay::Capacity;
 use gs_relay::PeerVm;
 use gs_relay::RelayOptions;
@@ -192,7 +192,7 @@
 impl Default for Answers {
     fn default() -> Self {
         Self {
-            margin: ANSWER_MARGIN,
+            margin: ANSWER_NETWORK_MARGIN,
         }
     }
 }
@@ -328,7 +328,7 @@
     /// work on it here.
     fn answer_margin(&self) -> Duration {
         let cores = self.vm.capacity.cores.clamp(CORES_MIN, 1.0);
-        self.answers.margin + ANSWER_WORK.div_f64(cores)
+        self.answers.margin + ANSWER_CPU_TIME.div_f64(cores)
     }
 
     /// Returns the options of the relay.
--- a/crates/relay/src/active_request.rs
+++ b/crates/relay/src/active_request.rs
@@ -16,7 +16,7 @@
 use crate::possible_servers::PossibleServers;
 use crate::reply::ServerAnswer;
 use crate::request::CallerRequest;
-use crate::route::Repeat;
+use crate::route::RepeatPolicy;
 use crate::route::Route;
 
 /// State of one part of a request.
@@ -79,7 +79,7 @@
     pub(crate) seq: LookupSeq,
     pub(crate) req: CallerRequest,
     pub(crate) route: Arc<Route>,
-    pub(crate) arrived: Instant,
+    pub(crate) arrived_at: Instant,
     /// When an answer must be sent to meet the objective.
     pub(crate) objective_at: Instant,
     /// When the final response must be sent at the latest.
@@ -114,7 +114,7 @@
 
 impl ActiveRequest {
     pub(crate) fn is_once(&self) -> bool {
-        self.route.repeat == Repeat::Once
+        self.route.repeat == RepeatPolicy::Once
     }
 
     /// Returns all attempts in flight, at servers and at peers.
--- a/crates/relay/src/admission.rs
+++ b/crates/relay/src/admission.rs
@@ -30,12 +30,12 @@
 
 /// Ratio of the time of the last part that is needed to the expected time of a part: execution
 /// times vary by a third, and nearly all of many parts are needed.
-const LAST_PART_FACTOR: f64 = 1.2;
+const LAST_PART_TIME_RATIO: f64 = 1.2;
 
 /// Fraction of the time to the objective that a request may be expected to take, raised to the
 /// power of its priority value: if only some requests can be on time, those of higher priority are
 /// admitted.
-const PRIORITY_FRACTION: f64 = 0.9;
+const OBJECTIVE_FRACTION_PER_PRIORITY: f64 = 0.9;
 
 /// Largest priority value that is distinguished; greater values count as this one.
 const PRIORITY_MAX: u8 = 4;
@@ -120,8 +120,8 @@
         };
         let time_to_objective = request.objective_at.saturating_duration_since(now);
         let priority = u32::from(request.route.priority.min(PRIORITY_MAX));
-        if expected.mul_f64(LAST_PART_FACTOR)
-            <= time_to_objective.mul_f64(PRIORITY_FRACTION.powi(priority as i32))
+        if expected.mul_f64(LAST_PART_TIME_RATIO)
+            <= time_to_objective.mul_f64(OBJECTIVE_FRACTION_PER_PRIORITY.powi(priority as i32))
         {
             return Ok(());
         }
@@ -174,7 +174,9 @@
         for part in self.create_parts(&route, request.shards_wanted.as_deref()) {
             match self.placement_context(now, request).choose_server(&part) {
                 Placement::Now(..) | Placement::Wait => reachable += 1,
-                Placement::Unavailable(available_at) => retry_at = earliest(retry_at, available_at),
+                Placement::Unavailable(available_at) => {
+                    retry_at = earliest_known(retry_at, available_at)
+                }
             }
         }
         (reachable < request.parts_min).then_some(retry_at)
@@ -185,7 +187,7 @@
     }
 }
 
-fn earliest(a: Option<Instant>, b: Option<Instant>) -> Option<Instant> {
+fn earliest_known(a: Option<Instant>, b: Option<Instant>) -> Option<Instant> {
     match (a, b) {
         (Some(a), Some(b)) => Some(a.min(b)),
         (a, b) => a.or(b),
--- a/crates/relay/src/arrival.rs
+++ b/crates/relay/src/arrival.rs
@@ -132,7 +132,7 @@
             parts_wanted: route.parts_min(),
             bundles: SmallVec::new(),
             parts: Vec::new(),
-            arrived: now,
+            arrived_at: now,
             objective_at: (now + on_time).min(answer_by),
             answer_by,
             caller_timeout,
--- a/crates/relay/src/attempt_end.rs
+++ b/crates/relay/src/attempt_end.rs
@@ -26,11 +26,11 @@
         end: AttemptEnd,
         out: &mut Vec<Action>,
     ) {
-        if let Some((server, begun, route)) = self.core.orphaned_attempts.remove(&id) {
+        if let Some((server, dispatched_at, route)) = self.core.orphaned_attempts.remove(&id) {
             // Its request has ended, and with it the record of the queue ahead of the attempt: the
             // time that it would have taken on an idle server is not known.
             self.core
-                .update_server_health(now, server, id, (begun, 0.0), &route, &end);
+                .update_server_health(now, server, id, (dispatched_at, 0.0), &route, &end);
             return;
         }
         self.with_request(id.lookup, |core, request| {
@@ -71,13 +71,13 @@
         };
         let rounds_ahead = attempt.rounds_ahead;
         attempt.ended = Some((now, (&end).into()));
-        let (server, begun, cause) = (attempt.server, attempt.dispatched_at, attempt.cause);
+        let (server, dispatched_at, cause) = (attempt.server, attempt.dispatched_at, attempt.cause);
         let route = request.route.name.clone();
-        self.update_server_health(now, server, id, (begun, rounds_ahead), &route, &end);
+        self.update_server_health(now, server, id, (dispatched_at, rounds_ahead), &route, &end);
         self.update_suspicion(now, request, index, server, &end);
         if matches!(end, AttemptEnd::NotSent) && cause != Cause::First {
             let service = request.parts[index].service.clone();
-            self.service_state(&service).extra_budget.give_back();
+            self.service_state(&service).extra_budget.return_last();
         }
         if !request.parts[index].is_unfinished() {
             return;
@@ -151,10 +151,11 @@
             return;
         }
         let fingerprint = request.req.fingerprint();
-        if self
-            .suspects
-            .quarantine_if_proved(now, fingerprint, request.executed_without_crash)
-        {
+        if self.suspects.quarantine_if_enough_crashes(
+            now,
+            fingerprint,
+            request.executed_without_crash,
+        ) {
             log::warn!(
                 "event=quarantine request={fingerprint} id={}",
                 request.req.id
@@ -207,11 +208,11 @@
         now: Instant,
         server: ServerKey,
         id: AttemptKey,
-        (begun, rounds_ahead): (Instant, f64),
+        (dispatched_at, rounds_ahead): (Instant, f64),
         route: &LookupName,
         end: &AttemptEnd,
     ) {
-        let took = now.saturating_duration_since(begun);
+        let took = now.saturating_duration_since(dispatched_at);
         let Some(view) = self.servers.get_mut(server) else {
             return;
         };
@@ -219,13 +220,14 @@
         self.services_to_dispatch.push(view.entry.service.clone());
         match end {
             AttemptEnd::Answered(answer, load) => {
-                let is_near = view.entry.data_centre == self.options.data_centre;
+                let is_same_data_centre = view.entry.data_centre == self.options.data_centre;
                 self.round_trips.observe(&view.entry.data_centre, took);
                 let round_trip = self.round_trips.round_trip(&view.entry.data_centre);
                 let times = self.route_times.get_mut(route);
-                let ratio =
-                    times.map_or(1.0, |t| t.observe(is_near, took, round_trip, rounds_ahead));
-                view.on_answered(now, begun, ratio, *load, answer.is_good());
+                let ratio = times.map_or(1.0, |t| {
+                    t.observe(is_same_data_centre, took, round_trip, rounds_ahead)
+                });
+                view.on_answered(now, dispatched_at, ratio, *load, answer.is_good());
             }
             AttemptEnd::Shed(load) => {
                 self.counters.sheds += 1;
@@ -238,7 +240,7 @@
             AttemptEnd::NotSent => view.on_unreachable(now),
             AttemptEnd::Late(_) => {
                 self.counters.broken += 1;
-                if view.is_silent_since(begun) {
+                if view.is_silent_since(dispatched_at) {
                     view.on_unreachable(now);
                 } else {
                     view.on_broken(now);
@@ -249,10 +251,10 @@
                 view.on_broken(now);
             }
             AttemptEnd::Paged(..) | AttemptEnd::Overloaded(_) => {
-                view.on_answered(now, begun, 1.0, None, true);
+                view.on_answered(now, dispatched_at, 1.0, None, true);
             }
             AttemptEnd::Cancelled => {}
         }
-        self.servers.drop_if_unused(server);
+        self.servers.remove_view_if_unused(server);
     }
 }
--- a/crates/relay/src/attempt_log.rs
+++ b/crates/relay/src/attempt_log.rs
@@ -44,7 +44,7 @@
         if let Some(service) = service.or_else(|| first.map(|p| p.service.clone())) {
             let shard = first.map_or(0, |p| p.shard);
             records.push(attempt_record(
-                request.arrived,
+                request.arrived_at,
                 shard,
                 service,
                 &b.attempt,
@@ -59,7 +59,7 @@
         }
         for a in &part.attempts {
             records.push(attempt_record(
-                request.arrived,
+                request.arrived_at,
                 part.shard,
                 part.service.clone(),
                 a,
@@ -72,7 +72,7 @@
 }
 
 fn attempt_record(
-    arrived: Instant,
+    arrived_at: Instant,
     shard: u16,
     service: ServiceName,
     a: &Attempt,
@@ -83,7 +83,7 @@
         service,
         server: servers.get(a.server).map(|v| v.entry.name.clone()),
         cause: a.cause,
-        at: a.dispatched_at.saturating_duration_since(arrived),
+        at: a.dispatched_at.saturating_duration_since(arrived_at),
         took: a
             .ended
             .map(|(at, _)| at.saturating_duration_since(a.dispatched_at)),
--- a/crates/relay/src/budget.rs
+++ b/crates/relay/src/budget.rs
@@ -18,9 +18,9 @@
 /// Counts of one bucket.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    at: Instant,
+    started_at: Instant,
     requests: u32,
-    extra: u32,
+    extra_attempts: u32,
 }
 
 /// Requests and extra attempts of one service in a sliding window.
@@ -31,7 +31,7 @@
     slack: f64,
     buckets: VecDeque<Bucket>,
     requests: u32,
-    extra: u32,
+    extra_attempts: u32,
 }
 
 impl ExtraAttemptBudget {
@@ -44,7 +44,7 @@
             slack,
             buckets: VecDeque::new(),
             requests: 0,
-            extra: 0,
+            extra_attempts: 0,
         }
     }
 
@@ -60,58 +60,61 @@
     }
 
     /// Takes one extra attempt from the budget; returns `false` if the budget is used up.
-    pub fn take(&mut self, now: Instant, is_hedge: bool) -> bool {
+    pub fn try_take(&mut self, now: Instant, is_hedge: bool) -> bool {
         self.bucket(now);
-        let allowed = self.allowed();
+        let allowed = self.extra_max();
         let allowed = if is_hedge {
             allowed * (1.0 - RETRY_RESERVE_FRACTION)
         } else {
             allowed
         };
-        if f64::from(self.extra) + 1.0 > allowed {
+        if f64::from(self.extra_attempts) + 1.0 > allowed {
             return false;
         }
-        self.extra += 1;
-        self.bucket(now).extra += 1;
+        self.extra_attempts += 1;
+        self.bucket(now).extra_attempts += 1;
         true
     }
 
     /// Gives back the extra attempt taken last, which was never sent.
-    pub fn give_back(&mut self) {
+    pub fn return_last(&mut self) {
         if let Some(b) = self.buckets.back_mut()
-            && b.extra > 0
+            && b.extra_attempts > 0
         {
-            b.extra -= 1;
-            self.extra -= 1;
+            b.extra_attempts -= 1;
+            self.extra_attempts -= 1;
         }
     }
 
     /// Returns the used fraction of the budget, from 0 upwards.
     #[must_use]
     pub fn used_fraction(&self) -> f64 {
-        f64::from(self.extra) / self.allowed().max(1.0)
+        f64::from(self.extra_attempts) / self.extra_max().max(1.0)
     }
 
-    fn allowed(&self) -> f64 {
+    fn extra_max(&self) -> f64 {
         f64::from(self.requests) * self.ratio + self.slack
     }
 
     /// Returns the current bucket, after dropping those that have left the window.
     fn bucket(&mut self, now: Instant) -> &mut Bucket {
         while let Some(b) = self.buckets.front()
-            && b.at + self.window + self.window / BUCKETS_PER_WINDOW <= now
+            && b.started_at + self.window + self.window / BUCKETS_PER_WINDOW <= now
         {
             self.requests -= b.requests;
-            self.extra -= b.extra;
+            self.extra_attempts -= b.extra_attempts;
             self.buckets.pop_front();
         }
         let span = self.window / BUCKETS_PER_WINDOW;
-        let is_current = self.buckets.back().is_some_and(|b| now < b.at + span);
+        let is_current = self
+            .buckets
+            .back()
+            .is_some_and(|b| now < b.started_at + span);
         if !is_current {
             self.buckets.push_back(Bucket {
-                at: now,
+                started_at: now,
                 requests: 0,
-                extra: 0,
+                extra_attempts: 0,
             });
         }
         let last = self.buckets.len() - 1;
--- a/crates/relay/src/bundle.rs
+++ b/crates/relay/src/bundle.rs
@@ -15,7 +15,7 @@
 use crate::attempt::AttemptKey;
 use crate::attempt::AttemptState;
 use crate::attempt::Cause;
-use crate::outcome::Missing;
+use crate::outcome::MissingPart;
 use crate::outcome::Page;
 use crate::possible_servers::PossibleServers;
 use crate::relay::Core;
@@ -55,7 +55,7 @@
         let route = Arc::clone(&request.route);
         self.route_times(&route);
         request.parts = self.create_parts(&route, request.shards_wanted.as_deref());
-        for (peer, parts) in self.bundles_for(now, request) {
+        for (peer, parts) in self.choose_bundles(now, request) {
             self.send_bundle(now, request, peer, parts, out);
         }
         for index in 0..request.parts.len() {
@@ -118,7 +118,9 @@
             server: Arc::clone(&view.entry),
             id: Arc::clone(&request.req.id),
             content: Arc::clone(&request.req.content),
-            time_left: request.caller_timeout.saturating_sub(now - request.arrived),
+            time_left: request
+                .caller_timeout
+                .saturating_sub(now - request.arrived_at),
             attempt_timeout,
             once: false,
             keep_connection: true,
@@ -178,15 +180,15 @@
             _ => AttemptState::MayHaveRun,
         };
         bundle.attempt.ended = Some((now, (&end).into()));
-        let (server, begun) = (bundle.attempt.server, bundle.attempt.dispatched_at);
+        let (server, dispatched_at) = (bundle.attempt.server, bundle.attempt.dispatched_at);
         let parts = bundle.parts.clone();
         let route = request.route.name.clone();
         if let AttemptEnd::Paged(_, Some(held)) = end {
-            self.note_delegation_time(server, now - begun, held);
+            self.note_delegation_time(server, now - dispatched_at, held);
         }
-        self.update_server_health(now, server, id, (begun, 0.0), &route, &end);
+        self.update_server_health(now, server, id, (dispatched_at, 0.0), &route, &end);
         match end {
-            AttemptEnd::Paged(page, _) if is_consistent(request, &parts, &page) => {
+            AttemptEnd::Paged(page, _) if is_page_consistent(request, &parts, &page) => {
                 self.apply_page(now, request, usize::from(id.attempt), page, out);
             }
             AttemptEnd::Overloaded(retry) => {
@@ -259,8 +261,8 @@
 }
 
 /// Returns whether a page accounts for each requested part and for no other.
-fn is_consistent(request: &ActiveRequest, parts: &[usize], page: &Page) -> bool {
-    let is_ours = |m: &Missing| {
+fn is_page_consistent(request: &ActiveRequest, parts: &[usize], page: &Page) -> bool {
+    let is_ours = |m: &MissingPart| {
         parts
             .iter()
             .any(|index| request.parts[*index].shard == m.shard)
--- a/crates/relay/src/coalesce_delay.rs
+++ b/crates/relay/src/coalesce_delay.rs
@@ -26,7 +26,7 @@
 const FLEET_START_DURATION: Duration = Duration::from_secs(8);
 
 /// Changes that arrive after a wait of at least this length begin a new series.
-const SERIES_GAP: Duration = Duration::from_secs(2);
+const SERIES_GAP_MIN: Duration = Duration::from_secs(2);
 
 /// Delay between polls that return changes; it doubles while a series of changes continues.
 #[derive(Clone, Copy, Debug)]
@@ -79,7 +79,7 @@
                 self.delay_max,
             )
         };
-        self.delay = if waited >= SERIES_GAP {
+        self.delay = if waited >= SERIES_GAP_MIN {
             initial
         } else {
             (self.delay * 2).clamp(initial, delay_max)
--- a/crates/relay/src/completion.rs
+++ b/crates/relay/src/completion.rs
@@ -13,7 +13,7 @@
 
 /// Progress of a request's parts.
 #[derive(Clone, Copy, Debug)]
-pub struct Progress {
+pub struct RequestProgress {
     /// Number of parts requested.
     pub parts: usize,
     /// Number of parts with an answer.
@@ -48,7 +48,7 @@
 /// caller still has time to retry. Fewer parts than wanted are of little use to a delegating VM,
 /// but better than none, so it receives those that have arrived.
 #[must_use]
-pub fn decide_completion(now: Instant, p: &Progress) -> CompletionDecision {
+pub fn decide_completion(now: Instant, p: &RequestProgress) -> CompletionDecision {
     let unfinished = p.parts - p.complete - p.abandoned;
     let can_come = p.complete + unfinished;
     if can_come < p.parts_min {
--- a/crates/relay/src/connection_shares.rs
+++ b/crates/relay/src/connection_shares.rs
@@ -16,12 +16,12 @@
 use crate::peer_vms::PeerVm;
 use crate::peer_vms::PeerVms;
 use crate::relay::Core;
-use crate::subset::is_scarce;
+use crate::subset::has_too_few_connections;
 use crate::subset::server_subset;
 use crate::table::ServiceDecl;
 
 /// Connections to a server whose service no route names.
-const UNDECLARED_CONNECTIONS_MAX: Connections = Connections(1);
+const UNDECLARED_SERVICE_CONNECTIONS_MAX: Connections = Connections(1);
 
 /// Connections opened in advance to each server in this VM's data centre, if its share allows.
 const LOCAL_CONNECTIONS_MIN: u32 = 2;
@@ -33,12 +33,12 @@
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionShares {
     /// Services that are shards of a fan-out.
-    shards: HashSet<ServiceName>,
+    shard_services: HashSet<ServiceName>,
     /// All services that a route names.
-    routed: HashSet<ServiceName>,
+    routed_services: HashSet<ServiceName>,
     /// Whether the VMs are known. Until then a VM keeps to one connection per server, because a
     /// fleet that starts together would otherwise open more connections than the servers accept.
-    knows_vms: bool,
+    are_vms_known: bool,
     /// Whether this VM runs fan-outs.
     runs_fan_outs: bool,
     /// The names of the VMs that run fan-outs.
@@ -52,7 +52,7 @@
     subsets: HashMap<ServiceName, HashSet<ServerName>>,
     /// Services, other than shards, whose servers together accept fewer connections than there are
     /// VMs.
-    scarce: HashSet<ServiceName>,
+    scarce_services: HashSet<ServiceName>,
 }
 
 /// A number of VMs.
@@ -75,7 +75,7 @@
         Self {
             // There are far fewer than 2^32 VMs.
             listed: (listed as u32).max(1),
-            vms_max: PeerVms::vms_max(listed).max(1),
+            vms_max: PeerVms::possible_vms_max(listed).max(1),
         }
     }
 
@@ -85,7 +85,7 @@
     /// is reserved for it. With a full share reserved for each, a third of the connections that
     /// servers accept stayed unused, and no second attempt was made when the few connections to the
     /// other replica were busy.
-    fn share_of(self, connections: f64) -> f64 {
+    fn connections_per_vm(self, connections: f64) -> f64 {
         let unlisted = self.vms_max - self.listed;
         (connections - f64::from(unlisted)) / f64::from(self.listed)
     }
@@ -93,42 +93,45 @@
 
 impl ConnectionShares {
     pub(crate) fn new(core: &Core) -> Self {
-        let (mut routed, mut shards) = (HashSet::new(), HashSet::new());
+        let (mut routed_services, mut shard_services) = (HashSet::new(), HashSet::new());
         for route in core.table.iter().flat_map(|t| t.routes()) {
-            routed.extend(route.services().cloned());
+            routed_services.extend(route.services().cloned());
             if route.is_scatter() {
-                shards.extend(route.services().cloned());
+                shard_services.extend(route.services().cloned());
             }
         }
         if core.peer_vms.is_empty() {
             return Self {
-                shards,
-                routed,
-                knows_vms: false,
+                shard_services,
+                routed_services,
+                are_vms_known: false,
                 runs_fan_outs: true,
                 fan_out_vm_names: HashSet::new(),
                 fan_out_vms: VmCount::of(core.options.vms_assumed as usize),
                 all_vms: VmCount::of(core.options.vms_assumed as usize),
                 subsets: HashMap::new(),
-                scarce: HashSet::new(),
+                scarce_services: HashSet::new(),
             };
         }
-        let declared = core.table.iter().flat_map(|t| t.services_of(&shards));
+        let declared = core
+            .table
+            .iter()
+            .flat_map(|t| t.declared_services(&shard_services));
         let connections = declared.map(|s| s.connections).min();
         let fan_out_vms = choose_fan_out_vms(&core.peer_vms, connections);
         let fan_out_vm_names: HashSet<VmId> =
             fan_out_vms.iter().map(|vm| vm.name.clone()).collect();
-        let (subsets, scarce) = subsets(core, routed.difference(&shards));
+        let (subsets, scarce_services) = subsets(core, routed_services.difference(&shard_services));
         Self {
-            shards,
-            routed,
-            knows_vms: true,
+            shard_services,
+            routed_services,
+            are_vms_known: true,
             runs_fan_outs: fan_out_vm_names.contains(&core.options.vm),
             fan_out_vm_names,
             fan_out_vms: VmCount::of(fan_out_vms.len()),
             all_vms: VmCount::of(core.peer_vms.vms().len()),
             subsets,
-            scarce,
+            scarce_services,
         }
     }
 
@@ -139,7 +142,7 @@
 
     /// Returns whether the given VM runs fan-outs.
     pub(crate) fn is_fan_out_vm(&self, vm: &PeerVm) -> bool {
-        !self.knows_vms || self.fan_out_vm_names.contains(&vm.name)
+        !self.are_vms_known || self.fan_out_vm_names.contains(&vm.name)
     }
 
     /// Returns the number of VMs that send to the servers of a route.
@@ -166,14 +169,15 @@
         service: &ServiceName,
     ) -> Connections {
         let Some(limit) = decl.map(|s| f64::from(s.connections.0)) else {
-            return UNDECLARED_CONNECTIONS_MAX;
+            return UNDECLARED_SERVICE_CONNECTIONS_MAX;
         };
-        let share = if !self.knows_vms {
+        let share = if !self.are_vms_known {
             1.0
-        } else if !self.shards.contains(service) {
-            self.all_vms.share_of(limit)
+        } else if !self.shard_services.contains(service) {
+            self.all_vms.connections_per_vm(limit)
         } else if self.runs_fan_outs {
-            self.fan_out_vms.share_of(limit * self.fan_out_fraction())
+            self.fan_out_vms
+                .connections_per_vm(limit * self.fan_out_fraction())
         } else {
             1.0
         };
@@ -190,11 +194,11 @@
         decl: Option<&ServiceDecl>,
         service: &ServiceName,
     ) -> bool {
-        if !self.knows_vms {
+        if !self.are_vms_known {
             return true;
         }
-        if !self.shards.contains(service) {
-            return !self.scarce.contains(service);
+        if !self.shard_services.contains(service) {
+            return !self.scarce_services.contains(service);
         }
         // The servers of a shard reserve few connections for the VMs that run no fan-outs.
         let left = decl.map_or(0.0, |s| {
@@ -208,7 +212,7 @@
     /// to the ratio.
     pub(crate) fn slack_share(&self, service: &ServiceName) -> f64 {
         let all_vms = f64::from(self.all_vms.vms_max.max(1));
-        if !self.shards.contains(service) {
+        if !self.shard_services.contains(service) {
             return 1.0 / all_vms;
         }
         if self.runs_fan_outs {
@@ -231,11 +235,16 @@
     /// The servers of a repartitioned index register before routes name them. Connections from all
     /// VMs would then exceed what the servers accept, and each connection occupies a slot for a
     /// moment; connections from the VMs that will run fan-outs are enough.
-    pub(crate) fn connections_min(&self, service: &ServiceName, is_near: bool) -> Connections {
-        let is_for_fan_outs = self.shards.contains(service) || !self.routed.contains(service);
-        let needs_none = !self.knows_vms || (is_for_fan_outs && !self.runs_fan_outs);
-        Connections(match is_near {
-            _ if needs_none || self.scarce.contains(service) => 0,
+    pub(crate) fn connections_min(
+        &self,
+        service: &ServiceName,
+        is_same_data_centre: bool,
+    ) -> Connections {
+        let is_for_fan_outs =
+            self.shard_services.contains(service) || !self.routed_services.contains(service);
+        let needs_none = !self.are_vms_known || (is_for_fan_outs && !self.runs_fan_outs);
+        Connections(match is_same_data_centre {
+            _ if needs_none || self.scarce_services.contains(service) => 0,
             true => LOCAL_CONNECTIONS_MIN,
             false => REMOTE_CONNECTIONS_MIN,
         })
@@ -251,24 +260,24 @@
     HashMap<ServiceName, HashSet<ServerName>>,
     HashSet<ServiceName>,
 ) {
-    let (mut subsets, mut scarce) = (HashMap::new(), HashSet::new());
+    let (mut subsets, mut scarce_services) = (HashMap::new(), HashSet::new());
     for service in services {
         let Some(decl) = core.table.as_ref().and_then(|t| t.service(service)) else {
             continue;
         };
-        let views = core.servers.of(service).iter();
+        let views = core.servers.of_service(service).iter();
         let views = views.filter_map(|key| core.servers.get(*key));
         let accepting: Vec<&ServerEntry> = views
             .filter(|v| v.accepts_work())
             .map(|v| &*v.entry)
             .collect();
         let vms = core.peer_vms.vms();
-        if is_scarce(vms.len(), accepting.len(), decl.connections) {
-            scarce.insert(service.clone());
+        if has_too_few_connections(vms.len(), accepting.len(), decl.connections) {
+            scarce_services.insert(service.clone());
         }
         if let Some(names) = server_subset(&core.options.vm, vms, &accepting, decl.connections) {
             subsets.insert(service.clone(), names);
         }
     }
-    (subsets, scarce)
+    (subsets, scarce_services)
 }
--- a/crates/relay/src/crash_suspects.rs
+++ b/crates/relay/src/crash_suspects.rs
@@ -38,23 +38,23 @@
 struct Suspect {
     crashes: u32,
     servers: SmallVec<[ServerKey; 4]>,
-    last: Instant,
+    last_crash_at: Instant,
 }
 
 /// Requests that broke connections, and those in quarantine.
 #[derive(Debug, Default)]
 pub(crate) struct CrashSuspects {
     suspects: HashMap<Fingerprint, Suspect>,
-    shards: ShardCrashes,
+    shard_crashes: ShardCrashes,
     quarantined: HashMap<Fingerprint, Instant>,
-    swept_at: Option<Instant>,
+    last_sweep_at: Option<Instant>,
 }
 
 impl CrashSuspects {
     /// Returns whether there is no evidence against any request, so that fingerprints need not be
     /// computed.
     pub(crate) fn is_empty(&self) -> bool {
-        self.suspects.is_empty() && self.shards.is_empty() && self.quarantined.is_empty()
+        self.suspects.is_empty() && self.shard_crashes.is_empty() && self.quarantined.is_empty()
     }
 
     /// Returns how long a request is still in quarantine; `None` if it is not.
@@ -63,7 +63,7 @@
         now: Instant,
         request: Fingerprint,
     ) -> Option<Duration> {
-        self.sweep(now);
+        self.remove_old_evidence(now);
         self.quarantined.retain(|_, until| *until > now);
         let until = self.quarantined.get(&request)?;
         Some(until.saturating_duration_since(now))
@@ -78,28 +78,28 @@
         service: &ServiceName,
         server: (ServerKey, Option<Incarnation>),
     ) {
-        self.sweep(now);
-        self.count(now, request, server.0);
-        self.shards.note_crash(now, request, service, server);
+        self.remove_old_evidence(now);
+        self.count_crash(now, request, server.0);
+        self.shard_crashes.note_crash(now, request, service, server);
     }
 
     /// Counts a crash against a request.
-    fn count(&mut self, now: Instant, request: Fingerprint, server: ServerKey) {
+    fn count_crash(&mut self, now: Instant, request: Fingerprint, server: ServerKey) {
         if self.suspects.len() >= SUSPECTS_MAX && !self.suspects.contains_key(&request) {
             return;
         }
         let fresh = Suspect {
             crashes: 0,
             servers: SmallVec::new(),
-            last: now,
+            last_crash_at: now,
         };
         let s = self.suspects.entry(request).or_insert(fresh);
-        if now.saturating_duration_since(s.last) >= CRASH_RETENTION {
+        if now.saturating_duration_since(s.last_crash_at) >= CRASH_RETENTION {
             s.crashes = 0;
             s.servers.clear();
         }
         s.crashes += 1;
-        s.last = now;
+        s.last_crash_at = now;
         if !s.servers.contains(&server) {
             s.servers.push(server);
         }
@@ -107,43 +107,43 @@
 
     /// Removes old evidence at intervals: while there is any, a fingerprint is computed for each
     /// request.
-    fn sweep(&mut self, now: Instant) {
-        let last = *self.swept_at.get_or_insert(now);
+    fn remove_old_evidence(&mut self, now: Instant) {
+        let last = *self.last_sweep_at.get_or_insert(now);
         if now.saturating_duration_since(last) < CRASH_RETENTION {
             return;
         }
-        self.swept_at = Some(now);
+        self.last_sweep_at = Some(now);
         self.suspects
-            .retain(|_, s| now.saturating_duration_since(s.last) < CRASH_RETENTION);
-        self.shards.forget_old(now);
+            .retain(|_, s| now.saturating_duration_since(s.last_crash_at) < CRASH_RETENTION);
+        self.shard_crashes.remove_expired(now);
     }
 
     /// Quarantines a request if there is enough evidence; returns `true` if it was not in
     /// quarantine before.
     ///
     /// If a server answered it, only crashes within a single shard count.
-    pub(crate) fn quarantine_if_proved(
+    pub(crate) fn quarantine_if_enough_crashes(
         &mut self,
         now: Instant,
         request: Fingerprint,
         executed_without_crash: bool,
     ) -> bool {
-        let is_proved =
+        let has_enough_crashes =
             |s: &Suspect| s.crashes >= CRASHES_MAX && s.servers.len() >= CRASHED_SERVERS_MIN;
         let is_suspect_proved =
-            !executed_without_crash && self.suspects.get(&request).is_some_and(is_proved);
-        if !is_suspect_proved && !self.shards.is_proved(now, request) {
+            !executed_without_crash && self.suspects.get(&request).is_some_and(has_enough_crashes);
+        if !is_suspect_proved && !self.shard_crashes.has_enough_crashes(now, request) {
             return false;
         }
         self.suspects.remove(&request);
-        self.shards.forget(request);
+        self.shard_crashes.remove_request(request);
         self.quarantine(now, request)
     }
 
     /// Records that a server of a service executed the request without crashing.
     pub(crate) fn note_executed(&mut self, request: Fingerprint, service: &ServiceName) {
         self.suspects.remove(&request);
-        self.shards.note_executed(request, service);
+        self.shard_crashes.note_executed(request, service);
     }
 
     /// Records that an unknown server executed the request without crashing.
--- a/crates/relay/src/delegation.rs
+++ b/crates/relay/src/delegation.rs
@@ -33,16 +33,16 @@
 
 /// The most times that a request is delegated: from a weak VM to a strong one in the same data
 /// centre, and from there to one in the data centre of the replica.
-const HOPS_MAX: u8 = 2;
+const DELEGATION_HOPS_MAX: u8 = 2;
 
 /// The fewest parts that are delegated as a bundle: a page of one part costs as much as the part.
 const BUNDLE_PARTS_MIN: usize = 2;
 
 /// How long changes are collected before the plans are rebuilt.
-const REBUILD_DELAY: Duration = Duration::from_millis(200);
+const PLAN_REBUILD_DELAY: Duration = Duration::from_millis(200);
 
 /// Interval of the checks that all wanted peers are connected.
-const RECONNECT_INTERVAL: Duration = Duration::from_secs(1);
+const PEER_RECONNECT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The most connections to a peer, which is also the most bundles in flight to it.
 const PEER_CONNECTIONS_MAX: Connections = Connections(16);
@@ -63,13 +63,13 @@
     /// delay the requests of a weak VM.
     pub(crate) fn mark_plans_stale(&mut self, now: Instant) {
         self.are_plans_stale = true;
-        let at = now + REBUILD_DELAY;
+        let at = now + PLAN_REBUILD_DELAY;
         self.rebuild_plans_at = Some(self.rebuild_plans_at.map_or(at, |planned| planned.min(at)));
     }
 
     /// Schedules a check of the connections to the wanted peers, of which one may have been lost.
     pub(crate) fn on_peer_connection_lost(&mut self, now: Instant) {
-        let at = now + RECONNECT_INTERVAL;
+        let at = now + PEER_RECONNECT_INTERVAL;
         self.rebuild_plans_at = Some(self.rebuild_plans_at.map_or(at, |planned| planned.min(at)));
     }
 
@@ -106,14 +106,14 @@
             );
             self.plans.insert(route.name.clone(), plan);
         }
-        self.peers_wanted = peers;
+        self.delegation_peers = peers;
     }
 
     /// Connects to the wanted peers that are not connected, and schedules the next check if there
     /// are any.
     fn connect_peers(&mut self, now: Instant, out: &mut Vec<Action>) {
         let mut is_any_unconnected = false;
-        for name in &self.peers_wanted {
+        for name in &self.delegation_peers {
             let Some(view) = self.servers.by_name(name) else {
                 continue;
             };
@@ -128,25 +128,25 @@
             });
         }
         if is_any_unconnected {
-            self.rebuild_plans_at = Some(now + RECONNECT_INTERVAL);
+            self.rebuild_plans_at = Some(now + PEER_RECONNECT_INTERVAL);
         }
     }
 
     /// Applies a new list of the announced VMs.
-    pub(crate) fn on_vms(&mut self, now: Instant, vms: Vec<PeerVm>, out: &mut Vec<Action>) {
+    pub(crate) fn on_vm_list(&mut self, now: Instant, vms: Vec<PeerVm>, out: &mut Vec<Action>) {
         let peers: Vec<ServerEntry> = vms
             .iter()
             .filter(|vm| vm.name != self.options.vm)
             .filter_map(peer_entry)
             .collect();
         let removed: Vec<ServerName> = self
-            .peers_known
+            .registered_peers
             .iter()
             .filter(|name| !peers.iter().any(|p| p.name == **name))
             .cloned()
             .collect();
         for name in removed {
-            self.peers_known.remove(&name);
+            self.registered_peers.remove(&name);
             self.remove(&name, out);
         }
         for entry in peers {
@@ -158,7 +158,7 @@
             if !is_same {
                 self.servers.register(now, Arc::new(entry));
                 self.servers.set_connections(&name, PEER_CONNECTIONS_MAX);
-                self.peers_known.insert(name);
+                self.registered_peers.insert(name);
             }
         }
         self.peer_vms = PeerVms::new(vms);
@@ -214,7 +214,7 @@
     fn peer_data_centre(&self, shard: &ServiceName) -> Option<DataCentre> {
         let views = self
             .servers
-            .of(shard)
+            .of_service(shard)
             .iter()
             .filter_map(|k| self.servers.get(*k));
         let mut data_centres: Vec<&DataCentre> = views
@@ -251,12 +251,15 @@
 
     /// Returns the bundles of a request that is about to start: each peer with the positions of its
     /// parts.
-    pub(crate) fn bundles_for(
+    pub(crate) fn choose_bundles(
         &mut self,
         now: Instant,
         request: &ActiveRequest,
     ) -> Vec<(ServerKey, Vec<usize>)> {
-        if request.hops >= HOPS_MAX || !request.route.is_scatter() || now >= request.objective_at {
+        if request.hops >= DELEGATION_HOPS_MAX
+            || !request.route.is_scatter()
+            || now >= request.objective_at
+        {
             return Vec::new();
         }
         let Some(plan) = self.plans.get(&request.route.name) else {
@@ -293,12 +296,12 @@
 ) -> Option<ServerKey> {
     let mut best: Option<(ServerKey, (usize, u32))> = None;
     for name in names {
-        let Some((key, view)) = servers.find(name) else {
+        let Some((key, view)) = servers.find_by_name(name) else {
             continue;
         };
         let is_usable = view.accepts_work()
             && view.is_connected()
-            && view.has_connection()
+            && view.has_free_connection()
             && view.backoff_until(now).is_none();
         let cost = (view.outstanding.len(), rng.random());
         if is_usable && best.is_none_or(|(_, least)| cost < least) {
--- a/crates/relay/src/dispatch.rs
+++ b/crates/relay/src/dispatch.rs
@@ -25,7 +25,7 @@
 
 /// Timeout of an attempt at a part of a fan-out, as a multiple of the objective: an unresponsive
 /// server would otherwise hold each connection until the caller's timeout.
-const ATTEMPT_TIMEOUT_OBJECTIVES: u32 = 4;
+const ATTEMPT_TIMEOUT_TO_OBJECTIVE_RATIO: u32 = 4;
 
 /// The shortest timeout of an attempt; longer than two usual stalls.
 const ATTEMPT_TIMEOUT_MIN: Duration = Duration::from_millis(500);
@@ -54,7 +54,7 @@
                     self.abandon_part(request, index, AbandonReason::Budget);
                     return;
                 }
-                self.send(now, request, index, server, cause, out);
+                self.send_attempt(now, request, index, server, cause, out);
             }
             Placement::Wait => self.enqueue(request, index, cause),
             Placement::Unavailable(_) => self.abandon_part(request, index, AbandonReason::NoServer),
@@ -93,7 +93,7 @@
         let is_taken = self
             .service_state(&service)
             .extra_budget
-            .take(now, is_hedge);
+            .try_take(now, is_hedge);
         if !is_taken {
             self.counters.extra_refused += 1;
         }
@@ -113,7 +113,7 @@
     }
 
     /// Dispatches an attempt through the I/O driver and schedules the checks of it.
-    pub(crate) fn send(
+    pub(crate) fn send_attempt(
         &mut self,
         now: Instant,
         request: &mut ActiveRequest,
@@ -124,7 +124,7 @@
     ) {
         let time_to_answer = request.time_to_answer(now);
         let attempt_timeout = if request.route.is_scatter() {
-            (request.route.objective * ATTEMPT_TIMEOUT_OBJECTIVES)
+            (request.route.objective * ATTEMPT_TIMEOUT_TO_OBJECTIVE_RATIO)
                 .max(ATTEMPT_TIMEOUT_MIN)
                 .min(time_to_answer)
         } else {
@@ -155,13 +155,15 @@
             return;
         };
         view.on_dispatched(now, id);
-        let is_near = view.entry.data_centre == self.options.data_centre;
+        let is_same_data_centre = view.entry.data_centre == self.options.data_centre;
         out.push(Action::Send(Dispatch {
             attempt: id,
             server: Arc::clone(&view.entry),
             id: Arc::clone(&request.req.id),
             content: Arc::clone(&request.req.content),
-            time_left: request.caller_timeout.saturating_sub(now - request.arrived),
+            time_left: request
+                .caller_timeout
+                .saturating_sub(now - request.arrived_at),
             attempt_timeout,
             once: request.is_once(),
             keep_connection,
@@ -169,7 +171,7 @@
         }));
         self.count_attempt(request, cause);
         if !request.is_once() {
-            let delay = self.route_times[&request.route.name].delay(is_near);
+            let delay = self.route_times[&request.route.name].hedge_delay(is_same_data_centre);
             self.schedule_check(request, now + delay);
         }
         self.schedule_check(request, request.objective_at.max(now));
--- a/crates/relay/src/fan_out_vms.rs
+++ b/crates/relay/src/fan_out_vms.rs
@@ -35,7 +35,7 @@
         by_data_centre.entry(&vm.data_centre).or_default().push(vm);
     }
     let strong: usize = by_data_centre.values().map(Vec::len).sum();
-    let vms_max = connections.map_or(f64::INFINITY, vms_max);
+    let vms_max = connections.map_or(f64::INFINITY, fan_out_vms_max);
     let fraction = (vms_max / strong.max(1) as f64).min(1.0);
     let mut chosen = Vec::with_capacity(strong);
     for mut here in by_data_centre.into_values() {
@@ -48,6 +48,6 @@
 }
 
 /// Returns the largest number of VMs that get enough connections each.
-fn vms_max(connections: Connections) -> f64 {
+fn fan_out_vms_max(connections: Connections) -> f64 {
     f64::from(connections.0) * FAN_OUT_FRACTION / CONNECTIONS_PER_VM_MIN
 }
--- a/crates/relay/src/finish.rs
+++ b/crates/relay/src/finish.rs
@@ -12,11 +12,11 @@
 use crate::active_request::PartState;
 use crate::attempt_log::attempt_log;
 use crate::completion::CompletionDecision;
-use crate::completion::Progress;
+use crate::completion::RequestProgress;
 use crate::completion::decide_completion;
 use crate::merge::best_records;
 use crate::outcome::FailReason;
-use crate::outcome::Missing;
+use crate::outcome::MissingPart;
 use crate::outcome::Outcome;
 use crate::outcome::Page;
 use crate::outcome::RefuseReason;
@@ -52,7 +52,7 @@
         request: &mut ActiveRequest,
         out: &mut Vec<Action>,
     ) -> bool {
-        let progress = Progress {
+        let progress = RequestProgress {
             parts: request.parts.len(),
             complete: request.complete,
             abandoned: request.abandoned,
@@ -66,7 +66,7 @@
             CompletionDecision::Deliver => self.success_outcome(request),
             CompletionDecision::Fail => failure_outcome(now, request),
         };
-        self.answer(now, request, outcome, out);
+        self.send_response(now, request, outcome, out);
         true
     }
 
@@ -76,14 +76,14 @@
     }
 
     /// Sends the only response to a request's caller.
-    pub(crate) fn answer(
+    pub(crate) fn send_response(
         &mut self,
         now: Instant,
         request: &mut ActiveRequest,
         outcome: Outcome,
         out: &mut Vec<Action>,
     ) {
-        let took = now.saturating_duration_since(request.arrived);
+        let took = now.saturating_duration_since(request.arrived_at);
         self.count_outcome(request, took, &outcome);
         self.quarantine_if_crashing(now, request, out);
         let is_plain = match &outcome {
@@ -134,7 +134,7 @@
     }
 
     /// Describes a part without an answer to the peer that requested it.
-    fn missing_part(&self, part: &Part) -> Missing {
+    fn missing_part(&self, part: &Part) -> MissingPart {
         let mut possible_servers = part.possible_servers.clone();
         if part.state == PartState::Bundled {
             possible_servers = PossibleServers::Unknown;
@@ -143,7 +143,7 @@
             let view = self.servers.get(attempt.server);
             possible_servers.add(view.map(|v| v.entry.name.clone()));
         }
-        Missing {
+        MissingPart {
             shard: part.shard,
             possible_servers,
         }
--- a/crates/relay/src/hedge.rs
+++ b/crates/relay/src/hedge.rs
@@ -33,19 +33,19 @@
 /// Hedge delays and mean execution time of a route's attempts.
 #[derive(Debug)]
 pub(crate) struct RouteTimes {
-    delays: LearnedDelay,
+    hedge_delays: LearnedDelay,
     execution_secs: f64,
     samples: u32,
-    delay_min: Duration,
+    hedge_delay_min: Duration,
 }
 
 impl RouteTimes {
     pub(crate) fn new(objective: Duration, quantile: f64) -> Self {
         Self {
-            delays: LearnedDelay::new(quantile),
+            hedge_delays: LearnedDelay::new(quantile),
             execution_secs: objective.as_secs_f64() * INITIAL_EXECUTION_FRACTION,
             samples: 0,
-            delay_min: objective.mul_f64(HEDGE_DELAY_MIN_FRACTION),
+            hedge_delay_min: objective.mul_f64(HEDGE_DELAY_MIN_FRACTION),
         }
     }
 
@@ -57,12 +57,13 @@
     /// execution, and the expected time of the next attempt would include the same queue twice.
     pub(crate) fn observe(
         &mut self,
-        is_near: bool,
+        is_same_data_centre: bool,
         took: Duration,
         round_trip: Duration,
         rounds_ahead: f64,
     ) -> f64 {
-        self.delays.observe(distance(is_near), took);
+        self.hedge_delays
+            .observe(distance(is_same_data_centre), took);
         let execution_time =
             took.saturating_sub(round_trip).as_secs_f64().max(1e-4) / (1.0 + rounds_ahead);
         let ratio = execution_time / self.execution_secs;
@@ -84,14 +85,14 @@
     }
 
     /// Returns the time after which an attempt is hedged.
-    pub(crate) fn delay(&self, is_near: bool) -> Duration {
-        let learned = self.delays.delay(distance(is_near));
-        learned.map_or(self.delay_min, |d| d.max(self.delay_min))
+    pub(crate) fn hedge_delay(&self, is_same_data_centre: bool) -> Duration {
+        let learned = self.hedge_delays.delay(distance(is_same_data_centre));
+        learned.map_or(self.hedge_delay_min, |d| d.max(self.hedge_delay_min))
     }
 }
 
-fn distance(is_near: bool) -> Distance {
-    if is_near {
+fn distance(is_same_data_centre: bool) -> Distance {
+    if is_same_data_centre {
         Distance::Near
     } else {
         Distance::Far
--- a/crates/relay/src/leases.rs
+++ b/crates/relay/src/leases.rs
@@ -38,7 +38,7 @@
 
 /// An announcement as listed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedAnnouncement {
     /// The VM.
     pub vm: VmId,
     /// Revision that changes with each renewal.
@@ -52,58 +52,64 @@
     pub expired: Vec<VmId>,
     /// Those of them whose announcement this VM is to remove, provided that it still has this
     /// revision.
-    pub remove: Vec<Listed>,
+    pub remove: Vec<ListedAnnouncement>,
 }
 
 /// When the announcement of each VM last changed, as seen by this VM.
 #[derive(Debug)]
 pub struct Leases {
-    renewal_min: Duration,
-    seen: HashMap<VmId, SeenRevision>,
+    renewal_interval_min: Duration,
+    seen_revisions: HashMap<VmId, SeenRevision>,
     checked_at: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct SeenRevision {
     revision: u64,
-    at: Instant,
+    seen_at: Instant,
 }
 
 impl Leases {
-    /// Creates the state without any announcements; VMs renew every `renewal_min`, or less often if
-    /// there are many.
+    /// Creates the state without any announcements; VMs renew every `renewal_interval_min`, or less
+    /// often if there are many.
     #[must_use]
-    pub fn new(renewal_min: Duration) -> Self {
+    pub fn new(renewal_interval_min: Duration) -> Self {
         Self {
-            renewal_min,
-            seen: HashMap::new(),
+            renewal_interval_min,
+            seen_revisions: HashMap::new(),
             checked_at: None,
         }
     }
 
     /// Checks the current list; `me` never counts as expired.
-    pub fn check(&mut self, now: Instant, me: &VmId, listed: &[Listed]) -> LeaseCheck {
+    pub fn check(&mut self, now: Instant, me: &VmId, listed: &[ListedAnnouncement]) -> LeaseCheck {
         let is_gap = |at: Instant| now.saturating_duration_since(at) > CHECK_GAP_MAX;
         if self.checked_at.replace(now).is_none_or(is_gap) {
-            self.seen.clear();
+            self.seen_revisions.clear();
         }
-        let lease = renewal_interval(self.renewal_min, listed.len()).mul_f64(LEASE_INTERVALS);
+        let lease =
+            renewal_interval(self.renewal_interval_min, listed.len()).mul_f64(LEASE_INTERVALS);
         let mut seen = HashMap::with_capacity(listed.len());
         for l in listed {
-            let before = self.seen.get(&l.vm).filter(|s| s.revision == l.revision);
+            let before = self
+                .seen_revisions
+                .get(&l.vm)
+                .filter(|s| s.revision == l.revision);
             let fresh = SeenRevision {
                 revision: l.revision,
-                at: now,
+                seen_at: now,
             };
             seen.insert(l.vm.clone(), before.copied().unwrap_or(fresh));
         }
-        self.seen = seen;
-        let age = |l: &Listed| now.saturating_duration_since(self.seen[&l.vm].at);
-        let is_expired = |l: &&Listed| l.vm != *me && age(l) >= lease;
+        self.seen_revisions = seen;
+        let age = |l: &ListedAnnouncement| {
+            now.saturating_duration_since(self.seen_revisions[&l.vm].seen_at)
+        };
+        let is_expired = |l: &&ListedAnnouncement| l.vm != *me && age(l) >= lease;
         let live_before = listed.iter().filter(|l| !is_expired(l) && l.vm < *me);
         let position = u32::try_from(live_before.count()).unwrap_or(u32::MAX);
         let wait = lease.saturating_add(REMOVAL_STAGGER.saturating_mul(position));
-        let expired: Vec<&Listed> = listed.iter().filter(is_expired).collect();
+        let expired: Vec<&ListedAnnouncement> = listed.iter().filter(is_expired).collect();
         let due = expired.iter().filter(|l| age(l) >= wait);
         LeaseCheck {
             remove: due.map(|l| (*l).clone()).collect(),
--- a/crates/relay/src/options.rs
+++ b/crates/relay/src/options.rs
@@ -6,11 +6,11 @@
 use gs_types::prelude::*;
 
 /// The round trip between a VM and callers up to 3 ms away, plus the delays of timers and links.
-pub const ANSWER_MARGIN: Duration = Duration::from_millis(10);
+pub const ANSWER_NETWORK_MARGIN: Duration = Duration::from_millis(10);
 
 /// Time on a whole core for reading a request, and for assembling and sending its page; a VM with a
 /// fraction of a core takes proportionally longer.
-pub const ANSWER_WORK: Duration = Duration::from_micros(1200);
+pub const ANSWER_CPU_TIME: Duration = Duration::from_micros(1200);
 
 /// The relay's settings; the defaults are those of docs/DESIGN-platform.md.
 #[derive(Clone, Debug, PartialEq, bon::Builder)]
@@ -41,7 +41,7 @@
     #[builder(default = 1024)]
     pub lookups_max: usize,
     /// How long before the end of its objective an answer is sent.
-    #[builder(default = ANSWER_MARGIN + ANSWER_WORK)]
+    #[builder(default = ANSWER_NETWORK_MARGIN + ANSWER_CPU_TIME)]
     pub answer_margin: Duration,
     /// The fraction of attempts that are answered before they would be hedged.
     #[builder(default = 0.9)]
--- a/crates/relay/src/outcome.rs
+++ b/crates/relay/src/outcome.rs
@@ -13,7 +13,7 @@
 
 /// A shard whose part is missing from a page.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Missing {
+pub struct MissingPart {
     /// Its number in the route.
     pub shard: u16,
     /// The servers that may have executed the part without success.
@@ -26,7 +26,7 @@
     /// The stamps of the parts on the page.
     pub stamps: SmallVec<[Bytes; 32]>,
     /// Shards whose part is missing.
-    pub missing: SmallVec<[Missing; 4]>,
+    pub missing: SmallVec<[MissingPart; 4]>,
     /// The greatest records, in descending order.
     pub body: Bytes,
 }
--- a/crates/relay/src/peer_vms.rs
+++ b/crates/relay/src/peer_vms.rs
@@ -13,10 +13,10 @@
 /// Fraction of the most cores and of the fastest link in its region that a VM needs to run
 /// fan-outs: with less, assembling a page of 90 parts takes longer than delegating them and
 /// receiving the page.
-const STRONG_FRACTION: f64 = 0.5;
+const STRONG_VM_CAPACITY_FRACTION: f64 = 0.5;
 
 /// Ratio of the VMs that may exist to those listed: some may just have been added.
-const UNLISTED_FACTOR: f64 = 1.25;
+const POSSIBLE_TO_LISTED_VMS_RATIO: f64 = 1.25;
 
 /// Processing and network capacity of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -62,18 +62,23 @@
 pub(crate) struct PeerVms {
     vms: Vec<PeerVm>,
     /// Highest number of cores and highest link speed in each region.
-    strongest: HashMap<Region, Capacity>,
+    max_capacity_by_region: HashMap<Region, Capacity>,
 }
 
 impl PeerVms {
     pub(crate) fn new(vms: Vec<PeerVm>) -> Self {
-        let mut strongest: HashMap<Region, Capacity> = HashMap::new();
+        let mut max_capacity_by_region: HashMap<Region, Capacity> = HashMap::new();
         for vm in &vms {
-            let best = strongest.entry(vm.region.clone()).or_insert(vm.capacity);
+            let best = max_capacity_by_region
+                .entry(vm.region.clone())
+                .or_insert(vm.capacity);
             best.cores = best.cores.max(vm.capacity.cores);
             best.megabits = best.megabits.max(vm.capacity.megabits);
         }
-        Self { vms, strongest }
+        Self {
+            vms,
+            max_capacity_by_region,
+        }
     }
 
     pub(crate) fn is_empty(&self) -> bool {
@@ -86,15 +91,15 @@
 
     /// Returns whether a VM is strong enough to run fan-outs for its region.
     pub(crate) fn is_strong(&self, vm: &PeerVm) -> bool {
-        let Some(strongest) = self.strongest.get(&vm.region) else {
+        let Some(strongest) = self.max_capacity_by_region.get(&vm.region) else {
             return true;
         };
-        vm.capacity.cores >= strongest.cores * STRONG_FRACTION
-            && vm.capacity.megabits >= strongest.megabits * STRONG_FRACTION
+        vm.capacity.cores >= strongest.cores * STRONG_VM_CAPACITY_FRACTION
+            && vm.capacity.megabits >= strongest.megabits * STRONG_VM_CAPACITY_FRACTION
     }
 
     /// Returns the number of VMs that may exist if the given number is listed.
-    pub(crate) fn vms_max(listed: usize) -> u32 {
-        (listed as f64 * UNLISTED_FACTOR).ceil() as u32
+    pub(crate) fn possible_vms_max(listed: usize) -> u32 {
+        (listed as f64 * POSSIBLE_TO_LISTED_VMS_RATIO).ceil() as u32
     }
 }
--- a/crates/relay/src/placement.rs
+++ b/crates/relay/src/placement.rs
@@ -121,7 +121,7 @@
     ) -> Option<Duration> {
         let views = self
             .servers
-            .of(service)
+            .of_service(service)
             .iter()
             .filter_map(|k| self.servers.get(*k));
         let available: SmallVec<[&ServerView; 4]> = views
@@ -147,7 +147,7 @@
         part: &Part,
         wanted: impl Fn(&ServerView, Option<&Attempt>) -> bool,
     ) -> Placement {
-        let servers = self.servers.of(&part.service);
+        let servers = self.servers.of_service(&part.service);
         let may_all_have_run = part.possible_servers == PossibleServers::Unknown;
         if may_all_have_run && servers.len() > usize::from(self.servers_max) {
             return Placement::Unavailable(None);
@@ -170,7 +170,7 @@
                 retry_at = Some(retry_at.map_or(backoff_end, |b| b.min(backoff_end)));
                 continue;
             }
-            if !view.has_connection() || view.outstanding.len() >= self.in_flight_limit(view) {
+            if !view.has_free_connection() || view.outstanding.len() >= self.in_flight_limit(view) {
                 must_wait = true;
                 continue;
             }
@@ -236,7 +236,7 @@
         own.sort_unstable();
         own.dedup();
         let is_own = |name: &&ServerName| {
-            let key = servers.find(name).map(|(key, _)| key);
+            let key = servers.find_by_name(name).map(|(key, _)| key);
             key.is_some_and(|key| own.contains(&key))
         };
         let names = part.possible_servers.servers().iter();
--- a/crates/relay/src/register_reachability.rs
+++ b/crates/relay/src/register_reachability.rs
@@ -23,7 +23,7 @@
         }
     }
 
-    pub(crate) fn set(&mut self, now: Instant, is_reachable: bool) {
+    pub(crate) fn set_reachable(&mut self, now: Instant, is_reachable: bool) {
         if is_reachable && !self.is_reachable {
             self.reachable_since = Some(now);
         }
--- a/crates/relay/src/registration.rs
+++ b/crates/relay/src/registration.rs
@@ -15,7 +15,12 @@
 
 impl Core {
     /// Applies a version of the routes, unless a newer one is in force.
-    pub(crate) fn on_table(&mut self, now: Instant, table: Arc<RouteTable>, out: &mut Vec<Action>) {
+    pub(crate) fn on_route_table(
+        &mut self,
+        now: Instant,
+        table: Arc<RouteTable>,
+        out: &mut Vec<Action>,
+    ) {
         let newest = self.table.as_ref().map(|t| t.version());
         if newest.is_some_and(|v| v >= table.version()) {
             return;
@@ -36,7 +41,7 @@
         }
         let entries: Vec<_> = self.servers.all().map(|v| Arc::clone(&v.entry)).collect();
         for entry in entries {
-            if !self.peers_known.contains(&entry.name) {
+            if !self.registered_peers.contains(&entry.name) {
                 self.update_connections(entry, out);
             }
         }
@@ -55,13 +60,13 @@
         if let Some(view) = self.servers.by_name_mut(name) {
             view.open_connections = view.open_connections.saturating_sub(1);
         }
-        if self.peers_wanted.contains(name) {
+        if self.delegation_peers.contains(name) {
             self.on_peer_connection_lost(now);
         }
     }
 
     /// Applies the register entry of a server.
-    pub(crate) fn on_entry(
+    pub(crate) fn on_server_entry(
         &mut self,
         now: Instant,
         entry: Arc<ServerEntry>,
@@ -85,11 +90,11 @@
             out.push(Action::Disconnect(entry.name.clone()));
             return;
         }
-        let is_near = entry.data_centre == self.options.data_centre;
+        let is_same_data_centre = entry.data_centre == self.options.data_centre;
         let is_in_subset = self.connection_shares.is_in_subset(&entry);
         let connections_min = self
             .connection_shares
-            .connections_min(&entry.service, is_near)
+            .connections_min(&entry.service, is_same_data_centre)
             .min(connections_max);
         let Some(view) = self.servers.by_name_mut(&entry.name) else {
             return;
@@ -119,7 +124,7 @@
 
     /// Handles a missing register entry: removes the server immediately if it was leaving,
     /// otherwise after a delay.
-    pub(crate) fn on_entry_missing(
+    pub(crate) fn on_server_entry_missing(
         &mut self,
         now: Instant,
         name: ServerName,
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -73,9 +73,9 @@
     /// The fan-out plan of each scatter route.
     pub(crate) plans: HashMap<LookupName, FanOutPlan>,
     /// Peers that are registered as servers in `servers`.
-    pub(crate) peers_known: BTreeSet<ServerName>,
+    pub(crate) registered_peers: BTreeSet<ServerName>,
     /// Peers that the plans delegate to.
-    pub(crate) peers_wanted: BTreeSet<ServerName>,
+    pub(crate) delegation_peers: BTreeSet<ServerName>,
     /// Whether routes, servers or VMs have changed since the plans were built.
     pub(crate) are_plans_stale: bool,
     /// When the plans are rebuilt, or unconnected peers are connected to.
@@ -113,8 +113,8 @@
                 peer_vms: PeerVms::default(),
                 connection_shares: ConnectionShares::default(),
                 plans: HashMap::new(),
-                peers_known: BTreeSet::new(),
-                peers_wanted: BTreeSet::new(),
+                registered_peers: BTreeSet::new(),
+                delegation_peers: BTreeSet::new(),
                 are_plans_stale: false,
                 rebuild_plans_at: None,
                 missing_servers: HashMap::new(),
@@ -133,18 +133,19 @@
     /// Processes one event and appends the resulting actions to `out`.
     pub fn on(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Table(table) => self.core.on_table(now, table, out),
-            Event::Server(entry) => self.core.on_entry(now, entry, out),
-            Event::EntryMissing(name) => self.core.on_entry_missing(now, name, out),
+            Event::Table(table) => self.core.on_route_table(now, table, out),
+            Event::Server(entry) => self.core.on_server_entry(now, entry, out),
+            Event::EntryMissing(name) => self.core.on_server_entry_missing(now, name, out),
             Event::Quarantined(requests) => {
                 for request in requests {
                     self.core.suspects.quarantine(now, request);
                 }
             }
-            Event::RegisterReachable(is_reachable) => {
-                self.core.register_reachability.set(now, is_reachable)
-            }
-            Event::Vms(vms) => self.core.on_vms(now, vms, out),
+            Event::RegisterReachable(is_reachable) => self
+                .core
+                .register_reachability
+                .set_reachable(now, is_reachable),
+            Event::Vms(vms) => self.core.on_vm_list(now, vms, out),
             Event::Opened(name, took) => self.core.on_connection_opened(&name, took),
             Event::Closed(name) => self.core.on_connection_closed(now, &name),
             Event::Options(options) => self.core.options = options,
@@ -159,10 +160,10 @@
                 core.on_caller_disconnect(now, request, out)
             }),
             Event::CaughtUp => self.finish_done_requests(now, out),
-            Event::Tick => self.tick(now, out),
+            Event::Tick => self.on_tick(now, out),
         }
         self.dispatch_waiting(now, out);
-        self.wake(now, out);
+        self.request_wake_up(now, out);
     }
 
     /// Returns the running totals.
@@ -216,7 +217,7 @@
     }
 
     /// Handles the expired timers.
-    fn tick(&mut self, now: Instant, out: &mut Vec<Action>) {
+    fn on_tick(&mut self, now: Instant, out: &mut Vec<Action>) {
         let wake_due = self.wake_at.take();
         if let Some(process_pause) = ProcessPause::detect(wake_due, now) {
             self.postpone_timers(now, process_pause);
@@ -274,7 +275,7 @@
     }
 
     /// Requests a wake-up for the next timer, unless one is due by then.
-    fn wake(&mut self, now: Instant, out: &mut Vec<Action>) {
+    fn request_wake_up(&mut self, now: Instant, out: &mut Vec<Action>) {
         let first = self.core.timers.first().map(|(at, _)| *at);
         let removal = self.core.missing_servers.values().min().copied();
         let times = [first, removal, self.core.rebuild_plans_at];
--- a/crates/relay/src/route.rs
+++ b/crates/relay/src/route.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::Display, Serialize, Deserialize)]
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
-pub enum Repeat {
+pub enum RepeatPolicy {
     /// It may be executed again, also by other servers.
     Safe,
     /// It is executed at most once for each request of a caller.
@@ -21,7 +21,7 @@
 /// A service with its weight on a split route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Weighted {
+pub struct WeightedService {
     /// The service.
     pub service: ServiceName,
     /// Its weight relative to the others of the same route; at least 0.
@@ -55,7 +55,7 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Target {
     /// To one server of one of these services, in proportion to their weights.
-    One(SmallVec<[Weighted; 1]>),
+    One(SmallVec<[WeightedService; 1]>),
     /// To one server of each shard.
     Scatter(Scatter),
 }
@@ -73,7 +73,7 @@
     /// Where its requests go.
     pub target: Target,
     /// Whether they may be executed more than once.
-    pub repeat: Repeat,
+    pub repeat: RepeatPolicy,
     /// The most servers that may execute one request, for each shard.
     pub servers_max: u16,
     /// The longest time until a request is answered.
--- a/crates/relay/src/seed_state.rs
+++ b/crates/relay/src/seed_state.rs
@@ -31,7 +31,7 @@
         let known = entries.filter(|e| {
             // A server whose entry is missing may have left, and a starting VM cannot know for how
             // long the entry has been missing.
-            !core.peers_known.contains(&e.name) && !core.missing_servers.contains_key(&e.name)
+            !core.registered_peers.contains(&e.name) && !core.missing_servers.contains_key(&e.name)
         });
         Some(SeedState {
             table: Arc::clone(core.table.as_ref()?),
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -21,12 +21,12 @@
 /// Bounds of a slowness sample; values beyond them carry no further information.
 const SLOWNESS_RANGE: (f64, f64) = (0.4, 30.0);
 
-/// Ratio of response time to expected time from which an answer counts as held up by a stall:
+/// Ratio of response time to expected time from which an answer counts as delayed by a stall:
 /// execution times vary by a third, and one execution in a hundred takes five times as long.
-const HELD_UP_RATIO: f64 = 3.0;
+const DELAYED_ANSWER_RATIO_MIN: f64 = 3.0;
 
-/// How long a held-up answer is remembered: a slow server is queried again within this time.
-const HELD_UP_RETENTION: Duration = Duration::from_secs(4);
+/// How long a delayed answer is remembered: a slow server is queried again within this time.
+const DELAYED_ANSWER_RETENTION: Duration = Duration::from_secs(4);
 
 /// Weight of a new sample in the failure rate.
 const FAILURE_WEIGHT: f64 = 0.15;
@@ -89,15 +89,15 @@
     slow_start_until: Instant,
     /// The slowness, and when it was updated.
     slowness: (f64, Instant),
-    /// When the last held-up answer arrived; `None` after an attempt dispatched later was answered
+    /// When the last delayed answer arrived; `None` after an attempt dispatched later was answered
     /// in normal time.
-    held_up: Option<Instant>,
+    last_delayed_answer_at: Option<Instant>,
     /// The failure rate, and when it was updated.
     failure_rate: (f64, Instant),
     /// The load last reported, with the number of this VM's attempts in flight then, and when.
     load: Option<(Load, u32, Instant)>,
     /// Number of backoffs in a row.
-    backoffs: u32,
+    consecutive_backoffs: u32,
     backoff_until: Option<Instant>,
     last_contact: Option<Instant>,
 }
@@ -114,27 +114,27 @@
             connections_max: 0,
             last_connect: None,
             slowness: (1.0, now),
-            held_up: None,
+            last_delayed_answer_at: None,
             failure_rate: (0.0, now),
             load: None,
-            backoffs: 0,
+            consecutive_backoffs: 0,
             backoff_until: None,
             last_contact: None,
         }
     }
 
     /// Applies a renewed register entry.
-    pub(crate) fn renew(&mut self, now: Instant, entry: Arc<ServerEntry>) {
+    pub(crate) fn apply_entry(&mut self, now: Instant, entry: Arc<ServerEntry>) {
         let is_new_incarnation = self.entry.born != entry.born || self.entry.addr != entry.addr;
         self.slow_start_until = now + entry.warming;
         self.entry = entry;
         if is_new_incarnation || self.is_removed {
-            self.backoffs = 0;
+            self.consecutive_backoffs = 0;
             self.backoff_until = None;
             self.load = None;
             self.failure_rate = (0.0, now);
             self.slowness = (1.0, now);
-            self.held_up = None;
+            self.last_delayed_answer_at = None;
         }
         self.is_removed = false;
     }
@@ -161,7 +161,7 @@
         self.open_connections > 0
     }
 
-    pub(crate) fn has_connection(&self) -> bool {
+    pub(crate) fn has_free_connection(&self) -> bool {
         (self.outstanding.len() as u32) < self.connections_max
     }
 
@@ -238,24 +238,23 @@
         self.outstanding.retain(|(i, _)| *i != id);
     }
 
-    /// Records an answer to an attempt dispatched at `begun`, with the ratio of its time to the
-    /// mean of all servers.
+    /// Records an answer to an attempt, with the ratio of its time to the mean of all servers.
     pub(crate) fn on_answered(
         &mut self,
         now: Instant,
-        begun: Instant,
+        dispatched_at: Instant,
         ratio: f64,
         load: Option<Load>,
         is_good: bool,
     ) {
         self.last_contact = Some(now);
-        self.backoffs = 0;
+        self.consecutive_backoffs = 0;
         self.backoff_until = None;
-        if self.shows_slowness(now, begun, ratio) {
-            self.note_slowness(now, ratio);
+        if self.accept_slowness_sample(now, dispatched_at, ratio) {
+            self.update_slowness(now, ratio);
         }
-        self.note_failure(now, !is_good);
-        self.note_load(now, load);
+        self.update_failure_rate(now, !is_good);
+        self.update_load(now, load);
     }
 
     /// Returns whether an answer shows that the server is slow, and not only that it stalled.
@@ -263,22 +262,22 @@
     /// A stall delays every attempt in flight, and each would count as slow execution: the server
     /// would be avoided for seconds after a stall of a fraction of a second, while its replicas do
     /// its work. A slow server shows it again with the first answer to an attempt dispatched after
-    /// the held-up answer.
-    fn shows_slowness(&mut self, now: Instant, begun: Instant, ratio: f64) -> bool {
-        let held_up = self
-            .held_up
-            .filter(|at| now.saturating_duration_since(*at) < HELD_UP_RETENTION);
-        if ratio < HELD_UP_RATIO {
-            if held_up.is_some_and(|at| begun >= at) {
-                self.held_up = None;
+    /// the delayed answer.
+    fn accept_slowness_sample(&mut self, now: Instant, dispatched_at: Instant, ratio: f64) -> bool {
+        let last_delayed_answer_at = self
+            .last_delayed_answer_at
+            .filter(|at| now.saturating_duration_since(*at) < DELAYED_ANSWER_RETENTION);
+        if ratio < DELAYED_ANSWER_RATIO_MIN {
+            if last_delayed_answer_at.is_some_and(|at| dispatched_at >= at) {
+                self.last_delayed_answer_at = None;
             }
             return true;
         }
-        self.held_up = Some(now);
-        held_up.is_some_and(|at| begun >= at)
+        self.last_delayed_answer_at = Some(now);
+        last_delayed_answer_at.is_some_and(|at| dispatched_at >= at)
     }
 
-    fn note_slowness(&mut self, now: Instant, ratio: f64) {
+    fn update_slowness(&mut self, now: Instant, ratio: f64) {
         let (low, high) = SLOWNESS_RANGE;
         let old = 1.0 + (self.slowness.0 - 1.0) * decay(now, self.slowness.1, HEALTH_HALF_LIFE);
         let new = old + (ratio.clamp(low, high) - old) * SLOWNESS_WEIGHT;
@@ -288,8 +287,8 @@
     /// Records a refusal for load.
     pub(crate) fn on_shed(&mut self, now: Instant, load: Option<Load>) {
         self.last_contact = Some(now);
-        self.note_failure(now, true);
-        self.note_load(now, load);
+        self.update_failure_rate(now, true);
+        self.update_load(now, load);
     }
 
     /// Records an attempt that ended with a broken connection, a malformed answer, or a timeout
@@ -297,7 +296,7 @@
     ///
     /// Unlike [`Self::on_unreachable`], it starts no backoff.
     pub(crate) fn on_broken(&mut self, now: Instant) {
-        self.note_failure(now, true);
+        self.update_failure_rate(now, true);
     }
 
     /// Records that it could not be reached, or that nothing at all was received in time, and
@@ -307,19 +306,20 @@
     /// each attempt until its timeout. If either were tried again for every part, each page would
     /// lose that part's whole time.
     pub(crate) fn on_unreachable(&mut self, now: Instant) {
-        self.note_failure(now, true);
-        let backoff = UNREACHABLE_BACKOFF * (1 << self.backoffs.min(BACKOFF_DOUBLINGS_MAX));
-        self.backoffs = self.backoffs.saturating_add(1);
+        self.update_failure_rate(now, true);
+        let backoff =
+            UNREACHABLE_BACKOFF * (1 << self.consecutive_backoffs.min(BACKOFF_DOUBLINGS_MAX));
+        self.consecutive_backoffs = self.consecutive_backoffs.saturating_add(1);
         self.backoff_until = Some(now + backoff);
     }
 
-    fn note_failure(&mut self, now: Instant, failed: bool) {
+    fn update_failure_rate(&mut self, now: Instant, failed: bool) {
         let old = self.failure_rate(now);
         let sample = if failed { 1.0 } else { 0.0 };
         self.failure_rate = (old + (sample - old) * FAILURE_WEIGHT, now);
     }
 
-    fn note_load(&mut self, now: Instant, load: Option<Load>) {
+    fn update_load(&mut self, now: Instant, load: Option<Load>) {
         if let Some(load) = load {
             self.load = Some((load, self.outstanding.len() as u32, now));
         }
--- a/crates/relay/src/servers.rs
+++ b/crates/relay/src/servers.rs
@@ -20,7 +20,7 @@
     views: HashMap<ServerKey, ServerView>,
     by_name: HashMap<ServerName, ServerKey>,
     by_service: HashMap<ServiceName, SmallVec<[ServerKey; 4]>>,
-    next: u64,
+    next_key: u64,
 }
 
 impl Servers {
@@ -31,12 +31,12 @@
             && let Some(view) = self.views.get_mut(&key)
             && view.entry.service == entry.service
         {
-            view.renew(now, entry);
+            view.apply_entry(now, entry);
             return;
         }
         self.remove(&entry.name);
-        let key = ServerKey(self.next);
-        self.next += 1;
+        let key = ServerKey(self.next_key);
+        self.next_key += 1;
         self.by_name.insert(entry.name.clone(), key);
         let members = self.by_service.entry(entry.service.clone()).or_default();
         members.push(key);
@@ -63,11 +63,11 @@
         if let Some(members) = self.by_service.get_mut(&view.entry.service) {
             members.retain(|k| *k != key);
         }
-        self.drop_if_unused(key);
+        self.remove_view_if_unused(key);
     }
 
     /// Returns the servers of a service that are in the register.
-    pub(crate) fn of(&self, service: &ServiceName) -> &[ServerKey] {
+    pub(crate) fn of_service(&self, service: &ServiceName) -> &[ServerKey] {
         self.by_service.get(service).map_or(&[], |m| m)
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// Returns the key and view of a server in the register.
-    pub(crate) fn find(&self, name: &ServerName) -> Option<(ServerKey, &ServerView)> {
+    pub(crate) fn find_by_name(&self, name: &ServerName) -> Option<(ServerKey, &ServerView)> {
         let key = *self.by_name.get(name)?;
         self.views.get(&key).map(|view| (key, view))
     }
@@ -101,7 +101,7 @@
     }
 
     /// Drops the view of a removed server once no attempt refers to it.
-    pub(crate) fn drop_if_unused(&mut self, key: ServerKey) {
+    pub(crate) fn remove_view_if_unused(&mut self, key: ServerKey) {
         let is_done = |v: &ServerView| v.is_removed && v.outstanding.is_empty();
         let in_register = |v: &ServerView| self.by_name.get(&v.entry.name) == Some(&key);
         if self
--- a/crates/relay/src/shard_crashes.rs
+++ b/crates/relay/src/shard_crashes.rs
@@ -24,11 +24,11 @@
 struct CrashRecord {
     service: ServiceName,
     incarnations: SmallVec<[ServerIncarnation; 4]>,
-    last: Instant,
+    last_crash_at: Instant,
 }
 
 impl CrashRecord {
-    fn is_proved(&self) -> bool {
+    fn has_enough_crashes(&self) -> bool {
         let mut servers: SmallVec<[ServerKey; 4]> =
             self.incarnations.iter().map(|(key, _)| *key).collect();
         servers.sort_unstable();
@@ -43,12 +43,12 @@
 /// Crashes by request and shard.
 #[derive(Debug, Default)]
 pub(crate) struct ShardCrashes {
-    requests: HashMap<Fingerprint, SmallVec<[CrashRecord; 1]>>,
+    by_request: HashMap<Fingerprint, SmallVec<[CrashRecord; 1]>>,
 }
 
 impl ShardCrashes {
     pub(crate) fn is_empty(&self) -> bool {
-        self.requests.is_empty()
+        self.by_request.is_empty()
     }
 
     /// Records that a server of a service crashed while it had the request.
@@ -59,24 +59,24 @@
         service: &ServiceName,
         server: ServerIncarnation,
     ) {
-        if self.requests.len() >= SUSPECTS_MAX && !self.requests.contains_key(&request) {
+        if self.by_request.len() >= SUSPECTS_MAX && !self.by_request.contains_key(&request) {
             return;
         }
-        let shards = self.requests.entry(request).or_default();
+        let shards = self.by_request.entry(request).or_default();
         let found = shards.iter().position(|r| r.service == *service);
         let at = found.unwrap_or_else(|| {
             shards.push(CrashRecord {
                 service: service.clone(),
                 incarnations: SmallVec::new(),
-                last: now,
+                last_crash_at: now,
             });
             shards.len() - 1
         });
         let record = &mut shards[at];
-        if is_old(now, record) {
+        if is_expired(now, record) {
             record.incarnations.clear();
         }
-        record.last = now;
+        record.last_crash_at = now;
         if !record.incarnations.contains(&server) {
             record.incarnations.push(server);
         }
@@ -84,32 +84,35 @@
 
     /// Records that a server of a service executed the request without crashing.
     pub(crate) fn note_executed(&mut self, request: Fingerprint, service: &ServiceName) {
-        if let Some(shards) = self.requests.get_mut(&request) {
+        if let Some(shards) = self.by_request.get_mut(&request) {
             shards.retain(|r| r.service != *service);
             if shards.is_empty() {
-                self.requests.remove(&request);
+                self.by_request.remove(&request);
             }
         }
     }
 
     /// Returns whether the request has crashed enough servers of one shard.
-    pub(crate) fn is_proved(&self, now: Instant, request: Fingerprint) -> bool {
-        let shards = self.requests.get(&request);
-        shards.is_some_and(|s| s.iter().any(|r| !is_old(now, r) && r.is_proved()))
+    pub(crate) fn has_enough_crashes(&self, now: Instant, request: Fingerprint) -> bool {
+        let shards = self.by_request.get(&request);
+        shards.is_some_and(|s| {
+            s.iter()
+                .any(|r| !is_expired(now, r) && r.has_enough_crashes())
+        })
     }
 
-    pub(crate) fn forget(&mut self, request: Fingerprint) {
-        self.requests.remove(&request);
+    pub(crate) fn remove_request(&mut self, request: Fingerprint) {
+        self.by_request.remove(&request);
     }
 
-    pub(crate) fn forget_old(&mut self, now: Instant) {
-        self.requests.retain(|_, shards| {
-            shards.retain(|r| !is_old(now, r));
+    pub(crate) fn remove_expired(&mut self, now: Instant) {
+        self.by_request.retain(|_, shards| {
+            shards.retain(|r| !is_expired(now, r));
             !shards.is_empty()
         });
     }
 }
 
-fn is_old(now: Instant, record: &CrashRecord) -> bool {
-    now.saturating_duration_since(record.last) >= CRASH_RETENTION
+fn is_expired(now: Instant, record: &CrashRecord) -> bool {
+    now.saturating_duration_since(record.last_crash_at) >= CRASH_RETENTION
 }
--- a/crates/relay/src/split.rs
+++ b/crates/relay/src/split.rs
@@ -4,11 +4,11 @@
 use rand::Rng;
 use rand::RngExt;
 
-use crate::route::Weighted;
+use crate::route::WeightedService;
 
 /// Chooses a service in proportion to the weights; `None` if none has any weight.
 pub(crate) fn choose_service<'a>(
-    parts: &'a [Weighted],
+    parts: &'a [WeightedService],
     rng: &mut impl Rng,
 ) -> Option<&'a ServiceName> {
     if let [only] = parts {
--- a/crates/relay/src/subset.rs
+++ b/crates/relay/src/subset.rs
@@ -12,11 +12,16 @@
 
 /// Fraction of the accepted connections that is shared out; the rest is for VMs that are not listed
 /// yet and for those whose servers are unreachable.
-const SHARED_FRACTION: f64 = 0.9;
+const ASSIGNED_CONNECTIONS_FRACTION: f64 = 0.9;
 
 /// Returns whether the servers of a service together accept fewer connections than there are VMs.
-pub(crate) fn is_scarce(vms: usize, servers: usize, connections: Connections) -> bool {
-    servers > 0 && servers as f64 * f64::from(connections.0) * SHARED_FRACTION < vms as f64
+pub(crate) fn has_too_few_connections(
+    vms: usize,
+    servers: usize,
+    connections: Connections,
+) -> bool {
+    servers > 0
+        && servers as f64 * f64::from(connections.0) * ASSIGNED_CONNECTIONS_FRACTION < vms as f64
 }
 
 /// Returns the servers that a VM uses of a service whose servers each accept the given connections;
@@ -30,7 +35,7 @@
     servers: &[&ServerEntry],
     connections: Connections,
 ) -> Option<HashSet<ServerName>> {
-    let capacity = f64::from(connections.0) * SHARED_FRACTION;
+    let capacity = f64::from(connections.0) * ASSIGNED_CONNECTIONS_FRACTION;
     if capacity >= vms.len() as f64 || servers.is_empty() {
         return None;
     }
--- a/crates/relay/src/table.rs
+++ b/crates/relay/src/table.rs
@@ -89,7 +89,7 @@
     }
 
     /// Returns those of the named services that are declared.
-    pub(crate) fn services_of<'a>(
+    pub(crate) fn declared_services<'a>(
         &'a self,
         names: &'a HashSet<ServiceName>,
     ) -> impl Iterator<Item = &'a ServiceDecl> {
--- a/crates/relay/src/timers.rs
+++ b/crates/relay/src/timers.rs
@@ -28,10 +28,10 @@
             return None;
         }
         for index in 0..request.parts.len() {
-            let Some((begun, server)) = only_attempt(request, index) else {
+            let Some((dispatched_at, server)) = single_attempt_in_flight(request, index) else {
                 continue;
             };
-            let due = begun + self.hedge_delay(request, server);
+            let due = dispatched_at + self.hedge_delay(request, server);
             if due > now {
                 self.schedule_check(request, due);
                 continue;
@@ -60,7 +60,9 @@
         out: &mut Vec<Action>,
     ) {
         let index = usize::from(part);
-        if request.is_once() || only_attempt(request, index).is_none_or(|(_, s)| s != server) {
+        if request.is_once()
+            || single_attempt_in_flight(request, index).is_none_or(|(_, s)| s != server)
+        {
             return;
         }
         self.hedge(now, request, index, out);
@@ -87,13 +89,14 @@
         if !self.take_extra_attempt(now, request, index, true) {
             return;
         }
-        self.send(now, request, index, server, Cause::Hedge, out);
+        self.send_attempt(now, request, index, server, Cause::Hedge, out);
     }
 
     fn hedge_delay(&self, request: &ActiveRequest, server: ServerKey) -> std::time::Duration {
         let view = self.servers.get(server);
-        let is_near = view.is_some_and(|v| v.entry.data_centre == self.options.data_centre);
-        self.route_times[&request.route.name].delay(is_near)
+        let is_same_data_centre =
+            view.is_some_and(|v| v.entry.data_centre == self.options.data_centre);
+        self.route_times[&request.route.name].hedge_delay(is_same_data_centre)
     }
 
     fn is_stalled(&self, now: Instant, request: &ActiveRequest, server: ServerKey) -> bool {
@@ -106,7 +109,7 @@
 }
 
 /// Returns the dispatch time and the server of a part's attempt in flight, if there is exactly one.
-fn only_attempt(request: &ActiveRequest, index: usize) -> Option<(Instant, ServerKey)> {
+fn single_attempt_in_flight(request: &ActiveRequest, index: usize) -> Option<(Instant, ServerKey)> {
     let part = &request.parts[index];
     if part.state != PartState::Running {
         return None;
